--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -82,8 +82,8 @@
   char *method;
   char *path;
   kb_buf_t body;
-  uint64_t fingerprint; ///< Zero: not worked out yet.
-  bool begins_alone;    ///< Targets ended under it.
+  uint64_t fingerprint;  ///< Zero: not worked out yet.
+  bool is_alone_attempt; ///< Targets ended under it.
   uint64_t flags;
   uint64_t priority_class;
   uint32_t weight;
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -254,7 +254,7 @@
     .claim_epoch = r->epoch,
     .deadline_ms = r->deadline_at_ms > now ? r->deadline_at_ms - now : 1,
     .flags = r->flags | (r->stage == ENT_FETCHING ? MSG_FLAG_FETCH : 0)
-             | (r->begins_alone ? MSG_FLAG_ALONE : 0),
+             | (r->is_alone_attempt ? MSG_FLAG_ALONE : 0),
     .priority_class = r->priority_class,
     .weight = r->weight,
     .revision = ent_revision (entry),
@@ -305,7 +305,7 @@
                                 hold_ms);
       return;
     }
-  r->begins_alone = verdict == QRT_ALONE;
+  r->is_alone_attempt = verdict == QRT_ALONE;
   uint16_t index
       = rt_choose (&entry->routes, r->service_id, r->adapter_id, r->excluded,
                    r->excluded_count, tmr_now_ms (), dmn_random ());
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -10,9 +10,9 @@
 {
   MS_PER_S = 1000,
   /// Before SIGKILL comes: the rest goes to closing in order.
-  EXIT_MARGIN_MS = 400,
+  EXIT_RESERVE_MS = 400,
   /// The balancer sends no new connections after two misses, a second apart.
-  LEAST_STOP_MS = 2600,
+  MIN_STOP_MS = 2600,
   STOP_CHECK_MS = 100,
 };
 
@@ -43,14 +43,14 @@
 static void
 source_on_record (void *owner, const src_record_t *record)
 {
-  gtw_keep_told (owner, record);
+  gtw_records_receive (owner, record);
 }
 
 static void
 source_on_targets_known (void *owner)
 {
   gtw_gateway_t *gateway = owner;
-  gateway->are_targets_known = true;
+  gateway->has_target_list = true;
 }
 
 static void
@@ -66,45 +66,45 @@
 static const src_events_t source_events = {
   .on_config = source_on_config,
   .on_target = source_on_target,
-  .on_target_gone = source_on_target_gone,
+  .on_target_removed = source_on_target_gone,
   .on_version = source_on_version,
   .on_record = source_on_record,
-  .on_targets_known = source_on_targets_known,
+  .on_target_list_complete = source_on_targets_known,
   .on_reachable = source_on_reachable,
 };
 
 static bool
 is_ready (const gtw_gateway_t *gateway)
 {
-  return gateway->config != NULL && gateway->are_targets_known
-         && gateway->stop_ms == 0;
+  return gateway->config != NULL && gateway->has_target_list
+         && gateway->stop_began_ms == 0;
 }
 
 static int
-answer_ready (void *owner, kb_slice_t path, kb_buf_t *body)
+ready_page_status (void *owner, kb_slice_t path, kb_buf_t *body)
 {
   return is_ready (owner) ? 200 : 503;
 }
 
 /// Go on with requests that wait for credit no longer.
 static void
-gateway_on_decided (void *arg)
+gateway_resume_decided (void *arg)
 {
   gtw_gateway_t *gateway = arg;
   for (gtw_request_t *r = gtw_quota_next_decided (gateway); r != NULL;
        r = gtw_quota_next_decided (gateway))
-    gtw_request_decided (r);
+    gtw_request_resume (r);
 }
 
 static void
 gateway_tick (void *arg)
 {
   gtw_gateway_t *gateway = arg;
-  gtw_clients_check (gateway);
+  gtw_clients_check_timeouts (gateway);
   qrt_lapse (&gateway->quarantine, gtw_now_ms (gateway));
   gtw_targets_tick (gateway);
   gtw_quotas_tick (gateway);
-  gtw_requests_retry (gateway);
+  gtw_requests_retry_waiting (gateway);
 }
 
 /// Exit once nothing is under way, or shortly before the process is killed.
@@ -112,12 +112,12 @@
 check_stop (void *arg)
 {
   gtw_gateway_t *gateway = arg;
-  uint64_t stopped_ms = gtw_now_ms (gateway) - gateway->stop_ms;
+  uint64_t stopped_ms = gtw_now_ms (gateway) - gateway->stop_began_ms;
   uint64_t grace_ms = (uint64_t)(gateway->host.settings.grace_s * MS_PER_S);
-  if (stopped_ms >= LEAST_STOP_MS)
+  if (stopped_ms >= MIN_STOP_MS)
     gtw_clients_close_idle (gateway);
-  bool is_idle = gateway->client_count == 0 && stopped_ms >= LEAST_STOP_MS;
-  if (is_idle || stopped_ms + EXIT_MARGIN_MS >= grace_ms)
+  bool is_idle = gateway->client_count == 0 && stopped_ms >= MIN_STOP_MS;
+  if (is_idle || stopped_ms + EXIT_RESERVE_MS >= grace_ms)
     hst_host_exit (&gateway->host, 0);
 }
 
@@ -125,7 +125,7 @@
 gateway_on_stop (hst_host_t *host)
 {
   gtw_gateway_t *gateway = (gtw_gateway_t *)host;
-  gateway->stop_ms = gtw_now_ms (gateway);
+  gateway->stop_began_ms = gtw_now_ms (gateway);
   tmr_every (&host->timers, &gateway->exit_timer, STOP_CHECK_MS, check_stop,
              gateway);
 }
@@ -141,7 +141,7 @@
 gateway_on_metrics (hst_host_t *host)
 {
   const gtw_gateway_t *gateway = (const gtw_gateway_t *)host;
-  gtw_set_gauges (gateway, is_ready (gateway));
+  gtw_metrics_set_gauges (gateway, is_ready (gateway));
   gateway->source->vtable->set_gauges (gateway->source);
 }
 
@@ -159,7 +159,7 @@
                          "\"ready_address\": \"%s\" is not \"ip:port\"",
                          s->ready_address);
   return pgs_server_init (&gateway->ready_page, &gateway->host.loop, &address,
-                          answer_ready, gateway, error);
+                          ready_page_status, gateway, error);
 }
 
 gtw_gateway_t *
@@ -171,7 +171,7 @@
                               .deployment = deployment,
                               .dialect = deployment->dialect,
                               .gateway_count = 1,
-                              .on_decided = gateway_on_decided };
+                              .on_decided = gateway_resume_decided };
   plc_costs_default (&gateway->costs);
   qrt_table_init (&gateway->quarantine);
   if (hst_host_init (&gateway->host, &gateway_role, gateway, path,
@@ -179,15 +179,15 @@
       != KB_OK)
     return NULL;
   // Ids of places differ from those of the process before this one.
-  gateway->next_place = gateway->host.incarnation >> 24 << 20;
+  gateway->next_place_id = gateway->host.incarnation >> 24 << 20;
   gateway->source
       = deployment->make_source (&gateway->host.pool, settings, error);
   if (gateway->source == NULL || open_ready_page (gateway, error) != KB_OK
       || gtw_listen (gateway, error) != KB_OK)
     return NULL;
-  gateway->born_ms = gateway->alone_ms = tmr_boot_ms ();
+  gateway->started_boot_ms = gateway->last_no_contact_ms = tmr_boot_ms ();
   gtw_peers_init (gateway);
-  gtw_keeps_init (gateway);
+  gtw_records_init (gateway);
   gateway->source->vtable->set_peers (gateway->source, &gateway->peers.peers);
   gateway->source->vtable->start (gateway->source, &source_events, gateway);
   tmr_every (&gateway->host.timers, &gateway->tick, GTW_TICK_MS, gateway_tick,
--- a/src/gateway/gateway_access.c
+++ b/src/gateway/gateway_access.c
@@ -27,7 +27,8 @@
 static acc_freshness_t
 freshness_of (const gtw_gateway_t *gateway)
 {
-  uint64_t known_ms = gateway->source->vtable->known_boot_ms (gateway->source);
+  uint64_t known_ms
+      = gateway->source->vtable->last_read_boot_ms (gateway->source);
   uint64_t now_ms = tmr_boot_ms ();
   uint64_t bound_ms = (uint64_t)gateway->host.settings.revoke_bound_ms;
   return (acc_freshness_t){ .age_ms = known_ms == 0       ? UINT64_MAX
@@ -49,7 +50,7 @@
   log_text (&line, "id", r->attempt_id);
   log_text (&line, "reason", refusal->reason);
   log_text (&line, "key", key);
-  log_int (&line, "key_fields", r->said.key_count);
+  log_int (&line, "key_fields", r->parsed_head.key_count);
   log_text (&line, "route", r->route);
   log_int (&line, "revision", (int64_t)r->revision);
   log_int (&line, "age_ms", (int64_t)freshness->age_ms);
@@ -57,7 +58,7 @@
 }
 
 static void
-take_workspace (gtw_request_t *r, const wsp_workspace_t *workspace)
+apply_workspace (gtw_request_t *r, const wsp_workspace_t *workspace)
 {
   snprintf (r->workspace, sizeof r->workspace, "%s", workspace->name);
   if (workspace->has_priority)
@@ -66,14 +67,14 @@
 }
 
 gtw_refusal_t
-gtw_access_judge (gtw_request_t *r, const svc_route_t *route)
+gtw_access_check (gtw_request_t *r, const svc_route_t *route)
 {
   const svc_config_t *config = r->gateway->config;
   uint8_t digest[WSP_DIGEST_BYTES];
-  bool has_key = r->said.key.len_bytes > 0;
+  bool has_key = r->parsed_head.key.len_bytes > 0;
   if (has_key)
-    sct_digest (r->said.key, digest);
-  acc_request_t request = { .key_count = r->said.key_count,
+    sct_digest (r->parsed_head.key, digest);
+  acc_request_t request = { .key_count = r->parsed_head.key_count,
                             .digest = has_key ? digest : NULL,
                             .is_route_public = route->is_public };
   acc_freshness_t freshness = freshness_of (r->gateway);
@@ -86,6 +87,6 @@
       log_refusal (r, refusal, request.digest, &freshness);
     }
   else if (verdict.workspace != NULL)
-    take_workspace (r, verdict.workspace);
+    apply_workspace (r, verdict.workspace);
   return *refusal;
 }
--- a/src/gateway/gateway_alone.c
+++ b/src/gateway/gateway_alone.c
@@ -6,37 +6,37 @@
 enum
 {
   /// Others leave a target to a request that waits there for this long.
-  RESERVED_MS = 500,
+  RESERVATION_MS = 500,
 };
 
 static bool
-is_reserved (const gtw_target_t *target, const gtw_request_t *r,
-             uint64_t now_ms)
+is_reserved_by_other (const gtw_target_t *target, const gtw_request_t *r,
+                      uint64_t now_ms)
 {
   return target->reserved_by != r->number
          && now_ms < target->reserved_until_ms;
 }
 
 bool
-gtw_alone_may_use (const gtw_request_t *r, const gtw_target_t *target)
+gtw_alone_can_use (const gtw_request_t *r, const gtw_target_t *target)
 {
   if (r->is_engine)
     return true;
   uint64_t now_ms = gtw_now_ms (r->gateway);
   return !aln_is_kept (&target->alone, now_ms)
-         && !is_reserved (target, r, now_ms)
+         && !is_reserved_by_other (target, r, now_ms)
          && !aln_is_refused (&target->alone, &r->alone, now_ms);
 }
 
 bool
-gtw_alone_is_anywhere (const gtw_request_t *r)
+gtw_alone_is_blocking_any (const gtw_request_t *r)
 {
   const gtw_gateway_t *gateway = r->gateway;
   uint32_t at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
-    if (t->is_listed && strcmp (t->told.service, r->service) == 0
-        && !gtw_alone_may_use (r, t))
+    if (t->is_listed && strcmp (t->list_entry.service, r->service) == 0
+        && !gtw_alone_can_use (r, t))
       return true;
   return false;
 }
@@ -49,7 +49,7 @@
   if (!aln_may_start (&target->alone, &r->alone, now_ms))
     {
       target->reserved_by = r->number;
-      target->reserved_until_ms = now_ms + RESERVED_MS;
+      target->reserved_until_ms = now_ms + RESERVATION_MS;
       return false;
     }
   target->reserved_until_ms = 0;
@@ -58,14 +58,14 @@
 }
 
 bool
-gtw_alone_has_waited (const gtw_request_t *r)
+gtw_alone_has_timed_out (const gtw_request_t *r)
 {
   return aln_is_refused (&r->target->alone, &r->alone,
                          gtw_now_ms (r->gateway));
 }
 
 void
-gtw_alone_end (gtw_request_t *r)
+gtw_alone_leave (gtw_request_t *r)
 {
   gtw_target_t *target = r->target;
   if (r->is_engine || target == NULL)
@@ -73,7 +73,7 @@
   if (target->reserved_by == r->number)
     target->reserved_until_ms = 0;
   // Others have their turn as soon as it is answered.
-  if (r->is_whole && r->alone.is_alone)
+  if (r->is_complete && r->alone.is_alone)
     aln_begun (&target->alone, &r->alone, gtw_now_ms (r->gateway));
   aln_ended (&target->alone, &r->alone);
   r->alone.waited_ms = 0;
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -20,33 +20,34 @@
   HTTP_GATEWAY_TIMEOUT = 504,
   CONNECT_TIMEOUT_MS = 400,
   /// A request that may not run twice goes out on a connection that was in
-  /// use this recently: a reset of an old one would leave its fate unknown.
-  FRESH_IDLE_MS = 1000,
+  /// use this recently: a reset of an old one would leave its execution_state
+  /// unknown.
+  MAX_IDLE_NON_IDEMPOTENT_MS = 1000,
   /// Answers up to this size are passed on whole, so that a broken one can
   /// still be asked for again.
-  HOLD_BYTES = 65536,
+  MAX_BUFFERED_BYTES = 65536,
   /// A caller that reads slower than the target writes.
-  PAUSE_BYTES = 262144,
+  MAX_UNSENT_BYTES = 262144,
   /// A target of safe requests that is silent for this many objectives is
   /// asked no longer; its own slowest tenth answers well within two.
-  SILENT_OBJECTIVES = 3,
+  SILENCE_OBJECTIVES = 3,
   /// Longest silence between two events of a stream that may be resumed, where
   /// nothing says that its engine lives.
-  STREAM_SILENCE_MS = 1200,
+  MAX_STREAM_SILENCE_MS = 1200,
   /// A live engine's stream is waited for until only this much is left for a
   /// place elsewhere and the event from there. Engines under pressure pause
   /// streams for seconds, and a stream that is cut then finds the next engine
   /// as crowded: on two days past saturation such streams were lost.
-  RESUME_MS = 500,
+  RESUME_RESERVE_MS = 500,
   /// Silence before the first event of such a stream.
-  FIRST_SILENCE_MS = 2000,
+  FIRST_EVENT_SILENCE_MS = 2000,
   MAX_ENGINE_PRIORITY = 9,
   /// Pauses of a stream from here on are logged.
-  LOGGED_GAP_MS = 300,
+  MIN_LOGGED_GAP_MS = 300,
 };
 
-static void answer_broken (gtw_request_t *r, bool was_sent,
-                           const char *reason);
+static void attempt_handle_broken (gtw_request_t *r, bool was_sent,
+                                   const char *reason);
 
 static bool
 is_idempotent (const gtw_request_t *r)
@@ -57,9 +58,9 @@
 
 /// The request will not be tried again.
 static void
-answer_give_up (gtw_request_t *r, const char *reason)
+request_give_up (gtw_request_t *r, const char *reason)
 {
-  if (r->fate == GTW_NOT_RUN && !r->is_head_written)
+  if (r->execution_state == GTW_EXECUTION_NOT_RUN && !r->is_head_written)
     gtw_request_refuse (r, reason, r->retry_after_ms);
   else
     gtw_request_fail (r, HTTP_BAD_GATEWAY, reason);
@@ -67,37 +68,41 @@
 
 /// Try elsewhere if the request may, and the budget allows one more arrival.
 static void
-answer_retry (gtw_request_t *r, const char *reason)
+attempt_retry (gtw_request_t *r, const char *reason)
 {
-  gtw_request_exclude (r);
-  gtw_request_leave_target (r);
-  kb_buf_clear (&r->held);
+  gtw_request_exclude_target (r);
+  gtw_request_release_target (r);
+  kb_buf_clear (&r->pending_answer);
   r->reason = reason;
   if (!r->is_head_written)
     kb_buf_clear (&r->head);
-  bool may_run = r->fate == GTW_NOT_RUN || is_idempotent (r);
-  if (!may_run || r->runs >= r->max_attempts + (r->fate == GTW_NOT_RUN))
+  bool may_run
+      = r->execution_state == GTW_EXECUTION_NOT_RUN || is_idempotent (r);
+  if (!may_run
+      || r->possible_runs
+             >= r->max_attempts
+                    + (r->execution_state == GTW_EXECUTION_NOT_RUN))
     {
-      answer_give_up (r, reason);
+      request_give_up (r, reason);
       return;
     }
-  gtw_request_next (r);
+  gtw_request_dispatch (r);
 }
 
 /// No whole answer came.
 static void
-answer_broken (gtw_request_t *r, bool was_sent, const char *reason)
+attempt_handle_broken (gtw_request_t *r, bool was_sent, const char *reason)
 {
   gtw_log_attempt (r, "attempt_broken", reason);
-  gtw_target_note (r->gateway, r->target, false);
+  gtw_target_record_result (r->gateway, r->target, false);
   if (was_sent)
-    r->fate = GTW_MAY_HAVE_RUN;
+    r->execution_state = GTW_EXECUTION_UNKNOWN;
   else
-    r->runs--;
-  answer_retry (r, reason);
+    r->possible_runs--;
+  attempt_retry (r, reason);
 }
 
-static void answer_silent (void *arg);
+static void attempt_on_silence (void *arg);
 
 /// Wait on for the next event of a stream, as long as its engine is known to
 /// live and its caller's patience leaves time to resume it elsewhere.
@@ -108,51 +113,51 @@
   if (!r->has_event || !gtw_target_is_alive (r->gateway, r->target))
     return false;
   uint64_t now_ms = gtw_now_ms (r->gateway);
-  uint64_t end_ms = gtw_request_patience_end_ms (r, r->passed_ms);
-  uint64_t left_ms = gtw_left_ms (end_ms, now_ms);
-  if (left_ms <= RESUME_MS)
+  uint64_t end_ms = gtw_request_caller_timeout_ms (r, r->relayed_ms);
+  uint64_t left_ms = gtw_remaining_ms (end_ms, now_ms);
+  if (left_ms <= RESUME_RESERVE_MS)
     return false;
-  tmr_after (&r->gateway->host.timers, &r->silence, left_ms - RESUME_MS,
-             answer_silent, r);
+  tmr_after (&r->gateway->host.timers, &r->silence_timer,
+             left_ms - RESUME_RESERVE_MS, attempt_on_silence, r);
   return true;
 }
 
 static void
-answer_silent (void *arg)
+attempt_on_silence (void *arg)
 {
   gtw_request_t *r = arg;
   if (wait_for_live_engine (r))
     return;
   MET_INC ("knapweedbay_silent_targets_total", "");
   gtw_quarantine_note_break (r);
-  answer_broken (r, true, "silent_target");
+  attempt_handle_broken (r, true, "silent_target");
 }
 
 /// Arm the limit on a target's silence; only a request that may be sent again
 /// has one, all others wait for their timeout.
 static void
-arm_silence (gtw_request_t *r)
+arm_silence_timer (gtw_request_t *r)
 {
-  if (!is_idempotent (r) || r->runs >= r->max_attempts)
+  if (!is_idempotent (r) || r->possible_runs >= r->max_attempts)
     return;
-  uint64_t limit_ms = STREAM_SILENCE_MS;
+  uint64_t limit_ms = MAX_STREAM_SILENCE_MS;
   if (r->kind == SVC_KIND_SAFE)
-    limit_ms = SILENT_OBJECTIVES * (r->objective_ms - r->arrived_ms);
+    limit_ms = SILENCE_OBJECTIVES * (r->objective_ms - r->arrived_ms);
   else if (!r->has_event)
-    limit_ms = FIRST_SILENCE_MS;
-  tmr_after (&r->gateway->host.timers, &r->silence, limit_ms, answer_silent,
-             r);
+    limit_ms = FIRST_EVENT_SILENCE_MS;
+  tmr_after (&r->gateway->host.timers, &r->silence_timer, limit_ms,
+             attempt_on_silence, r);
 }
 
 /// Pass bytes of the body on.
 static void
-pass (gtw_request_t *r, kb_slice_t bytes)
+relay_bytes (gtw_request_t *r, kb_slice_t bytes)
 {
   gtw_client_t *client = r->client;
   if (!r->is_head_written)
     {
       r->is_head_written = true;
-      r->stage = GTW_PASSING;
+      r->stage = GTW_STAGE_RELAYING;
       // Head and first bytes in one packet.
       if (r->is_chunked && bytes.len_bytes > 0)
         kb_buf_printf (&r->head, "%x\r\n", bytes.len_bytes);
@@ -167,36 +172,36 @@
     h1_conn_write_chunk (&client->conn, bytes);
   else
     h1_conn_write (&client->conn, bytes.ptr, bytes.len_bytes);
-  if (client->conn.unsent_bytes > PAUSE_BYTES)
+  if (client->conn.unsent_bytes > MAX_UNSENT_BYTES)
     xch_pause (&r->exchange);
 }
 
 /// Remember a pause between events, and log one that a caller notices.
 static void
-note_gap (gtw_request_t *r, uint64_t gap_ms)
+record_gap (gtw_request_t *r, uint64_t gap_ms)
 {
   r->longest_gap_ms = gap_ms;
   log_event_t line;
-  if (gap_ms < LOGGED_GAP_MS
+  if (gap_ms < MIN_LOGGED_GAP_MS
       || !log_begin (&line, LOG_INFO, "gateway", "stream_paused"))
     return;
   log_text (&line, "id", r->attempt_id);
-  log_text (&line, "target", r->target->told.who.id);
+  log_text (&line, "target", r->target->list_entry.identity.id);
   log_int (&line, "gap_ms", (int64_t)gap_ms);
   log_int (&line, "backlog_ms", (int64_t)r->target->backlog_ms);
   log_int (&line, "granted", r->target->granted);
-  log_int (&line, "sends", r->sends);
+  log_int (&line, "sends", r->send_count);
   log_end (&line);
 }
 
 /// Note that events are passed on now.
 static void
-note_passed (gtw_request_t *r, uint32_t events)
+record_relayed_events (gtw_request_t *r, uint32_t events)
 {
   uint64_t now_ms = gtw_now_ms (r->gateway);
   if (!r->is_begun)
     {
-      gtw_place_begun (r);
+      gtw_place_report_begun (r);
       r->begun_ms = now_ms;
     }
   r->is_begun = true;
@@ -205,45 +210,46 @@
   else
     {
       r->gap_count += events;
-      if (now_ms - r->passed_ms > r->longest_gap_ms)
-        note_gap (r, now_ms - r->passed_ms);
+      if (now_ms - r->relayed_ms > r->longest_gap_ms)
+        record_gap (r, now_ms - r->relayed_ms);
     }
-  r->passed_ms = now_ms;
+  r->relayed_ms = now_ms;
 }
 
 /// @return  Whether an event was passed on before, by the target that this one
 ///          resumes from; else it is the last one now.
 static bool
-was_passed (gtw_request_t *r, kb_slice_t event)
+check_duplicate_event (gtw_request_t *r, kb_slice_t event)
 {
   uint64_t id;
   if (!sse_event_id (event, &id))
     return false;
-  if (r->has_event && id <= r->last_event)
+  if (r->has_event && id <= r->last_event_id)
     return true;
   r->has_event = true;
-  r->last_event = id;
+  r->last_event_id = id;
   return false;
 }
 
 /// Pass on all whole events. A target may stop within one, and the rest of
 /// the stream then comes from another target, which begins with a whole one.
 static void
-pass_events (gtw_request_t *r)
+relay_events (gtw_request_t *r)
 {
   uint32_t at = 0;
   uint32_t from = 0;
   uint32_t events = 0;
-  kb_slice_t held = kb_buf_slice (&r->held);
+  kb_slice_t pending = kb_buf_slice (&r->pending_answer);
   for (;;)
     {
-      kb_slice_t rest = { held.ptr + at, held.len_bytes - at };
+      kb_slice_t rest = { pending.ptr + at, pending.len_bytes - at };
       uint32_t len_bytes = sse_event_length (rest);
       if (len_bytes == 0)
         break;
-      bool is_new = !was_passed (r, (kb_slice_t){ rest.ptr, len_bytes });
+      bool is_new
+          = !check_duplicate_event (r, (kb_slice_t){ rest.ptr, len_bytes });
       if (!is_new && at > from)
-        pass (r, (kb_slice_t){ held.ptr + from, at - from });
+        relay_bytes (r, (kb_slice_t){ pending.ptr + from, at - from });
       at += len_bytes;
       events += is_new;
       if (!is_new)
@@ -251,15 +257,15 @@
     }
   if (at > from)
     {
-      note_passed (r, events);
-      pass (r, (kb_slice_t){ held.ptr + from, at - from });
-      arm_silence (r);
+      record_relayed_events (r, events);
+      relay_bytes (r, (kb_slice_t){ pending.ptr + from, at - from });
+      arm_silence_timer (r);
     }
-  kb_buf_consume (&r->held, at);
+  kb_buf_consume (&r->pending_answer, at);
 }
 
 static bool
-is_promise_status (int http_status)
+is_not_run_status (int http_status)
 {
   return http_status == 408 || http_status == HTTP_MISDIRECTED
          || http_status == 429 || http_status == HTTP_UNAVAILABLE;
@@ -267,7 +273,7 @@
 
 /// A target said that it did not run the request.
 static void
-answer_not_run (gtw_request_t *r, const rly_answer_t *answer)
+attempt_handle_not_run (gtw_request_t *r, const rly_answer_t *answer)
 {
   gtw_log_attempt (r, "attempt_not_run", "target_refused");
   // Another incarnation answers at its address; an engine says so for an
@@ -275,24 +281,24 @@
   if (!r->is_engine && r->http_status == HTTP_MISDIRECTED)
     gtw_quarantine_target_ended (r->gateway, r->target, "misdirected");
   MET_INC ("knapweedbay_attempts_not_run_total", "");
-  r->runs--;
+  r->possible_runs--;
   if (answer->retry_after_ms > r->retry_after_ms)
     r->retry_after_ms = answer->retry_after_ms;
-  gtw_target_note (r->gateway, r->target, true);
-  bool asks_for_pause
+  gtw_target_record_result (r->gateway, r->target, true);
+  bool requests_pause
       = r->http_status == HTTP_UNAVAILABLE && answer->retry_after_ms > 0;
-  if (asks_for_pause && !gtw_backpressure_may_go_on (r))
+  if (requests_pause && !gtw_backpressure_may_go_on (r))
     {
-      gtw_request_leave_target (r);
-      answer_give_up (r, "target_paused");
+      gtw_request_release_target (r);
+      request_give_up (r, "target_paused");
       return;
     }
-  answer_retry (r, "target_refused");
+  attempt_retry (r, "target_refused");
 }
 
 /// Whether an answer is a target's own and whole as far as its head tells.
 static bool
-is_sound (const gtw_request_t *r, const rly_answer_t *answer)
+is_valid_answer (const gtw_request_t *r, const rly_answer_t *answer)
 {
   if (answer->is_encoded)
     return false;
@@ -300,18 +306,19 @@
 }
 
 static void
-write_head (gtw_request_t *r, const h1_conn_t *conn)
+build_head (gtw_request_t *r, const h1_conn_t *conn)
 {
   const h1_conn_t *caller = &r->client->conn;
   bool has_body = caller->parser.method != HTTP_HEAD && r->http_status != 204
                   && r->http_status != 304;
-  bool is_modern = caller->parser.http_minor >= 1;
+  bool is_http_1_1 = caller->parser.http_minor >= 1;
   bool has_length = h1_head_count (&conn->head, "content-length") > 0
                     && !r->is_stream_answer;
-  if (!is_modern && !has_length)
+  if (!is_http_1_1 && !has_length)
     r->client->is_last = true;
-  rly_framing_t framing = { .is_chunked = has_body && is_modern && !has_length,
-                            .is_last = gtw_client_is_last (r->client) };
+  rly_framing_t framing
+      = { .is_chunked = has_body && is_http_1_1 && !has_length,
+          .is_last = gtw_client_is_last_answer (r->client) };
   r->is_chunked = framing.is_chunked;
   kb_buf_clear (&r->head);
   r->gateway->dialect->write_answer (conn, &framing, &r->head);
@@ -336,37 +343,38 @@
   gtw_backpressure_note (r, &answer);
   if (answer.is_not_run && r->http_status >= 400)
     {
-      answer_not_run (r, &answer);
+      attempt_handle_not_run (r, &answer);
       return;
     }
-  if (!is_sound (r, &answer) || is_promise_status (r->http_status))
+  if (!is_valid_answer (r, &answer) || is_not_run_status (r->http_status))
     {
-      answer_broken (r, true, "unsound_answer");
+      attempt_handle_broken (r, true, "unsound_answer");
       return;
     }
   bool is_good = r->http_status >= HTTP_OK && r->http_status < HTTP_REDIRECT;
   if (r->is_head_written && !is_good)
     {
-      answer_broken (r, true, "resume_failed");
+      attempt_handle_broken (r, true, "resume_failed");
       return;
     }
   if (r->is_head_written)
     return;
   r->is_stream_answer = r->kind == SVC_KIND_STREAM && is_good;
-  write_head (r, conn);
+  build_head (r, conn);
 }
 
 static void
 answer_on_body (xch_t *x, kb_slice_t bytes)
 {
   gtw_request_t *r = x->owner;
-  kb_buf_append (&r->held, bytes.ptr, bytes.len_bytes);
+  kb_buf_append (&r->pending_answer, bytes.ptr, bytes.len_bytes);
   if (r->is_stream_answer)
-    pass_events (r);
-  else if (r->is_head_written || r->held.len_bytes > HOLD_BYTES)
+    relay_events (r);
+  else if (r->is_head_written
+           || r->pending_answer.len_bytes > MAX_BUFFERED_BYTES)
     {
-      pass (r, kb_buf_slice (&r->held));
-      kb_buf_clear (&r->held);
+      relay_bytes (r, kb_buf_slice (&r->pending_answer));
+      kb_buf_clear (&r->pending_answer);
     }
 }
 
@@ -376,17 +384,18 @@
 {
   static const char last_chunk[] = "0\r\n\r\n";
   gtw_client_t *client = r->client;
-  pass (r, kb_buf_slice (&r->held));
+  relay_bytes (r, kb_buf_slice (&r->pending_answer));
   if (r->is_chunked)
     h1_conn_write (&client->conn, last_chunk, sizeof last_chunk - 1);
-  gtw_target_note (r->gateway, r->target, r->http_status < HTTP_SERVER_ERROR);
+  gtw_target_record_result (r->gateway, r->target,
+                            r->http_status < HTTP_SERVER_ERROR);
   if (r->http_status < HTTP_SERVER_ERROR)
     gtw_quarantine_note_served (r);
   MET_INC ("knapweedbay_requests_total", "outcome=\"answered\"");
-  gtw_request_log (r, "answered", r->http_status);
-  r->is_whole = true;
+  gtw_log_request_end (r, "answered", r->http_status);
+  r->is_complete = true;
   gtw_request_end (r);
-  gtw_client_answered (client, true);
+  gtw_client_finish_answer (client, true);
 }
 
 static void
@@ -394,26 +403,26 @@
 {
   gtw_request_t *r = x->owner;
   bool is_error = r->http_status >= HTTP_SERVER_ERROR;
-  bool may_repeat
-      = is_idempotent (r) && r->runs < r->max_attempts && !r->is_head_written;
+  bool may_repeat = is_idempotent (r) && r->possible_runs < r->max_attempts
+                    && !r->is_head_written;
   if (is_error && may_repeat)
     {
       // A target's own failure counts as run; an idempotent one may run again.
-      r->fate = GTW_MAY_HAVE_RUN;
+      r->execution_state = GTW_EXECUTION_UNKNOWN;
       gtw_log_attempt (r, "attempt_failed", "target_error");
-      gtw_target_note (r->gateway, r->target, false);
-      gtw_request_exclude (r);
-      gtw_request_leave_target (r);
-      kb_buf_clear (&r->held);
+      gtw_target_record_result (r->gateway, r->target, false);
+      gtw_request_exclude_target (r);
+      gtw_request_release_target (r);
+      kb_buf_clear (&r->pending_answer);
       kb_buf_clear (&r->head);
       r->reason = "target_error";
-      gtw_request_next (r);
+      gtw_request_dispatch (r);
       return;
     }
-  if (r->is_stream_answer && r->held.len_bytes > 0)
+  if (r->is_stream_answer && r->pending_answer.len_bytes > 0)
     {
       // It ended within an event: not the whole stream.
-      answer_broken (r, true, "cut_event");
+      attempt_handle_broken (r, true, "cut_event");
       return;
     }
   answer_finish (r);
@@ -425,7 +434,7 @@
   static const char *const names[] = { "not_sent", "reset", "malformed" };
   if (fail == XCH_RESET)
     gtw_quarantine_note_break (x->owner);
-  answer_broken (x->owner, fail != XCH_NOT_SENT, names[fail]);
+  attempt_handle_broken (x->owner, fail != XCH_NOT_SENT, names[fail]);
 }
 
 static const xch_events_t answer_events
@@ -435,43 +444,43 @@
 describe_forward (const gtw_request_t *r, rly_forward_t *out)
 {
   uint64_t now_ms = gtw_now_ms (r->gateway);
-  uint64_t end_ms = gtw_request_end_ms (r);
+  uint64_t end_ms = gtw_request_expiry_ms (r);
   uint32_t priority = r->priority;
   if (priority > MAX_ENGINE_PRIORITY)
     priority = MAX_ENGINE_PRIORITY;
   *out = (rly_forward_t){
     .deadline_ms = end_ms > now_ms ? end_ms - now_ms : 1,
-    .instance = kb_slice_str (gtw_request_addressee (r)->id),
+    .instance = kb_slice_str (gtw_request_recipient (r)->id),
     .workspace = kb_slice_str (r->workspace),
     .adapter_version = r->granted_version,
     .priority = r->is_engine ? (int32_t)priority : -1,
     .is_resume = r->has_event,
-    .resume_after = r->last_event,
+    .resume_after = r->last_event_id,
     .body_bytes = r->body.len_bytes,
   };
 }
 
 void
-gtw_answer_send (gtw_request_t *r)
+gtw_attempt_send (gtw_request_t *r)
 {
   gtw_gateway_t *gateway = r->gateway;
   // It may have waited for its place while targets ended under another send.
   uint64_t hold_ms = 0;
   if (gtw_quarantine_judge (r, &hold_ms) == QRT_HELD)
     {
-      gtw_request_leave_target (r);
+      gtw_request_release_target (r);
       gtw_quarantine_refuse (r, hold_ms);
       return;
     }
-  if (r->sends > 0 && !gtw_budget_take (gateway, r->service))
+  if (r->send_count > 0 && !gtw_budget_take_retry (gateway, r->service))
     {
       MET_INC ("knapweedbay_retries_out_of_budget_total", "");
-      gtw_request_leave_target (r);
-      answer_give_up (r, "retry_budget");
+      gtw_request_release_target (r);
+      request_give_up (r, "retry_budget");
       return;
     }
-  if (r->sends == 0)
-    gtw_budget_note_first (gateway, r->service);
+  if (r->send_count == 0)
+    gtw_budget_record_first (gateway, r->service);
   rly_forward_t forward;
   describe_forward (r, &forward);
   kb_buf_t head = { 0 };
@@ -479,23 +488,24 @@
   xch_request_t request
       = { .head = kb_buf_slice (&head),
           .body = kb_buf_slice (&r->body),
-          .max_idle_ms = is_idempotent (r) ? XCH_ANY_IDLE : FRESH_IDLE_MS,
+          .max_idle_ms
+          = is_idempotent (r) ? XCH_ANY_IDLE : MAX_IDLE_NON_IDEMPOTENT_MS,
           .connect_timeout_ms = CONNECT_TIMEOUT_MS,
           .expects_no_body = r->client->conn.parser.method == HTTP_HEAD };
-  r->stage = r->is_head_written ? GTW_PASSING : GTW_SENT;
-  r->sends++;
+  r->stage = r->is_head_written ? GTW_STAGE_RELAYING : GTW_STAGE_SENT;
+  r->send_count++;
   r->is_permit_used = true;
   r->sent_ms = gtw_now_ms (gateway);
   r->sent_boot_ms = tmr_boot_ms ();
-  r->runs++;
+  r->possible_runs++;
   r->is_begun = false;
   xch_start (&r->exchange, &r->target->peer, &answer_events, r, &request);
   kb_buf_finish (&head);
-  arm_silence (r);
+  arm_silence_timer (r);
 }
 
 void
-gtw_answer_cut (gtw_request_t *r, const char *reason)
+gtw_attempt_abort (gtw_request_t *r, const char *reason)
 {
-  answer_broken (r, true, reason);
+  attempt_handle_broken (r, true, reason);
 }
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -12,12 +12,12 @@
 };
 
 static void
-log_limit (const gtw_request_t *r, const gtw_stated_t *stated)
+log_limit (const gtw_request_t *r, const gtw_advertised_t *stated)
 {
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_limit"))
     return;
-  log_text (&line, "target", stated->who.id);
+  log_text (&line, "target", stated->identity.id);
   log_int (&line, "is_limited", stated->limit.is_limited);
   log_int (&line, "per_1000_s", (int64_t)(stated->limit.per_s * 1000));
   log_text (&line, "id", r->attempt_id);
@@ -32,7 +32,7 @@
   if (!log_begin (&line, LOG_WARN, "gateway", "answer_field_ignored"))
     return;
   log_text (&line, "id", r->attempt_id);
-  log_text (&line, "target", gtw_request_addressee (r)->id);
+  log_text (&line, "target", gtw_request_recipient (r)->id);
   log_text (&line, "field", field);
   log_end (&line);
 }
@@ -58,25 +58,26 @@
 }
 
 /// @return  What the addressee of a request has said so far.
-static gtw_stated_t *
+static gtw_advertised_t *
 stated_by_addressee (const gtw_request_t *r)
 {
-  gtw_stated_t *stated = &target_in_use (r)->stated;
-  const inc_t *who = gtw_request_addressee (r);
-  if (!is_same_life (&stated->who, who))
-    *stated = (gtw_stated_t){ .who = *who };
+  gtw_advertised_t *stated = &target_in_use (r)->advertised;
+  const inc_t *who = gtw_request_recipient (r);
+  if (!is_same_life (&stated->identity, who))
+    *stated = (gtw_advertised_t){ .identity = *who };
   return stated;
 }
 
 void
 gtw_backpressure_take_over (gtw_target_t *target, const gtw_target_t *from)
 {
-  if (is_same_life (&from->stated.who, &target->told.who))
-    target->stated = from->stated;
+  if (is_same_life (&from->advertised.identity, &target->list_entry.identity))
+    target->advertised = from->advertised;
 }
 
 static void
-note_limit (gtw_request_t *r, gtw_stated_t *stated, const rly_answer_t *answer)
+note_limit (gtw_request_t *r, gtw_advertised_t *stated,
+            const rly_answer_t *answer)
 {
   double per_s = answer->states_limit ? answer->limit_per_s : -1;
   if (answer->is_limit_malformed
@@ -85,12 +86,12 @@
     return;
   log_limit (r, stated);
   // Its sidecar is to know with the next tick.
-  target_in_use (r)->told_ms = 0;
+  target_in_use (r)->state_sent_ms = 0;
 }
 
 /// It holds for the incarnation; the list may tell it much later.
 static void
-note_leaving (const gtw_request_t *r, gtw_stated_t *stated)
+note_leaving (const gtw_request_t *r, gtw_advertised_t *stated)
 {
   if (stated->is_leaving)
     return;
@@ -98,8 +99,8 @@
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_states_leaving"))
     return;
-  log_text (&line, "target", stated->who.id);
-  log_int (&line, "is_listed_leaving", r->target->told.is_leaving);
+  log_text (&line, "target", stated->identity.id);
+  log_int (&line, "is_listed_leaving", r->target->list_entry.is_leaving);
   log_text (&line, "id", r->attempt_id);
   log_end (&line);
 }
@@ -107,7 +108,8 @@
 /// It turned a request away, and wants none for a while. Each such answer
 /// holds: a shorter pause does not end a longer one.
 static void
-note_pause (const gtw_request_t *r, gtw_stated_t *stated, uint64_t pause_ms)
+note_pause (const gtw_request_t *r, gtw_advertised_t *stated,
+            uint64_t pause_ms)
 {
   uint64_t until_ms = tmr_boot_ms () + pause_ms;
   if (until_ms <= stated->paused_until_ms)
@@ -117,7 +119,7 @@
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_paused"))
     return;
-  log_text (&line, "target", stated->who.id);
+  log_text (&line, "target", stated->identity.id);
   log_int (&line, "pause_ms", (int64_t)pause_ms);
   log_text (&line, "id", r->attempt_id);
   log_end (&line);
@@ -136,7 +138,7 @@
     return;
   if (answer->malformed != NULL)
     log_malformed (r, answer->malformed);
-  gtw_stated_t *stated = stated_by_addressee (r);
+  gtw_advertised_t *stated = stated_by_addressee (r);
   note_limit (r, stated, answer);
   if (answer->is_leaving)
     note_leaving (r, stated);
@@ -151,8 +153,8 @@
   {
     SEED = 1, ///< Keys of workspaces have another one.
   };
-  uint64_t parts[2] = { 0, target->belief.born_ms };
-  const char *id = target->told.who.id;
+  uint64_t parts[2] = { 0, target->known_birth.born_ms };
+  const char *id = target->list_entry.identity.id;
   parts[0] = kb_hash (id, strlen (id), SEED);
   return kb_hash (parts, sizeof parts, SEED) | 1;
 }
@@ -163,18 +165,18 @@
   const gtw_target_t *target = r->target;
   gtw_subject_t subject
       = { .key = subject_key (target),
-          .name = target->told.who.id,
+          .name = target->list_entry.identity.id,
           .is_target = true,
           .limit
-          = { .rate_per_s = bkp_limit_rate_per_s (&target->stated.limit) },
-          .revision = target->stated.limit.at_ms };
+          = { .rate_per_s = bkp_limit_rate_per_s (&target->advertised.limit) },
+          .revision = target->advertised.limit.at_ms };
   gtw_quota_use (r, &r->permit, &subject, 1);
 }
 
 qsp_verdict_t
 gtw_backpressure_take (gtw_request_t *r)
 {
-  if (r->permit.quota == NULL && !r->target->stated.limit.is_limited)
+  if (r->permit.quota == NULL && !r->target->advertised.limit.is_limited)
     return QSP_SPENT;
   if (r->permit.quota == NULL)
     use_quota (r);
@@ -193,7 +195,7 @@
 gtw_backpressure_wait_ms (const gtw_gateway_t *gateway,
                           const gtw_target_t *target)
 {
-  return target->stated.limit.is_limited
+  return target->advertised.limit.is_limited
              ? gtw_quota_subject_wait_ms (gateway, subject_key (target))
              : 0;
 }
@@ -201,7 +203,7 @@
 bool
 gtw_backpressure_may_go_on (gtw_request_t *r)
 {
-  return ++r->pauses < PAUSES_MOST;
+  return ++r->pauses_requested < PAUSES_MOST;
 }
 
 /// Whether a target would be used if it asked for no pause.
@@ -209,7 +211,7 @@
 is_there (const gtw_request_t *r, const gtw_target_t *target)
 {
   if (!target->is_listed || gtw_target_is_leaving (target)
-      || strcmp (target->told.service, r->service) != 0)
+      || strcmp (target->list_entry.service, r->service) != 0)
     return false;
   return !r->is_engine || target->condition == MSG_ENGINE_READY;
 }
--- a/src/gateway/gateway_births.c
+++ b/src/gateway/gateway_births.c
@@ -20,8 +20,8 @@
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "birth_stale"))
     return;
-  log_text (&line, "target", target->told.who.id);
-  log_int (&line, "born", (int64_t)target->belief.born_ms);
+  log_text (&line, "target", target->list_entry.identity.id);
+  log_int (&line, "born", (int64_t)target->known_birth.born_ms);
   log_int (&line, "told", (int64_t)born_ms);
   log_text (&line, "from", from);
   log_end (&line);
@@ -31,7 +31,7 @@
 static uint64_t
 quiet_ms (const gtw_request_t *r)
 {
-  uint64_t heard_ms = r->passed_ms > r->sent_ms ? r->passed_ms : r->sent_ms;
+  uint64_t heard_ms = r->relayed_ms > r->sent_ms ? r->relayed_ms : r->sent_ms;
   return gtw_now_ms (r->gateway) - heard_ms;
 }
 
@@ -50,10 +50,11 @@
   for (gtw_request_t *r = gateway->requests; r != NULL; r = next)
     {
       next = r->next;
-      bool is_there = r->target == target
-                      && (r->stage == GTW_SENT || r->stage == GTW_PASSING);
+      bool is_there
+          = r->target == target
+            && (r->stage == GTW_STAGE_SENT || r->stage == GTW_STAGE_RELAYING);
       if (is_there && quiet_ms (r) > age_ms)
-        gtw_answer_cut (r, "target_ended");
+        gtw_attempt_abort (r, "target_ended");
     }
 }
 
@@ -66,6 +67,6 @@
   xch_peer_finish (&target->peer);
   gtw_target_t *next = gtw_target_add (gateway, told);
   gtw_target_link (gateway, next);
-  end_requests (gateway, target, told->who.born_ms);
+  end_requests (gateway, target, told->identity.born_ms);
   return next;
 }
--- a/src/gateway/gateway_client.c
+++ b/src/gateway/gateway_client.c
@@ -9,13 +9,13 @@
 
 enum
 {
-  BACKLOG = 511,
+  LISTEN_BACKLOG = 511,
   HTTP_BAD_REQUEST = 400,
   HTTP_TIMEOUT = 408,
   HTTP_TOO_LARGE = 413,
   HTTP_HEADER_TOO_LARGE = 431,
   /// Before a configuration is known.
-  DEFAULT_HEADER_BYTES = 16384,
+  DEFAULT_MAX_HEADER_BYTES = 16384,
 };
 
 static void
@@ -47,25 +47,25 @@
                          const char *reason)
 {
   client->is_last = true;
-  client->head_ms = gtw_now_ms (client->gateway);
+  client->last_progress_ms = gtw_now_ms (client->gateway);
   client_write_refusal (client, http_status, reason, 0);
   h1_conn_drain (&client->conn);
 }
 
 bool
-gtw_client_is_last (gtw_client_t *client)
+gtw_client_is_last_answer (gtw_client_t *client)
 {
   // A caller must not send its next request to a process that stops.
-  if (client->gateway->stop_ms > 0)
+  if (client->gateway->stop_began_ms > 0)
     client->is_last = true;
   return client->is_last;
 }
 
 void
-gtw_client_answered (gtw_client_t *client, bool is_whole)
+gtw_client_finish_answer (gtw_client_t *client, bool is_whole)
 {
   client->request = NULL;
-  client->head_ms = gtw_now_ms (client->gateway);
+  client->last_progress_ms = gtw_now_ms (client->gateway);
   if (!is_whole)
     h1_conn_close (&client->conn, true);
   else if (client->is_last)
@@ -78,12 +78,12 @@
 client_on_head (h1_conn_t *conn)
 {
   gtw_client_t *client = (gtw_client_t *)conn;
-  static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
+  static const char continue_response[] = "HTTP/1.1 100 Continue\r\n\r\n";
   client->refusal.http_status = 0;
   client->refusal_id[0] = '\0';
-  client->head_ms = gtw_now_ms (client->gateway);
+  client->last_progress_ms = gtw_now_ms (client->gateway);
   client->is_last = !http_should_keep_alive (&conn->parser);
-  client->request = gtw_request_begin (client);
+  client->request = gtw_request_create (client);
   const gtw_refusal_t *refusal = &client->refusal;
   if (refusal->http_status == HTTP_TOO_LARGE
       || refusal->http_status == HTTP_BAD_REQUEST)
@@ -93,7 +93,7 @@
     }
   if (client->request != NULL
       && h1_has_token (h1_head_get (&conn->head, "expect"), "100-continue"))
-    h1_conn_write (conn, go_on, sizeof go_on - 1);
+    h1_conn_write (conn, continue_response, sizeof continue_response - 1);
 }
 
 static void
@@ -103,7 +103,7 @@
   gtw_request_t *r = client->request;
   if (r == NULL || conn->is_draining)
     return;
-  client->head_ms = gtw_now_ms (client->gateway);
+  client->last_progress_ms = gtw_now_ms (client->gateway);
   kb_buf_append (&r->body, bytes.ptr, bytes.len_bytes);
   if (r->body.len_bytes <= gtw_max_body_bytes (client->gateway))
     return;
@@ -124,11 +124,11 @@
       return;
     }
   bool may_come_back = client->refusal.http_status == 503;
-  gtw_client_is_last (client);
+  gtw_client_is_last_answer (client);
   client_write_refusal (client, client->refusal.http_status,
                         client->refusal.reason,
-                        may_come_back ? GTW_STOP_RETRY_MS : 0);
-  gtw_client_answered (client, true);
+                        may_come_back ? GTW_STOP_RETRY_AFTER_MS : 0);
+  gtw_client_finish_answer (client, true);
 }
 
 static void
@@ -186,7 +186,7 @@
 
 /// Noted at once: a connection that was reset does not tell it any more.
 static void
-client_name_caller (gtw_client_t *client)
+client_set_caller_address (gtw_client_t *client)
 {
   struct sockaddr_in address;
   int len_bytes = sizeof address;
@@ -209,18 +209,18 @@
     }
   gtw_client_t *client = kb_alloc (sizeof *client);
   uint32_t max_header_bytes = gateway->config == NULL
-                                  ? DEFAULT_HEADER_BYTES
+                                  ? DEFAULT_MAX_HEADER_BYTES
                                   : gateway->config->limits.max_header_bytes;
   kb_status_t accepted
       = h1_conn_accept (&client->conn, &gateway->host.loop, listener,
                         &client_events, client, max_header_bytes);
   client->gateway = gateway;
   client->request = NULL;
-  client_name_caller (client);
+  client_set_caller_address (client);
   client->refusal.http_status = 0;
   client->refusal_id[0] = '\0';
   client->is_last = false;
-  client->head_ms = gtw_now_ms (gateway);
+  client->last_progress_ms = gtw_now_ms (gateway);
   client->prev = NULL;
   client->next = gateway->clients;
   if (client->next != NULL)
@@ -233,7 +233,7 @@
 
 /// When the caller's time for what it is doing ends; zero: no limit.
 static uint64_t
-client_limit_ms (const gtw_client_t *client)
+client_timeout_at_ms (const gtw_client_t *client)
 {
   enum
   {
@@ -242,20 +242,21 @@
   const svc_config_t *config = client->gateway->config;
   const h1_conn_t *conn = &client->conn;
   if (conn->is_draining)
-    return client->head_ms + DRAIN_MS;
+    return client->last_progress_ms + DRAIN_MS;
   if (config == NULL || conn->is_held)
     return 0;
   bool is_head_open = conn->is_in_message && client->request == NULL
                       && client->refusal.http_status == 0;
-  return is_head_open ? conn->began_ms + config->limits.header_timeout_ms
-                      : client->head_ms + config->limits.idle_timeout_ms;
+  return is_head_open
+             ? conn->began_ms + config->limits.header_timeout_ms
+             : client->last_progress_ms + config->limits.idle_timeout_ms;
 }
 
 static void
-client_check (gtw_client_t *client, uint64_t now_ms)
+client_check_timeout (gtw_client_t *client, uint64_t now_ms)
 {
-  uint64_t limit_ms = client_limit_ms (client);
-  if (client->conn.is_closing || limit_ms == 0 || now_ms < limit_ms)
+  uint64_t timeout_at_ms = client_timeout_at_ms (client);
+  if (client->conn.is_closing || timeout_at_ms == 0 || now_ms < timeout_at_ms)
     return;
   bool is_in_message = client->conn.is_in_message;
   if (!is_in_message || client->conn.is_draining)
@@ -273,14 +274,14 @@
 }
 
 void
-gtw_clients_check (gtw_gateway_t *gateway)
+gtw_clients_check_timeouts (gtw_gateway_t *gateway)
 {
   uint64_t now_ms = gtw_now_ms (gateway);
   gtw_client_t *next;
   for (gtw_client_t *client = gateway->clients; client != NULL; client = next)
     {
       next = client->next;
-      client_check (client, now_ms);
+      client_check_timeout (client, now_ms);
     }
 }
 
@@ -303,6 +304,6 @@
     return kb_error_set (error, KB_EINVAL,
                          "\"public_address\": \"%s\" is not \"ip:port\"",
                          s->public_address);
-  return h1_listen (&gateway->host.loop, &gateway->listener, &address, BACKLOG,
-                    gateway_on_connection, gateway, error);
+  return h1_listen (&gateway->host.loop, &gateway->listener, &address,
+                    LISTEN_BACKLOG, gateway_on_connection, gateway, error);
 }
--- a/src/gateway/gateway_keep.c
+++ b/src/gateway/gateway_keep.c
@@ -14,9 +14,9 @@
 {
   /// After a write that failed, doubled up to the longest: the store may be
   /// away for minutes, and what is to be kept waits in memory.
-  PAUSE_LEAST_MS = 500,
-  PAUSE_MOST_MS = 8000,
-  FORMAT = 1,
+  MIN_RETRY_PAUSE_MS = 500,
+  MAX_RETRY_PAUSE_MS = 8000,
+  RECORD_FORMAT = 1,
 };
 
 #define KEY_PREFIX "ends/"
@@ -24,127 +24,130 @@
 /// The value of a record.
 typedef struct
 {
-  uint64_t format;   ///< FORMAT.
+  uint64_t format;   ///< RECORD_FORMAT.
   uint64_t ended_ms; ///< Unix time of the last end.
   qrt_word_t word;
 } record_t;
 
-static void keep_next (gtw_keeps_t *keeps);
+static void write_next (gtw_record_writer_t *writer);
 
 static void
-keep_again (void *arg)
+on_retry_timer (void *arg)
 {
-  keep_next (arg);
+  write_next (arg);
 }
 
 void
-gtw_keeps_init (gtw_gateway_t *gateway)
+gtw_records_init (gtw_gateway_t *gateway)
 {
-  gateway->keeps.gateway = gateway;
+  gateway->record_writer.gateway = gateway;
 }
 
 static void
-keep_done (void *arg, bool is_kept)
+on_record_done (void *arg, bool is_stored)
 {
-  gtw_keeps_t *keeps = arg;
-  uint64_t request = keeps->writing;
-  keeps->writing = 0;
-  if (is_kept)
+  gtw_record_writer_t *writer = arg;
+  uint64_t fingerprint = writer->writing_fingerprint;
+  writer->writing_fingerprint = 0;
+  if (is_stored)
     {
-      keeps->pause_ms = 0;
-      keep_next (keeps);
+      writer->retry_pause_ms = 0;
+      write_next (writer);
       return;
     }
   MET_INC ("knapweedbay_records_failed_total", "");
-  keeps->pause_ms
-      = keeps->pause_ms == 0 ? PAUSE_LEAST_MS : 2 * keeps->pause_ms;
-  if (keeps->pause_ms > PAUSE_MOST_MS)
-    keeps->pause_ms = PAUSE_MOST_MS;
-  gtw_keep (keeps->gateway, request);
-  tmr_after (&keeps->gateway->host.timers, &keeps->timer, keeps->pause_ms,
-             keep_again, keeps);
+  writer->retry_pause_ms = writer->retry_pause_ms == 0
+                               ? MIN_RETRY_PAUSE_MS
+                               : 2 * writer->retry_pause_ms;
+  if (writer->retry_pause_ms > MAX_RETRY_PAUSE_MS)
+    writer->retry_pause_ms = MAX_RETRY_PAUSE_MS;
+  gtw_records_enqueue (writer->gateway, fingerprint);
+  tmr_after (&writer->gateway->host.timers, &writer->timer,
+             writer->retry_pause_ms, on_retry_timer, writer);
 }
 
-/// @return  False: nothing is known of the request any more.
+/// @return  False: nothing is known of the fingerprint any more.
 static bool
-make_record (const gtw_gateway_t *gateway, uint64_t request, record_t *out)
+make_record (const gtw_gateway_t *gateway, uint64_t fingerprint, record_t *out)
 {
   kb_buf_t packed = { 0 };
-  qrt_pack_one (&gateway->quarantine, request, gtw_now_ms (gateway), &packed);
+  qrt_pack_one (&gateway->quarantine, fingerprint, gtw_now_ms (gateway),
+                &packed);
   bool is_known = packed.len_bytes == sizeof out->word;
   if (is_known)
     {
       memcpy (&out->word, packed.ptr, sizeof out->word);
-      out->format = FORMAT;
+      out->format = RECORD_FORMAT;
       out->ended_ms = tmr_wall_ms () - out->word.age_ms;
     }
   kb_buf_finish (&packed);
   return is_known;
 }
 
-/// Write what is due longest; one at a time.
+/// Write what is queue longest; one at a time.
 static void
-keep_next (gtw_keeps_t *keeps)
+write_next (gtw_record_writer_t *writer)
 {
-  gtw_gateway_t *gateway = keeps->gateway;
+  gtw_gateway_t *gateway = writer->gateway;
   record_t value;
-  while (keeps->writing == 0 && keeps->due_count > 0)
+  while (writer->writing_fingerprint == 0 && writer->queue_count > 0)
     {
-      uint64_t request = keeps->due[0];
-      keeps->due_count--;
-      memmove (&keeps->due[0], &keeps->due[1],
-               keeps->due_count * sizeof keeps->due[0]);
-      if (!make_record (gateway, request, &value))
+      uint64_t fingerprint = writer->queue[0];
+      writer->queue_count--;
+      memmove (&writer->queue[0], &writer->queue[1],
+               writer->queue_count * sizeof writer->queue[0]);
+      if (!make_record (gateway, fingerprint, &value))
         continue;
       char digits[FPR_TEXT_BYTES];
-      fpr_text (request, digits);
+      fpr_text (fingerprint, digits);
       char key[sizeof KEY_PREFIX + FPR_TEXT_BYTES];
       snprintf (key, sizeof key, KEY_PREFIX "%s", digits);
       src_record_t record
           = { .key = kb_slice_str (key),
               .value = { (const char *)&value, sizeof value } };
-      keeps->writing = request;
+      writer->writing_fingerprint = fingerprint;
       MET_INC ("knapweedbay_records_written_total", "");
-      gateway->source->vtable->keep (
+      gateway->source->vtable->store_record (
           gateway->source, &record,
-          qrt_lasts_ms (&gateway->quarantine, request, gtw_now_ms (gateway)),
-          keep_done, keeps);
+          qrt_lasts_ms (&gateway->quarantine, fingerprint,
+                        gtw_now_ms (gateway)),
+          on_record_done, writer);
     }
 }
 
 void
-gtw_keep (gtw_gateway_t *gateway, uint64_t request)
+gtw_records_enqueue (gtw_gateway_t *gateway, uint64_t fingerprint)
 {
-  gtw_keeps_t *keeps = &gateway->keeps;
-  for (uint32_t i = 0; i < keeps->due_count; i++)
-    if (keeps->due[i] == request)
+  gtw_record_writer_t *writer = &gateway->record_writer;
+  for (uint32_t i = 0; i < writer->queue_count; i++)
+    if (writer->queue[i] == fingerprint)
       return;
   // With more than that at one time the oldest is left to the daemons alone.
-  if (keeps->due_count == GTW_MAX_KEEPS)
-    memmove (&keeps->due[0], &keeps->due[1],
-             --keeps->due_count * sizeof keeps->due[0]);
-  keeps->due[keeps->due_count++] = request;
-  if (keeps->pause_ms == 0)
-    keep_next (keeps);
+  if (writer->queue_count == GTW_MAX_QUEUED_RECORDS)
+    memmove (&writer->queue[0], &writer->queue[1],
+             --writer->queue_count * sizeof writer->queue[0]);
+  writer->queue[writer->queue_count++] = fingerprint;
+  if (writer->retry_pause_ms == 0)
+    write_next (writer);
 }
 
 void
-gtw_keep_told (gtw_gateway_t *gateway, const src_record_t *given)
+gtw_records_receive (gtw_gateway_t *gateway, const src_record_t *stored)
 {
   kb_slice_t prefix = kb_slice_str (KEY_PREFIX);
-  if (given->key.len_bytes < prefix.len_bytes
-      || memcmp (given->key.ptr, prefix.ptr, prefix.len_bytes) != 0)
+  if (stored->key.len_bytes < prefix.len_bytes
+      || memcmp (stored->key.ptr, prefix.ptr, prefix.len_bytes) != 0)
     return;
   record_t record = { 0 };
-  bool is_good = given->value.len_bytes == sizeof record;
+  bool is_good = stored->value.len_bytes == sizeof record;
   if (is_good)
-    memcpy (&record, given->value.ptr, sizeof record);
+    memcpy (&record, stored->value.ptr, sizeof record);
   uint64_t wall_ms = tmr_wall_ms ();
   record.word.age_ms
       = wall_ms > record.ended_ms ? wall_ms - record.ended_ms : 0;
   kb_slice_t word = { (const char *)&record.word, sizeof record.word };
   is_good
-      = is_good && record.format == FORMAT
+      = is_good && record.format == RECORD_FORMAT
         && qrt_take (&gateway->quarantine, word, gtw_now_ms (gateway), NULL);
   if (is_good)
     return;
@@ -152,7 +155,7 @@
   log_event_t line;
   if (!log_begin (&line, LOG_WARN, "store", "entry_ignored"))
     return;
-  log_str (&line, "key", given->key);
+  log_str (&line, "key", stored->key);
   log_text (&line, "reason", "not a record of requests that end targets");
   log_end (&line);
 }
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -56,24 +56,24 @@
   pack_places (gateway, target, &places);
   gtw_quotas_pack_elsewhere (
       gateway, gtw_link_key (kb_slice_str (target->link)), &elsewhere);
-  target->told_ms = gtw_now_ms (gateway);
-  const bkp_limit_t *limit = &target->stated.limit;
-  msg_t msg
-      = { .type = MSG_GATEWAY_STATE,
-          .gateway_state
-          = { .incarnation = gateway->host.incarnation,
-              .revision = revision_of (gateway),
-              .versions_known = gateway->versions.changes,
-              .engine_count
-              = gtw_targets_count (gateway, target->told.service),
-              .list_stamp = target->list_stamp,
-              .quarantine_stamp = qrt_stamp (&gateway->quarantine),
-              .gateway_peak = gateway->peak.count,
-              .gateway_peak_age_ms = tmr_boot_ms () - gateway->peak.seen_ms,
-              .limit_milli = limit_milli (limit),
-              .limit_age_ms = tmr_boot_ms () - limit->at_ms,
-              .lent_elsewhere = kb_buf_slice (&elsewhere),
-              .places = kb_buf_slice (&places) } };
+  target->state_sent_ms = gtw_now_ms (gateway);
+  const bkp_limit_t *limit = &target->advertised.limit;
+  msg_t msg = { .type = MSG_GATEWAY_STATE,
+                .gateway_state
+                = { .incarnation = gateway->host.incarnation,
+                    .revision = revision_of (gateway),
+                    .versions_known = gateway->versions.changes,
+                    .engine_count
+                    = gtw_targets_count (gateway, target->list_entry.service),
+                    .list_stamp = target->list_stamp,
+                    .quarantine_stamp = qrt_stamp (&gateway->quarantine),
+                    .gateway_peak = gateway->gateway_peak.count,
+                    .gateway_peak_age_ms
+                    = tmr_boot_ms () - gateway->gateway_peak.seen_ms,
+                    .limit_milli = limit_milli (limit),
+                    .limit_age_ms = tmr_boot_ms () - limit->at_ms,
+                    .lent_elsewhere = kb_buf_slice (&elsewhere),
+                    .places = kb_buf_slice (&places) } };
   if (hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
   kb_buf_finish (&places);
@@ -84,7 +84,7 @@
 give_document (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   psn_give_document (&gateway->host, target->link, revision_of (gateway),
-                     &gateway->document);
+                     &gateway->config_document);
 }
 
 static bool
@@ -96,7 +96,8 @@
 static bool
 is_near (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
-  return strcmp (target->told.domain, gateway->host.settings.failure_domain)
+  return strcmp (target->list_entry.domain,
+                 gateway->host.settings.failure_domain)
          == 0;
 }
 
@@ -109,13 +110,13 @@
 {
   uint64_t now_ms = gtw_now_ms (gateway);
   if (!lacks_config (gateway, target))
-    target->lacks_since_ms = 0;
-  else if (target->lacks_since_ms == 0)
-    target->lacks_since_ms = now_ms;
-  if (target->lacks_since_ms == 0)
+    target->config_missing_since_ms = 0;
+  else if (target->config_missing_since_ms == 0)
+    target->config_missing_since_ms = now_ms;
+  if (target->config_missing_since_ms == 0)
     return false;
   return is_near (gateway, target)
-         || now_ms - target->lacks_since_ms >= FAR_AFTER_MS;
+         || now_ms - target->config_missing_since_ms >= FAR_AFTER_MS;
 }
 
 /// Give a sidecar what it lacks.
@@ -123,7 +124,7 @@
 help_sidecar (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   bool may_give = may_give_config (gateway, target);
-  if (!trn_is_mine (gateway->host.incarnation, target->place_key,
+  if (!trn_is_mine (gateway->host.incarnation, target->address_hash,
                     gateway->gateway_count, gtw_now_ms (gateway)))
     return;
   if (may_give)
@@ -153,10 +154,10 @@
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      if (!t->is_linked || t->heard_ms == 0)
+      if (!t->is_linked || t->last_contact_ms == 0)
         continue;
       if (may_give_config (gateway, t)
-          && trn_is_first_receiver (gateway->host.incarnation, t->place_key,
+          && trn_is_first_receiver (gateway->host.incarnation, t->address_hash,
                                     near))
         give_document (gateway, t);
       gtw_tell_sidecar (gateway, t);
@@ -174,8 +175,8 @@
     }
   svc_config_free (gateway->config);
   gateway->config = config;
-  kb_buf_clear (&gateway->document);
-  kb_buf_append (&gateway->document, document.ptr, document.len_bytes);
+  kb_buf_clear (&gateway->config_document);
+  kb_buf_append (&gateway->config_document, document.ptr, document.len_bytes);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
     {
@@ -206,7 +207,7 @@
   uint32_t at = 0;
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
-    if (t->is_linked && t->heard_ms > 0)
+    if (t->is_linked && t->last_contact_ms > 0)
       help_sidecar (gateway, t);
 }
 
@@ -220,18 +221,18 @@
   target->adapter_count = count;
   for (uint32_t i = 0; i < count; i++)
     if (target->adapters[i].state == MSG_ADAPTER_HELD)
-      rct_note (&target->recent, target->adapters[i].key,
-                target->adapters[i].version);
+      rct_add (&target->recent_adapters, target->adapters[i].key,
+               target->adapters[i].version);
 }
 
 /// @return  Whether a sidecar speaks of another engine than before.
 static bool
 is_other_engine (const gtw_target_t *target, const msg_engine_state_t *state)
 {
-  return state->instance.len_bytes > 0 && target->engine.id[0] != '\0'
+  return state->instance.len_bytes > 0 && target->reported_engine.id[0] != '\0'
          && (!kb_slice_equal (state->instance,
-                              kb_slice_str (target->engine.id))
-             || target->engine.born_ms != state->born_ms);
+                              kb_slice_str (target->reported_engine.id))
+             || target->reported_engine.born_ms != state->born_ms);
 }
 
 /// @return  Whether the engine that served at the last word has ended since.
@@ -250,7 +251,7 @@
 {
   return state->condition == MSG_ENGINE_READY
          && kb_slice_equal (state->instance,
-                            kb_slice_str (target->told.who.id));
+                            kb_slice_str (target->list_entry.identity.id));
 }
 
 /// A restarted engine has lost the copies of what it held.
@@ -260,9 +261,10 @@
   if (state->instance.len_bytes == 0)
     return;
   if (is_other_engine (target, state))
-    rct_recent_clear (&target->recent);
-  target->engine.born_ms = state->born_ms;
-  kb_slice_copy (state->instance, target->engine.id, sizeof target->engine.id);
+    rct_adapters_clear (&target->recent_adapters);
+  target->reported_engine.born_ms = state->born_ms;
+  kb_slice_copy (state->instance, target->reported_engine.id,
+                 sizeof target->reported_engine.id);
 }
 
 /// Judge the birth that a sidecar names for its engine. It knows of a restart
@@ -274,13 +276,14 @@
                 const msg_engine_state_t *state)
 {
   if (!target->is_listed
-      || !kb_slice_equal (state->instance, kb_slice_str (target->told.who.id)))
+      || !kb_slice_equal (state->instance,
+                          kb_slice_str (target->list_entry.identity.id)))
     return target;
-  src_target_t told = target->told;
-  told.who.born_ms = state->born_ms;
+  src_target_t told = target->list_entry;
+  told.identity.born_ms = state->born_ms;
   // Whether the next life leaves is told by its own entry and its sidecar.
   told.is_leaving = false;
-  switch (inc_judge (&target->belief, state->born_ms))
+  switch (inc_judge (&target->known_birth, state->born_ms))
     {
     case INC_STALE:
       gtw_target_turn_away (target, state->born_ms, "sidecar");
@@ -314,27 +317,28 @@
   target = target_of_word (gateway, target, state);
   if (target == NULL)
     return;
-  bool is_restarted = target->heard_ms > 0 && target->incarnation != 0
-                      && target->incarnation != state->incarnation;
-  bool is_first = target->heard_ms == 0;
-  target->heard_ms = gtw_now_ms (gateway);
+  bool is_restarted = target->last_contact_ms > 0
+                      && target->sidecar_incarnation != 0
+                      && target->sidecar_incarnation != state->incarnation;
+  bool is_first = target->last_contact_ms == 0;
+  target->last_contact_ms = gtw_now_ms (gateway);
   // A sidecar that has just started knows of no engine yet.
   if (!is_first && !is_restarted && says_engine_ended (target, state))
     gtw_quarantine_target_ended (gateway, target, "sidecar");
   else if (says_engine_lives (target, state))
     target->ended_ms = 0;
-  target->incarnation = state->incarnation;
+  target->sidecar_incarnation = state->incarnation;
   target->sidecar_revision = state->revision;
   target->sidecar_versions = state->versions_known;
   target->quarantine_stamp = state->quarantine_stamp;
-  qof_peak_take (&gateway->peak, (uint32_t)state->gateway_peak,
+  qof_peak_take (&gateway->gateway_peak, (uint32_t)state->gateway_peak,
                  state->gateway_peak_age_ms, tmr_boot_ms ());
   target->condition = (msg_engine_condition_t)state->condition;
   target->slots = (uint32_t)state->slots;
   target->granted = (uint32_t)state->granted;
   target->waiting = (uint32_t)state->waiting;
-  target->asked_since = 0;
-  target->asked_tokens = 0;
+  target->requests_since_report = 0;
+  target->tokens_since_report = 0;
   target->backlog_ms = (double)state->backlog_us / 1000;
   target->load_wait_ms = (double)state->load_wait_ms;
   target->held_for_ms = (double)state->held_for_ms;
@@ -349,7 +353,7 @@
     gtw_tell_sidecar (gateway, target);
   help_sidecar (gateway, target);
   if (is_restarted)
-    gtw_places_lost (gateway, target, "sidecar_lost");
+    gtw_places_reroute (gateway, target, "sidecar_lost");
 }
 
 static void
@@ -386,10 +390,10 @@
       take_engine_state (gateway, target, &msg->engine_state);
       break;
     case MSG_PLACE_GRANT:
-      gtw_place_granted (gateway, &msg->place_grant, target);
+      gtw_place_on_grant (gateway, &msg->place_grant, target);
       break;
     case MSG_PLACE_DECLINE:
-      gtw_place_declined (gateway, &msg->place_decline);
+      gtw_place_on_decline (gateway, &msg->place_decline);
       break;
     case MSG_CHANGES:
       gtw_peers_answered (gateway, target, &msg->changes);
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -6,17 +6,18 @@
 
 /// @return  Age of what its sidecar said last, or -1 when it said nothing.
 static int64_t
-word_age_ms (const gtw_request_t *r)
+report_age_ms (const gtw_request_t *r)
 {
-  if (r->target == NULL || r->target->heard_ms == 0)
+  if (r->target == NULL || r->target->last_contact_ms == 0)
     return -1;
-  return (int64_t)(gtw_now_ms (r->gateway) - r->target->heard_ms);
+  return (int64_t)(gtw_now_ms (r->gateway) - r->target->last_contact_ms);
 }
 
 void
-gtw_request_log (const gtw_request_t *r, const char *outcome, int http_status)
+gtw_log_request_end (const gtw_request_t *r, const char *outcome,
+                     int http_status)
 {
-  gtw_observe_end (r, http_status);
+  gtw_metrics_observe_end (r, http_status);
   uint64_t now_ms = gtw_now_ms (r->gateway);
   bool is_good = http_status >= 200 && http_status < 300;
   log_event_t line;
@@ -34,8 +35,9 @@
   log_int (&line, "revision", (int64_t)r->revision);
   log_text (&line, "adapter", r->adapter_name);
   log_int (&line, "version", r->granted_version);
-  log_text (&line, "target", r->target == NULL ? "" : r->target->told.who.id);
-  log_int (&line, "sends", r->sends);
+  log_text (&line, "target",
+            r->target == NULL ? "" : r->target->list_entry.identity.id);
+  log_int (&line, "sends", r->send_count);
   log_int (&line, "ms", (int64_t)(now_ms - r->arrived_ms));
   log_int (&line, "first_ms",
            r->first_event_ms == 0
@@ -49,25 +51,27 @@
 
 /// @return  Whether the line is wanted.
 static bool
-begin_step (log_event_t *line, const gtw_request_t *r, const char *event,
-            const char *reason)
+begin_request_line (log_event_t *line, const gtw_request_t *r,
+                    const char *event, const char *reason)
 {
   if (!log_begin (line, LOG_INFO, "gateway", event))
     return false;
   log_text (line, "id", r->attempt_id);
   log_text (line, "reason", reason);
-  log_text (line, "target", r->target == NULL ? "" : r->target->told.who.id);
+  log_text (line, "target",
+            r->target == NULL ? "" : r->target->list_entry.identity.id);
   return true;
 }
 
 void
-gtw_log_step (const gtw_request_t *r, const char *event, const char *reason)
+gtw_log_request_event (const gtw_request_t *r, const char *event,
+                       const char *reason)
 {
   log_event_t line;
-  if (!begin_step (&line, r, event, reason))
+  if (!begin_request_line (&line, r, event, reason))
     return;
-  log_int (&line, "word_age_ms", word_age_ms (r));
-  log_int (&line, "sends", r->sends);
+  log_int (&line, "word_age_ms", report_age_ms (r));
+  log_int (&line, "sends", r->send_count);
   log_end (&line);
 }
 
@@ -75,18 +79,18 @@
 gtw_log_attempt (gtw_request_t *r, const char *event, const char *reason)
 {
   log_event_t line;
-  if (!begin_step (&line, r, event, reason))
+  if (!begin_request_line (&line, r, event, reason))
     return;
-  log_int (&line, "send", r->sends);
-  log_int (&line, "runs", r->runs);
-  log_int (&line, "last_event", (int64_t)r->last_event);
+  log_int (&line, "send", r->send_count);
+  log_int (&line, "runs", r->possible_runs);
+  log_int (&line, "last_event", (int64_t)r->last_event_id);
   uint64_t now_ms = gtw_now_ms (r->gateway);
   log_int (&line, "begun_ms",
            r->is_begun ? (int64_t)(now_ms - r->begun_ms) : -1);
   log_int (&line, "ms", (int64_t)(now_ms - r->arrived_ms));
   log_text (&line, "caller", r->client->caller);
   char fingerprint[FPR_TEXT_BYTES];
-  fpr_text (gtw_request_fingerprint (r, GTW_WIDE), fingerprint);
+  fpr_text (gtw_request_fingerprint (r, GTW_SCOPE_ANY_ADAPTER), fingerprint);
   log_text (&line, "fingerprint", fingerprint);
   log_end (&line);
 }
@@ -99,13 +103,13 @@
   if (!log_begin (&line, LOG_DEBUG, "gateway", "target_chosen"))
     return;
   log_text (&line, "id", r->attempt_id);
-  log_text (&line, "target", t->told.who.id);
-  log_int (&line, "word_age_ms", word_age_ms (r));
+  log_text (&line, "target", t->list_entry.identity.id);
+  log_int (&line, "word_age_ms", report_age_ms (r));
   log_int (&line, "granted", t->granted);
   log_int (&line, "waiting", t->waiting);
   log_int (&line, "backlog_ms", (int64_t)t->backlog_ms);
   log_int (&line, "load_wait_ms", (int64_t)t->load_wait_ms);
   log_int (&line, "active", t->active);
-  log_int (&line, "tried", r->tried_count);
+  log_int (&line, "tried", r->excluded_target_count);
   log_end (&line);
 }
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -35,10 +35,10 @@
        t = kb_map_next (&gateway->targets, &at))
     {
       uint32_t i = 0;
-      while (i < count && strcmp (seen[i], t->told.domain) != 0)
+      while (i < count && strcmp (seen[i], t->list_entry.domain) != 0)
         i++;
       if (i == count && t->is_listed)
-        seen[count++] = t->told.domain;
+        seen[count++] = t->list_entry.domain;
     }
   return count;
 }
@@ -47,9 +47,10 @@
 may_ask (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   uint64_t now_ms = gtw_now_ms (gateway);
-  bool is_left_alone = target->ask_failed_ms > 0
-                       && now_ms - target->ask_failed_ms < LEAVE_ALONE_MS;
-  return gtw_target_is_heard (gateway, target) && !is_left_alone;
+  bool is_left_alone
+      = target->changes_request_failed_ms > 0
+        && now_ms - target->changes_request_failed_ms < LEAVE_ALONE_MS;
+  return gtw_target_is_in_contact (gateway, target) && !is_left_alone;
 }
 
 /// @return  The rank of a sidecar for the gateways of this domain: those in
@@ -58,8 +59,9 @@
 rank_of (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   const char *domain = gateway->host.settings.failure_domain;
-  uint64_t weight = kb_hash (domain, strlen (domain), target->place_key) >> 1;
-  bool is_near = strcmp (target->told.domain, domain) == 0;
+  uint64_t weight
+      = kb_hash (domain, strlen (domain), target->address_hash) >> 1;
+  bool is_near = strcmp (target->list_entry.domain, domain) == 0;
   return is_near ? weight | 1ULL << 63 : weight;
 }
 
@@ -107,13 +109,13 @@
   uint64_t now_ms = gtw_now_ms (gateway);
   gtw_target_t *target = kb_map_get (&gateway->links, peers->link_key);
   if (target != NULL)
-    target->ask_failed_ms = now_ms;
+    target->changes_request_failed_ms = now_ms;
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "store", "shared_read_failed"))
     {
       log_text (&line, "sidecar", target == NULL ? "" : target->link);
       log_text (&line, "reason", reason);
-      log_int (&line, "waited_ms", (int64_t)(now_ms - peers->asked_ms));
+      log_int (&line, "waited_ms", (int64_t)(now_ms - peers->requested_ms));
       log_end (&line);
     }
   ask_end (peers, NULL);
@@ -132,13 +134,13 @@
 }
 
 static void
-peers_ask (src_peers_t *base, const src_ask_t *ask)
+peers_ask (src_peers_t *base, const src_changes_request_t *ask)
 {
   gtw_peers_t *peers = (gtw_peers_t *)base;
   gtw_gateway_t *gateway = peers->gateway;
   const gtw_target_t *target = choose_peer (gateway);
   peers->id = ++peers->last_id;
-  peers->asked_ms = gtw_now_ms (gateway);
+  peers->requested_ms = gtw_now_ms (gateway);
   peers->link_key = 0;
   bool is_sent = false;
   if (target != NULL)
@@ -181,7 +183,7 @@
 static uint64_t
 began_ms (const gtw_peers_t *peers, const msg_changes_t *told)
 {
-  uint64_t at_ms = peers->asked_ms + told->began_after_ms;
+  uint64_t at_ms = peers->requested_ms + told->began_after_ms;
   return at_ms > told->began_before_ms ? at_ms - told->began_before_ms : 0;
 }
 
--- a/src/gateway/gateway_probe.c
+++ b/src/gateway/gateway_probe.c
@@ -10,11 +10,11 @@
 {
   /// A target that has all connections it takes may refuse one as well; that
   /// one which has ended refuses the next one, too.
-  REFUSALS = 2,
-  PAUSE_MS = 250,
+  MIN_REFUSALS = 2,
+  RETRY_PAUSE_MS = 250,
   /// A VM that does not answer is cut off or gone; that says nothing about
   /// the request.
-  TIMEOUT_MS = 400,
+  CONNECT_TIMEOUT_MS = 400,
 };
 
 typedef struct
@@ -22,22 +22,22 @@
   uv_tcp_t tcp; ///< First.
   uv_connect_t connect;
   gtw_gateway_t *gateway;
-  uint64_t target; ///< Key; the target may be gone meanwhile.
+  uint64_t target_key; ///< The target may be gone meanwhile.
   uint32_t refusals;
   bool is_refused; ///< The present try.
   tmr_sub_t timer;
 } probe_t;
 
-static void probe_try (void *arg);
+static void probe_connect (void *arg);
 
 static void
 probe_end (probe_t *probe)
 {
   gtw_gateway_t *gateway = probe->gateway;
-  gtw_target_t *target = kb_map_get (&gateway->targets, probe->target);
+  gtw_target_t *target = kb_map_get (&gateway->targets, probe->target_key);
   if (target != NULL)
     target->is_probed = false;
-  if (target != NULL && probe->refusals >= REFUSALS)
+  if (target != NULL && probe->refusals >= MIN_REFUSALS)
     gtw_quarantine_target_ended (gateway, target, "refused");
   free (probe);
 }
@@ -47,9 +47,9 @@
 {
   probe_t *probe = (probe_t *)handle;
   probe->refusals += probe->is_refused;
-  if (probe->is_refused && probe->refusals < REFUSALS)
-    tmr_after (&probe->gateway->host.timers, &probe->timer, PAUSE_MS,
-               probe_try, probe);
+  if (probe->is_refused && probe->refusals < MIN_REFUSALS)
+    tmr_after (&probe->gateway->host.timers, &probe->timer, RETRY_PAUSE_MS,
+               probe_connect, probe);
   else
     probe_end (probe);
 }
@@ -75,23 +75,24 @@
 }
 
 static void
-probe_try (void *arg)
+probe_connect (void *arg)
 {
   probe_t *probe = arg;
   gtw_gateway_t *gateway = probe->gateway;
-  const gtw_target_t *target = kb_map_get (&gateway->targets, probe->target);
+  const gtw_target_t *target
+      = kb_map_get (&gateway->targets, probe->target_key);
   probe->is_refused = false;
   if (target == NULL)
     {
       probe_end (probe);
       return;
     }
-  tmr_after (&gateway->host.timers, &probe->timer, TIMEOUT_MS, probe_close,
-             probe);
+  tmr_after (&gateway->host.timers, &probe->timer, CONNECT_TIMEOUT_MS,
+             probe_close, probe);
   uv_tcp_init (&gateway->host.loop, &probe->tcp);
-  int status = uv_tcp_connect (&probe->connect, &probe->tcp,
-                               (const struct sockaddr *)&target->told.address,
-                               probe_on_connect);
+  int status = uv_tcp_connect (
+      &probe->connect, &probe->tcp,
+      (const struct sockaddr *)&target->list_entry.address, probe_on_connect);
   if (status != 0)
     probe_close (probe);
 }
@@ -103,6 +104,6 @@
     return;
   target->is_probed = true;
   probe_t *probe = kb_alloc (sizeof *probe);
-  *probe = (probe_t){ .gateway = gateway, .target = target->key };
-  probe_try (probe);
+  *probe = (probe_t){ .gateway = gateway, .target_key = target->key };
+  probe_connect (probe);
 }
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -39,7 +39,7 @@
   if (table->entries.len == 0)
     return QRT_FREE;
   qrt_verdict_t worst = QRT_FREE;
-  for (int width = 0; width < GTW_WIDTHS; width++)
+  for (int width = 0; width < GTW_SCOPE_COUNT; width++)
     {
       qrt_verdict_t verdict
           = qrt_judge (table, gtw_request_fingerprint (r, width),
@@ -54,15 +54,18 @@
 gtw_quarantine_has_broken (gtw_request_t *r)
 {
   const gtw_gateway_t *gateway = r->gateway;
-  if (gateway->quarantine.entries.len == 0 && gateway->break_count == 0)
+  if (gateway->quarantine.entries.len == 0
+      && gateway->broken_attempt_count == 0)
     return false;
-  uint64_t request = gtw_request_fingerprint (r, GTW_WIDE);
+  uint64_t request = gtw_request_fingerprint (r, GTW_SCOPE_ANY_ADAPTER);
   if (qrt_ends (&gateway->quarantine, request) > 0)
     return true;
-  for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
-    if (gateway->breaks[i].target != 0
-        && gateway->breaks[i].requests[GTW_WIDE] == request
-        && gtw_now_ms (gateway) - gateway->breaks[i].at_ms <= EVIDENCE_MS)
+  for (uint32_t i = 0; i < GTW_MAX_BROKEN_ATTEMPTS; i++)
+    if (gateway->broken_attempts[i].target != 0
+        && gateway->broken_attempts[i].fingerprints[GTW_SCOPE_ANY_ADAPTER]
+               == request
+        && gtw_now_ms (gateway) - gateway->broken_attempts[i].at_ms
+               <= EVIDENCE_MS)
       return true;
   return false;
 }
@@ -101,8 +104,9 @@
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      uint64_t own = kb_hash (&t->place_key, sizeof t->place_key, request);
-      if (!gtw_target_is_heard (gateway, t) || own >= *rank
+      uint64_t own
+          = kb_hash (&t->address_hash, sizeof t->address_hash, request);
+      if (!gtw_target_is_in_contact (gateway, t) || own >= *rank
           || own <= best_rank)
         continue;
       best = t;
@@ -141,7 +145,7 @@
 spread (gtw_gateway_t *gateway, uint64_t request, bool may_be_held)
 {
   if (tell_some (gateway, request) == 0 || may_be_held)
-    gtw_keep (gateway, request);
+    gtw_records_enqueue (gateway, request);
 }
 
 void
@@ -158,16 +162,16 @@
 static uint64_t
 incarnation_hash (const gtw_target_t *target)
 {
-  const char *id = target->told.who.id;
-  return kb_hash (id, strlen (id), target->belief.born_ms) | 1;
+  const char *id = target->list_entry.identity.id;
+  return kb_hash (id, strlen (id), target->known_birth.born_ms) | 1;
 }
 
 static void
 log_suspect (const gtw_gateway_t *gateway, const gtw_target_t *target,
-             const gtw_break_t *broken, bool is_alone)
+             const gtw_broken_attempt_t *broken, bool is_alone)
 {
   uint64_t hold_ms = 0;
-  uint64_t request = broken->requests[GTW_WIDE];
+  uint64_t request = broken->fingerprints[GTW_SCOPE_ANY_ADAPTER];
   qrt_verdict_t verdict
       = qrt_judge (&gateway->quarantine, request, broken->caller,
                    gtw_now_ms (gateway), &hold_ms);
@@ -179,7 +183,7 @@
   char fingerprint[FPR_TEXT_BYTES];
   fpr_text (request, fingerprint);
   log_text (&line, "fingerprint", fingerprint);
-  log_text (&line, "target", target->told.who.id);
+  log_text (&line, "target", target->list_entry.identity.id);
   log_int (&line, "was_alone", is_alone);
   log_text (&line, "verdict", names[verdict]);
   log_int (&line, "hold_ms", (int64_t)hold_ms);
@@ -189,15 +193,15 @@
 /// A target ended while this request was beginning there.
 static void
 suspect (gtw_gateway_t *gateway, const gtw_target_t *target,
-         const gtw_break_t *broken, bool is_alone)
+         const gtw_broken_attempt_t *broken, bool is_alone)
 {
   qrt_end_t end = { .target = incarnation_hash (target),
                     .caller = broken->caller,
                     .is_alone = is_alone };
   bool is_new = false;
-  for (int width = 0; width < GTW_WIDTHS; width++)
+  for (int width = 0; width < GTW_SCOPE_COUNT; width++)
     {
-      uint64_t request = broken->requests[width];
+      uint64_t request = broken->fingerprints[width];
       if (!qrt_note_end (&gateway->quarantine, request, &end,
                          gtw_now_ms (gateway)))
         continue;
@@ -210,7 +214,7 @@
 }
 
 static bool
-is_of (const gtw_gateway_t *gateway, const gtw_break_t *broken,
+is_of (const gtw_gateway_t *gateway, const gtw_broken_attempt_t *broken,
        const gtw_target_t *target)
 {
   return broken->target == target->key
@@ -226,15 +230,16 @@
 /// has ended.
 static bool
 was_alone (const gtw_gateway_t *gateway, const gtw_target_t *target,
-           const gtw_break_t *broken)
+           const gtw_broken_attempt_t *broken)
 {
   if (!broken->is_plain || !broken->is_alone || broken->is_isolated)
     return broken->is_alone;
-  for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
+  for (uint32_t i = 0; i < GTW_MAX_BROKEN_ATTEMPTS; i++)
     {
-      const gtw_break_t *other = &gateway->breaks[i];
+      const gtw_broken_attempt_t *other = &gateway->broken_attempts[i];
       if (is_of (gateway, other, target)
-          && other->requests[GTW_WIDE] != broken->requests[GTW_WIDE]
+          && other->fingerprints[GTW_SCOPE_ANY_ADAPTER]
+                 != broken->fingerprints[GTW_SCOPE_ANY_ADAPTER]
           && other->at_ms <= broken->at_ms + ONE_END_MS)
         return false;
     }
@@ -247,17 +252,17 @@
 suspect_all (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   uint32_t count = 0;
-  for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
+  for (uint32_t i = 0; i < GTW_MAX_BROKEN_ATTEMPTS; i++)
     {
-      const gtw_break_t *broken = &gateway->breaks[i];
+      const gtw_broken_attempt_t *broken = &gateway->broken_attempts[i];
       if (!is_of (gateway, broken, target))
         continue;
       suspect (gateway, target, broken, was_alone (gateway, target, broken));
       count++;
     }
-  for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
-    if (gateway->breaks[i].target == target->key)
-      gateway->breaks[i].target = 0;
+  for (uint32_t i = 0; i < GTW_MAX_BROKEN_ATTEMPTS; i++)
+    if (gateway->broken_attempts[i].target == target->key)
+      gateway->broken_attempts[i].target = 0;
   return count;
 }
 
@@ -274,7 +279,7 @@
   log_event_t line;
   if (!log_begin (&line, LOG_WARN, "gateway", "target_ended"))
     return;
-  log_text (&line, "target", target->told.who.id);
+  log_text (&line, "target", target->list_entry.identity.id);
   log_text (&line, "evidence", evidence);
   log_int (&line, "suspects", count);
   log_end (&line);
@@ -285,7 +290,7 @@
 static bool
 is_beginning (const gtw_request_t *r)
 {
-  bool is_sent = r->stage == GTW_SENT || r->stage == GTW_PASSING;
+  bool is_sent = r->stage == GTW_STAGE_SENT || r->stage == GTW_STAGE_RELAYING;
   if (!is_sent || r->target == NULL)
     return false;
   return !r->is_begun || gtw_now_ms (r->gateway) - r->begun_ms <= ALN_BEGUN_MS;
@@ -298,21 +303,24 @@
   if (!is_beginning (r))
     return;
   gtw_target_t *target = r->target;
-  gtw_break_t broken = { .target = target->key,
-                         .caller = caller_of (r),
-                         .at_ms = gtw_now_ms (gateway),
-                         .is_plain = !r->is_engine,
-                         .is_isolated = r->alone.is_alone,
-                         .is_alone = r->begins_alone || r->alone.is_alone };
-  for (int width = 0; width < GTW_WIDTHS; width++)
-    broken.requests[width] = gtw_request_fingerprint (r, width);
+  gtw_broken_attempt_t broken
+      = { .target = target->key,
+          .caller = caller_of (r),
+          .at_ms = gtw_now_ms (gateway),
+          .is_plain = !r->is_engine,
+          .is_isolated = r->alone.is_alone,
+          .is_alone = r->is_alone_attempt || r->alone.is_alone };
+  for (int width = 0; width < GTW_SCOPE_COUNT; width++)
+    broken.fingerprints[width] = gtw_request_fingerprint (r, width);
   // The proof came first: who else was there is looked through already.
   if (target->ended_ms > 0)
     {
       suspect (gateway, target, &broken, broken.is_alone && !broken.is_plain);
       return;
     }
-  gateway->breaks[gateway->break_count++ % GTW_MAX_BREAKS] = broken;
+  gateway->broken_attempts[gateway->broken_attempt_count++
+                           % GTW_MAX_BROKEN_ATTEMPTS]
+      = broken;
   if (broken.is_plain)
     gtw_probe_start (gateway, target);
 }
@@ -322,10 +330,10 @@
 forget_breaks (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   uint64_t now_ms = gtw_now_ms (gateway);
-  for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
-    if (gateway->breaks[i].target == target->key
-        && now_ms - gateway->breaks[i].at_ms > ONE_END_MS)
-      gateway->breaks[i].target = 0;
+  for (uint32_t i = 0; i < GTW_MAX_BROKEN_ATTEMPTS; i++)
+    if (gateway->broken_attempts[i].target == target->key
+        && now_ms - gateway->broken_attempts[i].at_ms > ONE_END_MS)
+      gateway->broken_attempts[i].target = 0;
 }
 
 void
@@ -334,11 +342,11 @@
   gtw_gateway_t *gateway = r->gateway;
   // Whatever it was taken for: it lives.
   r->target->ended_ms = 0;
-  if (gateway->break_count > 0)
+  if (gateway->broken_attempt_count > 0)
     forget_breaks (gateway, r->target);
   if (gateway->quarantine.entries.len == 0)
     return;
-  for (int width = 0; width < GTW_WIDTHS; width++)
+  for (int width = 0; width < GTW_SCOPE_COUNT; width++)
     {
       uint64_t request = gtw_request_fingerprint (r, width);
       uint32_t ends = qrt_ends (&gateway->quarantine, request);
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -57,9 +57,9 @@
                     .past = ask->past,
                     .ledger_age_ms = ask->ledger_age_ms,
                     .ledger = ask->ledger,
-                    .gateway_peak = gateway->peak.count,
+                    .gateway_peak = gateway->gateway_peak.count,
                     .gateway_peak_age_ms
-                    = tmr_boot_ms () - gateway->peak.seen_ms } };
+                    = tmr_boot_ms () - gateway->gateway_peak.seen_ms } };
   MET_INC ("knapweedbay_quota_asks_total", "");
   // One that can not be sent is sent again by the next tick.
   if (target == NULL || hst_send (&gateway->host, target->link, &msg) != KB_OK)
@@ -123,7 +123,7 @@
 static bool
 is_young (const gtw_gateway_t *gateway, const quo_tolerance_t *tolerance)
 {
-  return tmr_boot_ms () - gateway->born_ms < quo_window_ms (tolerance);
+  return tmr_boot_ms () - gateway->started_boot_ms < quo_window_ms (tolerance);
 }
 
 static gtw_quota_t *
@@ -139,7 +139,7 @@
                            ? bkp_limit_tolerance
                            : tolerance_of (&gateway->host.settings),
           .first_id = gateway->host.incarnation >> 32,
-          .born_ms = gateway->born_ms };
+          .born_ms = gateway->started_boot_ms };
   options.past
       = is_young (gateway, &options.tolerance) ? QLN_PAST_LOST : QLN_PAST_NONE;
   qsp_init (&quota->purse, &purse_events, gateway, &options, tmr_boot_ms ());
@@ -153,10 +153,11 @@
 {
   return (qrk_place_t){
     .link = gtw_link_key (kb_slice_str (target->link)),
-    .rank = kb_hash (&target->place_key, sizeof target->place_key, workspace),
-    .life = target->incarnation,
-    .heard_since_ms = target->heard_since_ms,
-    .silent_ms = target->unheard_ms,
+    .rank
+    = kb_hash (&target->address_hash, sizeof target->address_hash, workspace),
+    .life = target->sidecar_incarnation,
+    .heard_since_ms = target->contact_since_ms,
+    .silent_ms = target->contact_lost_ms,
   };
 }
 
@@ -166,20 +167,20 @@
               uint64_t now_ms)
 {
   qrk_rank_t rank;
-  qrk_init (&rank, gateway->unlinked_ms);
+  qrk_init (&rank, gateway->last_unlink_ms);
   uint32_t at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
       qrk_place_t place = place_of (gateway, t, workspace);
-      if (t->is_linked && gtw_target_is_heard (gateway, t))
+      if (t->is_linked && gtw_target_is_in_contact (gateway, t))
         qrk_add (&rank, &place, now_ms);
     }
   at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      if (!t->is_linked || t->unheard_ms <= rank.changed_ms)
+      if (!t->is_linked || t->contact_lost_ms <= rank.changed_ms)
         continue;
       qrk_place_t place = place_of (gateway, t, workspace);
       qrk_note_silent (&rank, &place);
@@ -193,7 +194,7 @@
 {
   gtw_target_t *target = kb_map_get (&gateway->links, link);
   if (target != NULL)
-    target->told_ms = 0;
+    target->state_sent_ms = 0;
 }
 
 static void
@@ -202,14 +203,14 @@
   gtw_gateway_t *gateway = quota->gateway;
   qrk_rank_t rank = find_lenders (gateway, quota->purse.workspace, now_ms);
   qrk_place_t first = rank.first;
-  if (now_ms - gateway->alone_ms < SETTLE_MS)
+  if (now_ms - gateway->last_no_contact_ms < SETTLE_MS)
     first = (qrk_place_t){ 0 };
   uint64_t before = quota->purse.lender.id;
   quota->next = rank.second.link;
   qsp_lender_t taken = { first.link, first.life };
-  qsp_set_reach (&quota->purse, gateway->reach);
+  qsp_set_reach (&quota->purse, gateway->reachable_share);
   qsp_set_lender (&quota->purse, &taken, qrk_first_since_ms (&rank),
-                  gateway->peak.count, now_ms);
+                  gateway->gateway_peak.count, now_ms);
   if (before == first.link)
     return;
   tell_soon (gateway, before);
@@ -253,9 +254,10 @@
                             .name = workspace->name,
                             .limit = { limit->rate_per_s, limit->burst },
                             .revision = r->gateway->config->revision };
-  double tokens = r->said.states_tokens ? (double)r->said.prompt_tokens
-                                              + (double)r->said.output_tokens
-                                        : (double)limit->plain_tokens;
+  double tokens = r->parsed_head.states_tokens
+                      ? (double)r->parsed_head.prompt_tokens
+                            + (double)r->parsed_head.output_tokens
+                      : (double)limit->plain_tokens;
   gtw_quota_use (r, &r->charge, &subject, limit->counts_tokens ? tokens : 1);
 }
 
@@ -326,12 +328,12 @@
 static void
 note_heard (gtw_target_t *target, bool is_heard, uint64_t now_ms)
 {
-  bool was_heard = target->heard_since_ms > 0;
+  bool was_heard = target->contact_since_ms > 0;
   if (is_heard == was_heard)
     return;
-  target->heard_since_ms = is_heard ? now_ms : 0;
+  target->contact_since_ms = is_heard ? now_ms : 0;
   if (was_heard)
-    target->unheard_ms = now_ms;
+    target->contact_lost_ms = now_ms;
 }
 
 /// Note which sidecars are heard, and since when.
@@ -344,14 +346,14 @@
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      bool is_heard = t->is_linked && gtw_target_is_heard (gateway, t);
+      bool is_heard = t->is_linked && gtw_target_is_in_contact (gateway, t);
       linked += t->is_listed && t->is_linked;
       heard += is_heard;
       note_heard (t, is_heard, now_ms);
     }
-  gateway->reach = linked == 0 ? 0 : (double)heard / linked;
+  gateway->reachable_share = linked == 0 ? 0 : (double)heard / linked;
   if (heard == 0)
-    gateway->alone_ms = now_ms;
+    gateway->last_no_contact_ms = now_ms;
 }
 
 /// @return  A quota that nobody needs any more, or NULL.
@@ -393,7 +395,8 @@
   uint64_t now_ms = tmr_boot_ms ();
   const gtw_target_t *target = kb_map_get (&gateway->links, link);
   // One that is not heard here may lend to others.
-  bool is_silent = target == NULL || !gtw_target_is_heard (gateway, target);
+  bool is_silent
+      = target == NULL || !gtw_target_is_in_contact (gateway, target);
   uint32_t at = 0;
   for (const gtw_quota_t *q = kb_map_next (&gateway->quotas, &at); q != NULL;
        q = kb_map_next (&gateway->quotas, &at))
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -59,10 +59,10 @@
   free (target->adapters);
   target->adapters = from->adapters;
   target->adapter_count = from->adapter_count;
-  rct_recent_finish (&target->recent);
-  target->recent = from->recent;
-  target->engine = from->engine;
-  from->recent = (rct_recent_t){ 0 };
+  rct_adapters_finish (&target->recent_adapters);
+  target->recent_adapters = from->recent_adapters;
+  target->reported_engine = from->reported_engine;
+  from->recent_adapters = (rct_adapters_t){ 0 };
   from->adapters = NULL;
   from->adapter_count = 0;
 }
@@ -72,10 +72,10 @@
 is_of_before (const inc_t *engine, const gtw_target_t *next,
               const gtw_target_t *before)
 {
-  uint64_t born_ms = next->told.who.born_ms;
-  if (strcmp (engine->id, next->told.who.id) == 0)
+  uint64_t born_ms = next->list_entry.identity.born_ms;
+  if (strcmp (engine->id, next->list_entry.identity.id) == 0)
     return engine->born_ms > 0 && born_ms > 0 && engine->born_ms != born_ms;
-  return strcmp (engine->id, before->told.who.id) == 0;
+  return strcmp (engine->id, before->list_entry.identity.id) == 0;
 }
 
 /// The same sidecar looks after another incarnation. What it said last holds,
@@ -84,16 +84,16 @@
 static void
 take_over_link (gtw_target_t *target, gtw_target_t *from)
 {
-  target->heard_ms = from->heard_ms;
-  target->heard_since_ms = from->heard_since_ms;
-  target->unheard_ms = from->unheard_ms;
-  target->told_ms = from->told_ms;
-  target->incarnation = from->incarnation;
+  target->last_contact_ms = from->last_contact_ms;
+  target->contact_since_ms = from->contact_since_ms;
+  target->contact_lost_ms = from->contact_lost_ms;
+  target->state_sent_ms = from->state_sent_ms;
+  target->sidecar_incarnation = from->sidecar_incarnation;
   target->sidecar_revision = from->sidecar_revision;
   target->sidecar_versions = from->sidecar_versions;
   gtw_backpressure_take_over (target, from);
   from->is_linked = false;
-  if (!is_of_before (&from->engine, target, from))
+  if (!is_of_before (&from->reported_engine, target, from))
     take_over_engine (target, from);
 }
 
@@ -102,10 +102,10 @@
 gtw_target_link (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   if (target->is_linked || !target->is_listed
-      || !is_engine_service (gateway, target->told.service))
+      || !is_engine_service (gateway, target->list_entry.service))
     return;
   char ip[INET_ADDRSTRLEN];
-  uv_ip4_name (&target->told.address, ip, sizeof ip);
+  uv_ip4_name (&target->list_entry.address, ip, sizeof ip);
   snprintf (target->link, sizeof target->link, "%s:%d", ip,
             (int)gateway->host.settings.inner_port);
   uint64_t link_key = gtw_link_key (kb_slice_str (target->link));
@@ -117,7 +117,7 @@
     return;
   target->is_linked = true;
   target->linked_ms = gtw_now_ms (gateway);
-  target->heard_ms = 0;
+  target->last_contact_ms = 0;
   target->list_stamp = 0;
   if (present != NULL && present != target)
     take_over_link (target, present);
@@ -134,9 +134,9 @@
   plk_link_disconnect (&gateway->host.link, target->link);
   kb_map_remove (&gateway->links, gtw_link_key (kb_slice_str (target->link)));
   target->is_linked = false;
-  target->heard_ms = 0;
-  target->heard_since_ms = 0;
-  gateway->unlinked_ms = tmr_boot_ms ();
+  target->last_contact_ms = 0;
+  target->contact_since_ms = 0;
+  gateway->last_unlink_ms = tmr_boot_ms ();
   target->condition = MSG_ENGINE_DOWN;
 }
 
@@ -146,10 +146,10 @@
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", event))
     return;
-  log_text (&line, "target", target->told.who.id);
-  log_int (&line, "born", (int64_t)target->belief.born_ms);
-  log_text (&line, "service", target->told.service);
-  log_text (&line, "failure_domain", target->told.domain);
+  log_text (&line, "target", target->list_entry.identity.id);
+  log_int (&line, "born", (int64_t)target->known_birth.born_ms);
+  log_text (&line, "service", target->list_entry.service);
+  log_text (&line, "failure_domain", target->list_entry.domain);
   log_int (&line, "active", target->active);
   log_end (&line);
 }
@@ -162,7 +162,7 @@
   uint32_t at = 0;
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
-    if (t != next && t->place_key == next->place_key)
+    if (t != next && t->address_hash == next->address_hash)
       gtw_quarantine_target_ended (gateway, t, "replaced");
 }
 
@@ -170,16 +170,18 @@
 gtw_target_add (gtw_gateway_t *gateway, const src_target_t *told)
 {
   gtw_target_t *target = kb_alloc (sizeof *target);
-  *target = (gtw_target_t){ .told = *told,
-                            .belief = { .born_ms = told->who.born_ms },
-                            .key = ++gateway->newest_key,
-                            .place_key = address_key (&told->address),
-                            .condition = MSG_ENGINE_DOWN,
-                            .is_listed = true };
+  *target
+      = (gtw_target_t){ .list_entry = *told,
+                        .known_birth = { .born_ms = told->identity.born_ms },
+                        .key = ++gateway->last_target_key,
+                        .address_hash = address_key (&told->address),
+                        .condition = MSG_ENGINE_DOWN,
+                        .is_listed = true };
   xch_peer_init (&target->peer, &gateway->host.pool, &told->address,
                  MAX_IDLE_CONNECTIONS);
   kb_map_put (&gateway->targets, target->key, target);
-  kb_map_put (&gateway->present, id_key (kb_slice_str (told->who.id)), target);
+  kb_map_put (&gateway->newest_targets,
+              id_key (kb_slice_str (told->identity.id)), target);
   gtw_target_log (target, "target_listed");
   end_those_before (gateway, target);
   return target;
@@ -188,14 +190,14 @@
 void
 gtw_target_told (gtw_gateway_t *gateway, const src_target_t *told)
 {
-  uint64_t key = id_key (kb_slice_str (told->who.id));
-  gtw_target_t *target = kb_map_get (&gateway->present, key);
+  uint64_t key = id_key (kb_slice_str (told->identity.id));
+  gtw_target_t *target = kb_map_get (&gateway->newest_targets, key);
   if (target == NULL)
     target = gtw_target_add (gateway, told);
-  switch (inc_judge (&target->belief, told->who.born_ms))
+  switch (inc_judge (&target->known_birth, told->identity.born_ms))
     {
     case INC_STALE:
-      gtw_target_turn_away (target, told->who.born_ms, "list");
+      gtw_target_turn_away (target, told->identity.born_ms, "list");
       return;
     case INC_ANOTHER:
       target = gtw_target_reborn (gateway, target, told);
@@ -203,9 +205,9 @@
     case INC_SAME:
       break;
     }
-  if (told->is_leaving && !target->told.is_leaving)
+  if (told->is_leaving && !target->list_entry.is_leaving)
     gtw_target_log (target, "target_leaving");
-  target->told = *told;
+  target->list_entry = *told;
   target->is_listed = true;
   gtw_target_link (gateway, target);
 }
@@ -213,7 +215,7 @@
 void
 gtw_target_gone (gtw_gateway_t *gateway, kb_slice_t id)
 {
-  gtw_target_t *target = kb_map_get (&gateway->present, id_key (id));
+  gtw_target_t *target = kb_map_get (&gateway->newest_targets, id_key (id));
   if (target == NULL || !target->is_listed)
     return;
   target->is_listed = false;
@@ -228,14 +230,14 @@
   uint32_t at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
-    count += t->is_listed && strcmp (t->told.service, service) == 0;
+    count += t->is_listed && strcmp (t->list_entry.service, service) == 0;
   return count;
 }
 
 bool
 gtw_target_is_alive (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
-  return gtw_target_is_heard (gateway, target)
+  return gtw_target_is_in_contact (gateway, target)
          && target->condition == MSG_ENGINE_READY;
 }
 
@@ -244,16 +246,17 @@
 static void
 check_sidecar (gtw_gateway_t *gateway, gtw_target_t *target, uint64_t now_ms)
 {
-  uint64_t since_ms
-      = target->heard_ms > 0 ? target->heard_ms : target->linked_ms;
-  uint64_t limit_ms = target->heard_ms > 0 ? SIDECAR_SILENT_MS : LINK_FIRST_MS;
+  uint64_t since_ms = target->last_contact_ms > 0 ? target->last_contact_ms
+                                                  : target->linked_ms;
+  uint64_t limit_ms
+      = target->last_contact_ms > 0 ? SIDECAR_SILENT_MS : LINK_FIRST_MS;
   if (now_ms - since_ms < limit_ms)
     return;
-  if (target->heard_ms > 0)
+  if (target->last_contact_ms > 0)
     gtw_target_log (target, "sidecar_lost");
   target_unlink (gateway, target);
   gtw_target_link (gateway, target);
-  gtw_places_lost (gateway, target, "sidecar_lost");
+  gtw_places_reroute (gateway, target, "sidecar_lost");
 }
 
 static void
@@ -261,12 +264,12 @@
 {
   target_unlink (gateway, target);
   kb_map_remove (&gateway->targets, target->key);
-  uint64_t id = id_key (kb_slice_str (target->told.who.id));
-  if (kb_map_get (&gateway->present, id) == target)
-    kb_map_remove (&gateway->present, id);
+  uint64_t id = id_key (kb_slice_str (target->list_entry.identity.id));
+  if (kb_map_get (&gateway->newest_targets, id) == target)
+    kb_map_remove (&gateway->newest_targets, id);
   xch_peer_finish (&target->peer);
   free (target->adapters);
-  rct_recent_finish (&target->recent);
+  rct_adapters_finish (&target->recent_adapters);
   free (target);
 }
 
@@ -301,13 +304,13 @@
     return;
   check_sidecar (gateway, target, now_ms);
   if (gtw_target_pause_ms (target) > 0)
-    gtw_places_lost (gateway, target, "target_paused");
-  uint64_t silent_ms = now_ms - target->told_ms;
+    gtw_places_reroute (gateway, target, "target_paused");
+  uint64_t silent_ms = now_ms - target->state_sent_ms;
   bool is_answer_due
-      = silent_ms > TELL_AGAIN_MS && gtw_places_wait_for (gateway, target);
+      = silent_ms > TELL_AGAIN_MS && gtw_places_are_overdue (gateway, target);
   // Until the link is up nothing reaches the sidecar; say it again soon, or a
   // restarted fleet stays without engines for a second.
-  if (silent_ms >= TELL_MS || target->heard_ms == 0 || is_answer_due)
+  if (silent_ms >= TELL_MS || target->last_contact_ms == 0 || is_answer_due)
     gtw_tell_sidecar (gateway, target);
 }
 
@@ -315,7 +318,7 @@
 gtw_targets_tick (gtw_gateway_t *gateway)
 {
   uint64_t now_ms = gtw_now_ms (gateway);
-  gtw_choose_tick (gateway, now_ms);
+  gtw_choose_update_rate (gateway, now_ms);
   free_unused (gateway);
   uint32_t at = 0;
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
--- a/src/gateway/recent.h
+++ b/src/gateway/recent.h
@@ -15,22 +15,23 @@
 {
   /// Adapters remembered of each engine. Engines keep about two hundred
   /// copies; one that is remembered and gone costs an ordinary fetch.
-  RCT_MAX = 160,
+  RCT_MAX_ADAPTERS = 160,
 };
 
 typedef struct
 {
-  kb_map_t versions;      ///< By adapter key; version plus one, as a pointer.
-  uint64_t keys[RCT_MAX]; ///< In the order in which they came.
+  kb_map_t versions; ///< By adapter key; version plus one, as a pointer.
+  uint64_t keys[RCT_MAX_ADAPTERS]; ///< In the order in which they came.
   uint32_t next;
-} rct_recent_t;
+} rct_adapters_t;
 
-void rct_recent_finish (rct_recent_t *recent);
+void rct_adapters_finish (rct_adapters_t *recent);
 /// The engine restarted: its copies are gone.
-void rct_recent_clear (rct_recent_t *recent);
+void rct_adapters_clear (rct_adapters_t *recent);
 /// The engine holds an adapter now.
-void rct_note (rct_recent_t *recent, uint64_t key, uint32_t version);
+void rct_add (rct_adapters_t *recent, uint64_t key, uint32_t version);
 /// @return  Whether it held this version, or a newer one, not long ago.
-bool rct_was_held (const rct_recent_t *recent, uint64_t key, uint32_t version);
+bool rct_was_held (const rct_adapters_t *recent, uint64_t key,
+                   uint32_t version);
 
 #endif
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -18,7 +18,7 @@
 /// One target as it is listed.
 typedef struct
 {
-  inc_t who;
+  inc_t identity;
   char service[SRC_NAME_BYTES];
   char domain[SRC_NAME_BYTES];
   struct sockaddr_in address;
@@ -43,7 +43,7 @@
   uint64_t known_age_ms; ///< How old that knowledge is.
   uint64_t pause_ms;     ///< Between two reads of the store.
   uint64_t timeout_ms;   ///< The answer is of no use later.
-} src_ask_t;
+} src_changes_request_t;
 
 /// What a peer read for several gateways.
 typedef struct
@@ -61,10 +61,11 @@
 typedef struct
 {
   /// @return  Whether one of them could be asked now.
-  bool (*is_any) (src_peers_t *peers);
+  bool (*has_available) (src_peers_t *peers);
   /// Ask one of them. The source's on_changes is called once, never from
   /// within this call.
-  void (*ask) (src_peers_t *peers, const src_ask_t *ask);
+  void (*request_changes) (src_peers_t *peers,
+                           const src_changes_request_t *request);
 } src_peers_vtable_t;
 
 struct src_peers
@@ -88,8 +89,8 @@
   kb_slice_t value;
 } src_record_t;
 
-/// @param is_kept  False: it was not written, or that is not known.
-typedef void (*src_keep_done_t) (void *arg, bool is_kept);
+/// @param is_stored  False: it was not written, or that is not known.
+typedef void (*src_record_done_t) (void *arg, bool is_stored);
 
 typedef struct
 {
@@ -97,12 +98,12 @@
   /// @param document  The document it was decoded from, to be passed on.
   void (*on_config) (void *owner, svc_config_t *config, kb_slice_t document);
   void (*on_target) (void *owner, const src_target_t *target);
-  void (*on_target_gone) (void *owner, kb_slice_t id);
+  void (*on_target_removed) (void *owner, kb_slice_t id);
   void (*on_version) (void *owner, const src_version_t *version);
   /// A record is there, of this gateway or of another.
   void (*on_record) (void *owner, const src_record_t *record);
   /// All targets that are listed now have been told.
-  void (*on_targets_known) (void *owner);
+  void (*on_target_list_complete) (void *owner);
   void (*on_reachable) (void *owner, bool is_reachable);
 } src_events_t;
 
@@ -119,11 +120,11 @@
   void (*on_changes) (src_source_t *source, const src_changes_t *changes);
   /// Keep a record for a while, in place of one with its key. One at a time;
   /// `done` is called once, never from within this call.
-  void (*keep) (src_source_t *source, const src_record_t *record,
-                uint64_t lasts_ms, src_keep_done_t done, void *arg);
+  void (*store_record) (src_source_t *source, const src_record_t *record,
+                        uint64_t ttl_ms, src_record_done_t done, void *arg);
   /// @return  When the newest read of the store that was answered began, as
   ///          tmr_boot_ms tells it; zero: none was.
-  uint64_t (*known_boot_ms) (const src_source_t *source);
+  uint64_t (*last_read_boot_ms) (const src_source_t *source);
   /// Set the gauges of the metrics page.
   void (*set_gauges) (src_source_t *source);
 } src_vtable_t;
--- a/test/fuzz/fuzz_platform.c
+++ b/test/fuzz/fuzz_platform.c
@@ -23,7 +23,7 @@
   kb_error_t error = { 0 };
   src_target_t target;
   if (doc_decode_target (id, document, &target, &error) == KB_OK
-      && strcmp (id, target.who.id) != 0)
+      && strcmp (id, target.identity.id) != 0)
     abort ();
 }
 
--- a/test/unit/peers_test.cc
+++ b/test/unit/peers_test.cc
@@ -50,7 +50,7 @@
     kb_map_put (&gateway->links, gtw_link_key (kb_slice_str (sidecar.link)),
                 &sidecar);
     gateway->peers.id = 5;
-    gateway->peers.asked_ms = 1000;
+    gateway->peers.requested_ms = 1000;
     gateway->peers.link_key = gtw_link_key (kb_slice_str (sidecar.link));
   }
 
--- a/test/unit/platform_test.cc
+++ b/test/unit/platform_test.cc
@@ -140,7 +140,7 @@
                                 &target, &error),
              KB_OK)
       << error.message;
-  EXPECT_EQ (target.who.born_ms, 1785123800000u);
+  EXPECT_EQ (target.identity.born_ms, 1785123800000u);
   EXPECT_STREQ (target.domain, "d1");
   EXPECT_TRUE (target.is_leaving);
   EXPECT_NE (doc_decode_target ("i-1", slice (R"({"Service":"s1"})"), &target,
@@ -238,7 +238,7 @@
   text.erase (text.find (member), member.size ());
   ASSERT_EQ (doc_decode_target ("i-1", slice (text), &target, &error), KB_OK)
       << error.message;
-  EXPECT_EQ (target.who.born_ms, 0u);
+  EXPECT_EQ (target.identity.born_ms, 0u);
 }
 
 TEST (Report, ABirthThatIsNoWholeNumberIsNotSaid)
@@ -570,9 +570,9 @@
     dir_directory_init (&directory, &pool, &address, 2000);
     events.on_target = [] (void *owner, const src_target_t *target) {
       ((DirectoryTest *)owner)
-          ->told.push_back (std::string ("+") + target->who.id);
+          ->told.push_back (std::string ("+") + target->identity.id);
     };
-    events.on_target_gone = [] (void *owner, kb_slice_t id) {
+    events.on_target_removed = [] (void *owner, kb_slice_t id) {
       ((DirectoryTest *)owner)
           ->told.push_back ("-" + std::string (id.ptr, id.len_bytes));
     };
--- a/test/unit/recent_test.cc
+++ b/test/unit/recent_test.cc
@@ -15,45 +15,45 @@
   void
   TearDown () override
   {
-    rct_recent_finish (&recent);
+    rct_adapters_finish (&recent);
   }
-  rct_recent_t recent = {};
+  rct_adapters_t recent = {};
 };
 
-TEST_F (RecentTest, RemembersWhatWasHeld)
+TEST_F (RecentTest, RemembersHeldVersions)
 {
   EXPECT_FALSE (rct_was_held (&recent, 7, 0));
-  rct_note (&recent, 7, 3);
+  rct_add (&recent, 7, 3);
   EXPECT_TRUE (rct_was_held (&recent, 7, 0));
   EXPECT_TRUE (rct_was_held (&recent, 7, 3));
 }
 
 // A newer version of an adapter has to come from the weight store, also where
 // the older one was held.
-TEST_F (RecentTest, AnOlderVersionIsNoHelp)
+TEST_F (RecentTest, NewerVersionIsNotHeld)
 {
-  rct_note (&recent, 7, 3);
+  rct_add (&recent, 7, 3);
   EXPECT_FALSE (rct_was_held (&recent, 7, 4));
-  rct_note (&recent, 7, 4);
+  rct_add (&recent, 7, 4);
   EXPECT_TRUE (rct_was_held (&recent, 7, 4));
 }
 
-TEST_F (RecentTest, ARestartForgetsAll)
+TEST_F (RecentTest, ClearForgetsAll)
 {
-  rct_note (&recent, 7, 3);
-  rct_recent_clear (&recent);
+  rct_add (&recent, 7, 3);
+  rct_adapters_clear (&recent);
   EXPECT_FALSE (rct_was_held (&recent, 7, 0));
 }
 
 // A long life with many adapters must not fill the memory, and an adapter that
 // was held long ago is not counted on.
-TEST_F (RecentTest, TheOldestIsForgotten)
+TEST_F (RecentTest, OldestIsEvicted)
 {
-  for (uint64_t key = 1; key <= 3 * RCT_MAX; key++)
-    rct_note (&recent, key, 1);
-  EXPECT_FALSE (rct_was_held (&recent, 2 * RCT_MAX, 0));
-  EXPECT_TRUE (rct_was_held (&recent, 2 * RCT_MAX + 1, 0));
-  EXPECT_EQ (recent.versions.len, (uint32_t)RCT_MAX);
+  for (uint64_t key = 1; key <= 3 * RCT_MAX_ADAPTERS; key++)
+    rct_add (&recent, key, 1);
+  EXPECT_FALSE (rct_was_held (&recent, 2 * RCT_MAX_ADAPTERS, 0));
+  EXPECT_TRUE (rct_was_held (&recent, 2 * RCT_MAX_ADAPTERS + 1, 0));
+  EXPECT_EQ (recent.versions.len, (uint32_t)RCT_MAX_ADAPTERS);
 }
 
 } // namespace
