--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -584,7 +584,7 @@
 /// Give a sidecar what it lacks.
 void gtw_quarantine_help (gtw_gateway_t *gateway, const gtw_target_t *target);
 
-// gateway_keep.c
+// gateway_records.c
 void gtw_records_init (gtw_gateway_t *gateway);
 /// Keep at the platform what is known of a request now.
 void gtw_records_enqueue (gtw_gateway_t *gateway, uint64_t fingerprint);
