--- a/src/coordination/access.c
+++ b/src/coordination/access.c
@@ -6,46 +6,46 @@
 {
   /// Part of the bound after which keys are trusted no longer. The rest is for
   /// a store whose watches tell a change up to a second late.
-  TRUST_PERCENT = 70,
+  MAX_AGE_PERCENT = 70,
   PERCENT = 100,
 };
 
 uint64_t
-acc_trust_ms (uint64_t revoke_bound_ms)
+acc_max_age_ms (uint64_t revoke_bound_ms)
 {
-  return revoke_bound_ms * TRUST_PERCENT / PERCENT;
+  return revoke_bound_ms * MAX_AGE_PERCENT / PERCENT;
 }
 
 static bool
 is_stale (const acc_freshness_t *freshness)
 {
   return freshness->revoke_bound_ms > 0
-         && freshness->age_ms > acc_trust_ms (freshness->revoke_bound_ms);
+         && freshness->age_ms > acc_max_age_ms (freshness->revoke_bound_ms);
 }
 
-static acc_verdict_t
-judge_key (const wsp_table_t *table, const acc_request_t *request,
-           const acc_freshness_t *freshness)
+static acc_result_t
+authorize_key (const wsp_table_t *table, const acc_request_t *request,
+               const acc_freshness_t *freshness)
 {
   if (request->key_count != 1 || request->digest == NULL)
-    return (acc_verdict_t){ .outcome = ACC_NO_KEY };
+    return (acc_result_t){ .outcome = ACC_NO_KEY };
   // A key that is not known may have been added meanwhile.
   if (is_stale (freshness))
-    return (acc_verdict_t){ .outcome = ACC_STALE };
+    return (acc_result_t){ .outcome = ACC_STALE };
   const wsp_workspace_t *workspace = wsp_find (table, request->digest);
-  return (acc_verdict_t){ .outcome
-                          = workspace == NULL ? ACC_UNKNOWN_KEY : ACC_ADMITTED,
-                          .workspace = workspace };
+  return (acc_result_t){ .outcome
+                         = workspace == NULL ? ACC_UNKNOWN_KEY : ACC_ADMITTED,
+                         .workspace = workspace };
 }
 
-acc_verdict_t
-acc_judge (const wsp_table_t *table, const acc_request_t *request,
-           const acc_freshness_t *freshness)
+acc_result_t
+acc_authorize (const wsp_table_t *table, const acc_request_t *request,
+               const acc_freshness_t *freshness)
 {
-  acc_verdict_t verdict = judge_key (table, request, freshness);
+  acc_result_t result = authorize_key (table, request, freshness);
   // A request that needs no key is never refused for one; with a good key it
   // acts for that workspace.
   if (!table->are_keys_required || request->is_route_public)
-    verdict.outcome = ACC_ADMITTED;
-  return verdict;
+    result.outcome = ACC_ADMITTED;
+  return result;
 }
--- a/src/coordination/access.h
+++ b/src/coordination/access.h
@@ -42,12 +42,12 @@
   acc_outcome_t outcome;
   /// Of the key; NULL: the request belongs to none.
   const wsp_workspace_t *workspace;
-} acc_verdict_t;
+} acc_result_t;
 
 /// @return  The greatest age at which keys are still trusted.
-uint64_t acc_trust_ms (uint64_t revoke_bound_ms);
-acc_verdict_t acc_judge (const wsp_table_t *table,
-                         const acc_request_t *request,
-                         const acc_freshness_t *freshness);
+uint64_t acc_max_age_ms (uint64_t revoke_bound_ms);
+acc_result_t acc_authorize (const wsp_table_t *table,
+                            const acc_request_t *request,
+                            const acc_freshness_t *freshness);
 
 #endif
--- a/src/coordination/admit.c
+++ b/src/coordination/admit.c
@@ -32,7 +32,7 @@
   *table
       = (adm_table_t){ .options = *options, .held_for_ms = HELD_DEFAULT_MS };
   lns_lanes_init (&table->lanes, options->max_cold);
-  rdg_reading_init (&table->reading);
+  pfl_prefill_init (&table->reading);
 }
 
 void
@@ -221,7 +221,7 @@
   else
     table->first = ask;
   table->last = ask;
-  table->waiting_cost += rdg_cost (ask->prompt_tokens);
+  table->waiting_cost += pfl_cost_tokens (ask->prompt_tokens);
   table->waiting++;
   adm_adapter_t *adapter = ask->adapter;
   if (adapter == NULL)
@@ -248,7 +248,7 @@
   table->waiting_cost
       = table->waiting == 0
             ? 0
-            : table->waiting_cost - rdg_cost (ask->prompt_tokens);
+            : table->waiting_cost - pfl_cost_tokens (ask->prompt_tokens);
   if (ask->adapter != NULL)
     ask->adapter->waiting--;
 }
@@ -272,15 +272,16 @@
   if (!ask->is_reading)
     return;
   ask->is_reading = false;
-  aln_begun (&table->alone, &ask->alone, now_ms);
-  rdg_learn (&table->reading, ask->ahead_tokens,
-             (double)(now_ms - ask->granted_ms));
+  aln_first_byte (&table->alone, &ask->alone, now_ms);
+  pfl_record_first_event (&table->reading, ask->ahead_tokens,
+                          (double)(now_ms - ask->granted_ms));
 }
 
 uint64_t
 adm_backlog_us (const adm_table_t *table, uint64_t now_ms)
 {
-  double cost = rdg_left (&table->reading, now_ms) + table->waiting_cost;
+  double cost
+      = pfl_outstanding_tokens (&table->reading, now_ms) + table->waiting_cost;
   return (uint64_t)(cost * 1000 / table->reading.tokens_per_ms);
 }
 
@@ -298,7 +299,7 @@
 {
   aln_ended (&table->alone, &ask->alone);
   if (ask->is_reading)
-    rdg_take_back (&table->reading, rdg_cost (ask->prompt_tokens));
+    pfl_cancel (&table->reading, pfl_cost_tokens (ask->prompt_tokens));
   kb_map_remove (&table->asks, ask_key (ask->owner, ask->id));
   if (ask->granted_ms == 0)
     adm_waiting_remove (table, ask);
--- a/src/coordination/admit.h
+++ b/src/coordination/admit.h
@@ -98,8 +98,8 @@
   uint32_t waiting;
   uint32_t granted;
   uint64_t granted_tokens;
-  rdg_reading_t reading; ///< Of granted prompts.
-  double waiting_cost;   ///< Prompts of waiting requests, as rdg_cost.
+  pfl_prefill_t reading; ///< Of granted prompts.
+  double waiting_cost;   ///< Prompts of waiting requests, as pfl_cost_tokens.
   uint32_t held;
   uint32_t coming;
   uint32_t reserved;     ///< Places kept free for late orders.
--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -50,7 +50,7 @@
 adm_is_timely (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
 {
   double reading_ms
-      = rdg_cost (ask->prompt_tokens) / table->reading.tokens_per_ms;
+      = pfl_cost_tokens (ask->prompt_tokens) / table->reading.tokens_per_ms;
   return now_ms + (uint64_t)reading_ms + FIRST_EVENT_MS <= ask->objective_ms;
 }
 
@@ -74,20 +74,21 @@
 static double
 cost_ahead (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
 {
-  double own = rdg_left (&table->reading, now_ms);
+  double own = pfl_outstanding_tokens (&table->reading, now_ms);
   double urgent = 0;
   for (const adm_ask_t *other = table->first; other != NULL;
        other = other->next)
     {
       if (other == ask || !adm_is_before (table, other, ask, now_ms))
         continue;
-      double cost = rdg_cost (other->prompt_tokens);
+      double cost = pfl_cost_tokens (other->prompt_tokens);
       if (other->priority < ask->priority)
         urgent += cost;
       else
         own += cost;
     }
-  double most = ADM_URGENT_PARTS * (own + rdg_cost (ask->prompt_tokens));
+  double most
+      = ADM_URGENT_PARTS * (own + pfl_cost_tokens (ask->prompt_tokens));
   return own + fmin (urgent, most);
 }
 
@@ -141,13 +142,13 @@
   if (ask->adapter != NULL)
     forecast.load_ms = adm_load_wait_ms (table, ask->adapter, now_ms);
   double rate = table->reading.tokens_per_ms;
-  double pace = rate * pce_part (&table->reading.pace);
+  double pace = rate * pce_fraction (&table->reading.pace);
   double wait_ms = cost_ahead (table, ask, now_ms) / pace;
   double place_ms = place_wait_ms (table, ask, now_ms);
   forecast.place_ms = (uint64_t)place_ms;
   wait_ms = fmax (wait_ms, place_ms);
   wait_ms = fmax (wait_ms, (double)forecast.load_ms);
-  wait_ms += rdg_cost (ask->prompt_tokens) / rate;
+  wait_ms += pfl_cost_tokens (ask->prompt_tokens) / rate;
   forecast.first_ms = (uint64_t)wait_ms + FIRST_EVENT_MS;
   return forecast;
 }
--- a/src/coordination/admit_next.c
+++ b/src/coordination/admit_next.c
@@ -22,7 +22,8 @@
   bool has_memory = table->options.kv_tokens == 0 || table->granted == 0
                     || table->granted_tokens + ask->tokens <= limit;
   return has_memory
-         && rdg_fits (&table->reading, rdg_cost (ask->prompt_tokens), now_ms);
+         && pfl_can_dispatch (&table->reading,
+                              pfl_cost_tokens (ask->prompt_tokens), now_ms);
 }
 
 /// The most urgent waiting request whose adapter is there.
@@ -65,7 +66,7 @@
   bool is_its_turn
       = other != NULL
         && table->urgent_cost
-               >= ADM_URGENT_PARTS * rdg_cost (other->prompt_tokens);
+               >= ADM_URGENT_PARTS * pfl_cost_tokens (other->prompt_tokens);
   return is_its_turn ? other : first;
 }
 
@@ -73,7 +74,7 @@
 static void
 note_turn (adm_table_t *table, const adm_ask_t *granted, uint64_t now_ms)
 {
-  double cost = rdg_cost (granted->prompt_tokens);
+  double cost = pfl_cost_tokens (granted->prompt_tokens);
   if (passed_over (table, granted, now_ms) != NULL)
     table->urgent_cost += cost;
   else if (table->urgent_cost > ADM_URGENT_PARTS * cost)
@@ -96,7 +97,7 @@
 static adm_ask_t *
 choose_grant (adm_table_t *table, uint64_t now_ms)
 {
-  if (aln_is_kept (&table->alone, now_ms))
+  if (aln_is_exclusive (&table->alone, now_ms))
     return NULL;
   adm_ask_t *ask = choose_fitting (table, now_ms);
   bool may_start
@@ -283,8 +284,8 @@
       table->granted_tokens += ask->tokens;
       ask->is_reading = true;
       aln_started (&table->alone, &ask->alone, now_ms);
-      ask->ahead_tokens
-          = rdg_give (&table->reading, rdg_cost (ask->prompt_tokens), now_ms);
+      ask->ahead_tokens = pfl_dispatch (
+          &table->reading, pfl_cost_tokens (ask->prompt_tokens), now_ms);
       if (ask->adapter != NULL)
         ask->adapter->pins++;
       return (adm_action_t){ .kind = ADM_DO_GRANT, .ask = ask };
--- a/src/coordination/alone.c
+++ b/src/coordination/alone.c
@@ -6,39 +6,39 @@
 {
   /// Others are kept back for this long, though nothing comes: the request may
   /// wait for memory, or its gateway may be gone.
-  KEPT_MOST_MS = 1000,
+  MAX_BLOCK_MS = 1000,
   /// A request that is to begin alone keeps others back while those that are
-  /// beginning finish. One of these may hang; after this it is refused, and
+  /// starting finish. One of these may hang; after this it is refused, and
   /// another target is asked.
-  WAIT_MOST_MS = 500,
+  MAX_WAIT_MS = 500,
   /// A target rests from it for this many times as long as it took.
-  REST_PARTS = 4,
+  COOLDOWN_FACTOR = 4,
 };
 
 bool
-aln_is_kept (const aln_gate_t *gate, uint64_t now_ms)
+aln_is_exclusive (const aln_gate_t *gate, uint64_t now_ms)
 {
-  return now_ms < gate->until_ms;
+  return now_ms < gate->blocked_until_ms;
 }
 
-/// @return  Whether nobody is beginning.
+/// @return  Whether nobody is starting.
 static bool
-is_quiet (const aln_gate_t *gate, uint64_t now_ms)
+has_no_starting (const aln_gate_t *gate, uint64_t now_ms)
 {
-  bool is_over
-      = gate->begun_ms == 0 || now_ms - gate->begun_ms >= ALN_BEGUN_MS;
-  return gate->beginning == 0 && is_over;
+  bool has_started_up = gate->first_byte_ms == 0
+                        || now_ms - gate->first_byte_ms >= ALN_STARTUP_MS;
+  return gate->starting == 0 && has_started_up;
 }
 
 bool
 aln_may_start (aln_gate_t *gate, aln_request_t *request, uint64_t now_ms)
 {
-  if (aln_is_kept (gate, now_ms))
+  if (aln_is_exclusive (gate, now_ms))
     return false;
-  if (!request->is_alone || is_quiet (gate, now_ms))
+  if (!request->is_alone || has_no_starting (gate, now_ms))
     return true;
-  if (request->waited_ms == 0)
-    request->waited_ms = now_ms;
+  if (request->waiting_since_ms == 0)
+    request->waiting_since_ms = now_ms;
   return false;
 }
 
@@ -48,63 +48,68 @@
 {
   if (!request->is_alone)
     return false;
-  bool has_waited
-      = request->waited_ms > 0 && now_ms - request->waited_ms > WAIT_MOST_MS;
-  return has_waited || now_ms < gate->rest_until_ms;
+  bool has_waited = request->waiting_since_ms > 0
+                    && now_ms - request->waiting_since_ms > MAX_WAIT_MS;
+  return has_waited || now_ms < gate->cooldown_until_ms;
 }
 
 /// Others are, or were, kept back for a while: rest from that.
 static void
-rest_after (aln_gate_t *gate, uint64_t from_ms, uint64_t until_ms)
+cooldown_extend (aln_gate_t *gate, uint64_t blocked_since_ms,
+                 uint64_t blocked_until_ms)
 {
-  uint64_t rest_until_ms = until_ms + REST_PARTS * (until_ms - from_ms);
-  if (rest_until_ms > gate->rest_until_ms)
-    gate->rest_until_ms = rest_until_ms;
+  uint64_t cooldown_until_ms
+      = blocked_until_ms
+        + COOLDOWN_FACTOR * (blocked_until_ms - blocked_since_ms);
+  if (cooldown_until_ms > gate->cooldown_until_ms)
+    gate->cooldown_until_ms = cooldown_until_ms;
 }
 
 void
 aln_started (aln_gate_t *gate, aln_request_t *request, uint64_t now_ms)
 {
-  gate->beginning++;
-  request->is_beginning = true;
+  gate->starting++;
+  request->is_starting = true;
   if (!request->is_alone)
     return;
-  gate->who = request;
-  gate->from_ms = request->waited_ms > 0 ? request->waited_ms : now_ms;
-  request->waited_ms = 0;
-  gate->until_ms = now_ms + KEPT_MOST_MS;
-  rest_after (gate, gate->from_ms, gate->until_ms);
+  gate->exclusive = request;
+  gate->blocked_since_ms
+      = request->waiting_since_ms > 0 ? request->waiting_since_ms : now_ms;
+  request->waiting_since_ms = 0;
+  gate->blocked_until_ms = now_ms + MAX_BLOCK_MS;
+  cooldown_extend (gate, gate->blocked_since_ms, gate->blocked_until_ms);
 }
 
 void
-aln_begun (aln_gate_t *gate, aln_request_t *request, uint64_t now_ms)
+aln_first_byte (aln_gate_t *gate, aln_request_t *request, uint64_t now_ms)
 {
-  if (!request->is_beginning)
+  if (!request->is_starting)
     return;
-  request->is_beginning = false;
-  gate->beginning--;
-  gate->begun_ms = now_ms;
-  if (gate->who != request)
+  request->is_starting = false;
+  gate->starting--;
+  gate->first_byte_ms = now_ms;
+  if (gate->exclusive != request)
     return;
-  gate->who = NULL;
-  if (now_ms >= gate->until_ms)
+  gate->exclusive = NULL;
+  if (now_ms >= gate->blocked_until_ms)
     return;
-  gate->until_ms = now_ms + ALN_BEGUN_MS;
-  gate->rest_until_ms = 0;
-  rest_after (gate, gate->from_ms, gate->until_ms);
+  gate->blocked_until_ms = now_ms + ALN_STARTUP_MS;
+  gate->cooldown_until_ms = 0;
+  cooldown_extend (gate, gate->blocked_since_ms, gate->blocked_until_ms);
 }
 
 void
 aln_ended (aln_gate_t *gate, aln_request_t *request)
 {
-  bool has_started = request->is_beginning || gate->who == request;
-  gate->beginning -= request->is_beginning;
-  request->is_beginning = false;
+  bool has_started = request->is_starting || gate->exclusive == request;
+  gate->starting -= request->is_starting;
+  request->is_starting = false;
   // It kept others back in vain.
-  if (!has_started && request->waited_ms > 0)
-    rest_after (gate, request->waited_ms, request->waited_ms + WAIT_MOST_MS);
-  if (gate->who != request)
+  if (!has_started && request->waiting_since_ms > 0)
+    cooldown_extend (gate, request->waiting_since_ms,
+                     request->waiting_since_ms + MAX_WAIT_MS);
+  if (gate->exclusive != request)
     return;
-  gate->who = NULL;
-  gate->until_ms = 0;
+  gate->exclusive = NULL;
+  gate->blocked_until_ms = 0;
 }
--- a/src/coordination/backpressure.c
+++ b/src/coordination/backpressure.c
@@ -4,9 +4,9 @@
     = { .window_s = 4, .overshoot = 0.5, .slack = 5 };
 
 /// Least rate at which a target is used.
-static const double LEAST_PER_S = 0.1;
+static const double MIN_PER_S = 0.1;
 /// A limit beyond is none.
-static const double MOST_PER_S = 1e6;
+static const double MAX_PER_S = 1e6;
 /// Requests that may start at one moment, beside those of this time.
 static const double BURST = 1;
 static const double BURST_S = 0.25;
@@ -18,41 +18,41 @@
 }
 
 bool
-bkp_limit_told (bkp_limit_t *limit, const bkp_limit_t *told)
+bkp_limit_merge (bkp_limit_t *limit, const bkp_limit_t *other)
 {
-  if (told->at_ms <= limit->at_ms)
+  if (other->at_ms <= limit->at_ms)
     return false;
-  bool is_change = !is_same (limit, told);
-  *limit = *told;
+  bool is_change = !is_same (limit, other);
+  *limit = *other;
   return is_change;
 }
 
 bool
-bkp_limit_heard (bkp_limit_t *limit, double per_s, uint64_t sent_ms,
-                 uint64_t now_ms)
+bkp_limit_apply_answer (bkp_limit_t *limit, double per_s, uint64_t sent_ms,
+                        uint64_t now_ms)
 {
-  bool is_limited = per_s >= 0 && per_s <= MOST_PER_S;
+  bool is_limited = per_s >= 0 && per_s <= MAX_PER_S;
   bkp_limit_t stated = { .is_limited = is_limited,
                          .per_s = is_limited ? per_s : 0,
                          // An answer without a limit may have been overtaken
                          // by one that states it, but was not given before
                          // its request was sent.
                          .at_ms = is_limited ? now_ms : sent_ms };
-  return bkp_limit_told (limit, &stated);
+  return bkp_limit_merge (limit, &stated);
 }
 
 double
 bkp_limit_rate_per_s (const bkp_limit_t *limit)
 {
-  return limit->per_s > LEAST_PER_S ? limit->per_s : LEAST_PER_S;
+  return limit->per_s > MIN_PER_S ? limit->per_s : MIN_PER_S;
 }
 
 bool
-bkp_meter_told (bkp_meter_t *meter, const bkp_limit_t *told, uint64_t now_ms)
+bkp_meter_merge (bkp_meter_t *meter, const bkp_limit_t *other, uint64_t now_ms)
 {
-  if (!bkp_limit_told (&meter->limit, told))
+  if (!bkp_limit_merge (&meter->limit, other))
     return false;
-  double per_s = told->is_limited ? bkp_limit_rate_per_s (&meter->limit) : 0;
+  double per_s = other->is_limited ? bkp_limit_rate_per_s (&meter->limit) : 0;
   if (meter->starts.rate_per_s <= 0)
     lim_bucket_init (&meter->starts, per_s, BURST, now_ms);
   lim_bucket_set_rate (&meter->starts, per_s, BURST + BURST_S * per_s, now_ms);
--- a/src/coordination/backpressure.h
+++ b/src/coordination/backpressure.h
@@ -24,11 +24,11 @@
 /// @param per_s    Negative: it states no limit, and takes all requests.
 /// @param sent_ms  When its request was sent.
 /// @return         Whether another limit, or none, holds from now on.
-bool bkp_limit_heard (bkp_limit_t *limit, double per_s, uint64_t sent_ms,
-                      uint64_t now_ms);
+bool bkp_limit_apply_answer (bkp_limit_t *limit, double per_s,
+                             uint64_t sent_ms, uint64_t now_ms);
 /// Take what another caller of the target knows, by the own clock.
 /// @return  As above.
-bool bkp_limit_told (bkp_limit_t *limit, const bkp_limit_t *told);
+bool bkp_limit_merge (bkp_limit_t *limit, const bkp_limit_t *other);
 
 /// How far a target may get more than it takes, whatever fails: over 4 s, half
 /// as much again and five requests.
@@ -46,9 +46,9 @@
 
 /// Take what is known of the limit; an older word changes nothing.
 /// @param now_ms  Of the clock that tells when requests start.
-/// @return        As bkp_limit_told.
-bool bkp_meter_told (bkp_meter_t *meter, const bkp_limit_t *told,
-                     uint64_t now_ms);
+/// @return        As bkp_limit_merge.
+bool bkp_meter_merge (bkp_meter_t *meter, const bkp_limit_t *other,
+                      uint64_t now_ms);
 /// @param ahead  Requests that start before.
 /// @return       Time until one more request may start.
 uint64_t bkp_meter_wait_ms (const bkp_meter_t *meter, uint32_t ahead,
--- a/src/coordination/budget.c
+++ b/src/coordination/budget.c
@@ -4,7 +4,7 @@
 
 /// Part of the budget that is used. Requests of a window are counted at the
 /// targets, a little later than here, and gateways differ in their share.
-static const double USED_PART = 0.7;
+static const double USABLE_FRACTION = 0.7;
 
 void
 bud_budget_init (bud_budget_t *budget, const bud_options_t *options)
@@ -13,47 +13,49 @@
 }
 
 static void
-budget_turn (bud_budget_t *budget, uint64_t now_ms)
+budget_advance (bud_budget_t *budget, uint64_t now_ms)
 {
-  uint64_t step = now_ms / (budget->options.window_ms / BUD_STEPS + 1);
-  uint64_t passed = step - budget->step;
-  budget->step = step;
-  if (passed > BUD_STEPS)
-    passed = BUD_STEPS;
-  for (uint64_t i = 0; i < passed; i++)
+  uint64_t bucket = now_ms / (budget->options.window_ms / BUD_BUCKETS + 1);
+  uint64_t elapsed = bucket - budget->bucket;
+  budget->bucket = bucket;
+  if (elapsed > BUD_BUCKETS)
+    elapsed = BUD_BUCKETS;
+  for (uint64_t i = 0; i < elapsed; i++)
     {
-      budget->firsts[(step - i) % BUD_STEPS] = 0;
-      budget->repeats[(step - i) % BUD_STEPS] = 0;
+      budget->requests[(bucket - i) % BUD_BUCKETS] = 0;
+      budget->retries[(bucket - i) % BUD_BUCKETS] = 0;
     }
 }
 
 void
-bud_note_first (bud_budget_t *budget, uint64_t now_ms)
+bud_record_request (bud_budget_t *budget, uint64_t now_ms)
 {
-  budget_turn (budget, now_ms);
-  budget->firsts[budget->step % BUD_STEPS]++;
+  budget_advance (budget, now_ms);
+  budget->requests[budget->bucket % BUD_BUCKETS]++;
 }
 
 double
-bud_left (bud_budget_t *budget, uint32_t sharers, uint64_t now_ms)
+bud_remaining (bud_budget_t *budget, uint32_t gateway_count, uint64_t now_ms)
 {
-  budget_turn (budget, now_ms);
-  double firsts = 0;
-  double repeats = 0;
-  for (uint32_t i = 0; i < BUD_STEPS; i++)
+  budget_advance (budget, now_ms);
+  double requests = 0;
+  double retries = 0;
+  for (uint32_t i = 0; i < BUD_BUCKETS; i++)
     {
-      firsts += budget->firsts[i];
-      repeats += budget->repeats[i];
+      requests += budget->requests[i];
+      retries += budget->retries[i];
     }
-  double slack = budget->options.slack / (sharers > 0 ? sharers : 1);
-  return USED_PART * (budget->options.ratio * firsts + slack) - repeats;
+  double slack
+      = budget->options.slack / (gateway_count > 0 ? gateway_count : 1);
+  return USABLE_FRACTION * (budget->options.ratio * requests + slack)
+         - retries;
 }
 
 bool
-bud_take_repeat (bud_budget_t *budget, uint32_t sharers, uint64_t now_ms)
+bud_take_retry (bud_budget_t *budget, uint32_t gateway_count, uint64_t now_ms)
 {
-  if (bud_left (budget, sharers, now_ms) < 1)
+  if (bud_remaining (budget, gateway_count, now_ms) < 1)
     return false;
-  budget->repeats[budget->step % BUD_STEPS]++;
+  budget->retries[budget->bucket % BUD_BUCKETS]++;
   return true;
 }
--- a/src/coordination/budget.h
+++ b/src/coordination/budget.h
@@ -1,6 +1,6 @@
 /// @file budget.h
 /// The retry budget of a fleet, as one gateway keeps its share of it: in any
-/// window, repeats at a service stay below a ratio of its requests plus a
+/// window, retries at a service stay below a ratio of its requests plus a
 /// slack that all gateways share. No I/O.
 #ifndef KB_COORDINATION_BUDGET_H
 #define KB_COORDINATION_BUDGET_H
@@ -10,7 +10,7 @@
 
 enum
 {
-  BUD_STEPS = 20, ///< Steps a window is counted in.
+  BUD_BUCKETS = 20, ///< Steps a window is counted in.
 };
 
 typedef struct
@@ -23,18 +23,20 @@
 typedef struct
 {
   bud_options_t options;
-  uint32_t firsts[BUD_STEPS];
-  uint32_t repeats[BUD_STEPS];
-  uint64_t step; ///< Number of the present step.
+  uint32_t requests[BUD_BUCKETS];
+  uint32_t retries[BUD_BUCKETS];
+  uint64_t bucket; ///< Number of the present bucket.
 } bud_budget_t;
 
 void bud_budget_init (bud_budget_t *budget, const bud_options_t *options);
-void bud_note_first (bud_budget_t *budget, uint64_t now_ms);
+void bud_record_request (bud_budget_t *budget, uint64_t now_ms);
 /// Take one repeat.
-/// @param sharers  Gateways that draw on the budget, at least one.
+/// @param gateway_count  Gateways that draw on the budget, at least one.
 /// @return         False when it is used up.
-bool bud_take_repeat (bud_budget_t *budget, uint32_t sharers, uint64_t now_ms);
+bool bud_take_retry (bud_budget_t *budget, uint32_t gateway_count,
+                     uint64_t now_ms);
 /// @return  Repeats that are left now.
-double bud_left (bud_budget_t *budget, uint32_t sharers, uint64_t now_ms);
+double bud_remaining (bud_budget_t *budget, uint32_t gateway_count,
+                      uint64_t now_ms);
 
 #endif
--- a/src/coordination/lateorder.h
+++ b/src/coordination/lateorder.h
@@ -14,9 +14,9 @@
 
 enum
 {
-  LTO_MAX = 16,
+  LTO_MAX_ORDERS = 16,
   /// Orders without an answer are carried out up to 12 s later.
-  LTO_LATE_MS = 15000,
+  LTO_MAX_DELAY_MS = 15000,
 };
 
 /// A load that got no answer.
@@ -29,14 +29,14 @@
 
 typedef struct
 {
-  lto_order_t present[LTO_MAX]; ///< To the engine as it lives now.
-  lto_order_t earlier[LTO_MAX]; ///< To its lives before.
+  lto_order_t current[LTO_MAX_ORDERS];  ///< To the engine as it lives now.
+  lto_order_t previous[LTO_MAX_ORDERS]; ///< To its lives before.
 } lto_orders_t;
 
 /// A load got no answer.
 /// @param engine  Hash of the id that it names; zero: it names none.
-void lto_note (lto_orders_t *orders, uint64_t engine, uint64_t expected,
-               uint64_t now_ms);
+void lto_record (lto_orders_t *orders, uint64_t engine, uint64_t expected,
+                 uint64_t now_ms);
 /// The engine started again.
 void lto_restarted (lto_orders_t *orders);
 /// @param engine  Hash of the engine's id; zero: not known yet. An engine
--- a/src/coordination/pace.h
+++ b/src/coordination/pace.h
@@ -11,24 +11,24 @@
 
 typedef struct
 {
-  double accepted_ms; ///< Longest pause between events; zero: not known.
-  double gaps;        ///< Between events, the newest weigh most.
-  double gaps_ms;     ///< Their length, less what was spent on reading.
-  double busy_part;   ///< Of the engine's recent time spent on reading.
-  uint64_t busy_ms;   ///< When that was last updated.
+  double max_gap_ms;       ///< Longest pause between events; zero: not known.
+  double gaps;             ///< Between events, the newest weigh most.
+  double gaps_ms;          ///< Their length, less what was spent on reading.
+  double prefill_fraction; ///< Of the engine's recent time spent on reading.
+  uint64_t prefill_updated_ms; ///< When that was last updated.
 } pce_pace_t;
 
 void pce_pace_init (pce_pace_t *pace);
-/// @param accepted_ms  Zero: no route says.
-void pce_accept (pce_pace_t *pace, uint32_t accepted_ms);
+/// @param max_gap_ms  Zero: no route says.
+void pce_set_max_gap (pce_pace_t *pace, uint32_t max_gap_ms);
 /// A prompt was given out that takes this long to read.
-void pce_note_reading (pce_pace_t *pace, double reading_ms, uint64_t now_ms);
+void pce_record_prefill (pce_pace_t *pace, double reading_ms, uint64_t now_ms);
 /// A stream ended.
 /// @param gaps     Between its events.
 /// @param took_ms  From its first event to its last.
-void pce_note_stream (pce_pace_t *pace, uint32_t gaps, uint64_t took_ms,
-                      uint64_t now_ms);
+void pce_record_stream (pce_pace_t *pace, uint32_t gaps, uint64_t took_ms,
+                        uint64_t now_ms);
 /// @return  Part of the reading rate to give prompts out at, below one.
-double pce_part (const pce_pace_t *pace);
+double pce_fraction (const pce_pace_t *pace);
 
 #endif
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -128,7 +128,7 @@
 {
   if (v->tokens_per_ms <= 0)
     return 0;
-  double reading_ms = rdg_cost (prompt_tokens) / v->tokens_per_ms;
+  double reading_ms = pfl_cost_tokens (prompt_tokens) / v->tokens_per_ms;
   double part = (reading_ms - PAUSE_FREE_MS) / (PAUSE_FULL_MS - PAUSE_FREE_MS);
   if (part <= 0)
     return 0;
--- a/src/coordination/roster.c
+++ b/src/coordination/roster.c
@@ -10,9 +10,9 @@
   /// Many targets that vanish at one moment, without a gap seen here, are
   /// more likely lapsed than gone. They are kept for as long, and for this
   /// part of the bound for leaving targets at most.
-  MASS_RETURN_MS = 800,
-  MASS_RETURN_PERCENT = 40,
-  MASS_COUNT = 3,
+  MASS_LOSS_RETAIN_MS = 800,
+  MASS_LOSS_RETAIN_PERCENT = 40,
+  MIN_MASS_LOSS = 3,
 };
 
 static uint64_t
@@ -22,17 +22,17 @@
 }
 
 uint64_t
-ros_mass_return_ms (uint64_t leave_bound_ms)
+ros_mass_loss_retain_ms (uint64_t leave_bound_ms)
 {
-  uint64_t return_ms = leave_bound_ms * MASS_RETURN_PERCENT / 100;
-  return return_ms < MASS_RETURN_MS ? return_ms : MASS_RETURN_MS;
+  uint64_t retain_ms = leave_bound_ms * MASS_LOSS_RETAIN_PERCENT / 100;
+  return retain_ms < MASS_LOSS_RETAIN_MS ? retain_ms : MASS_LOSS_RETAIN_MS;
 }
 
 void
 ros_init (ros_roster_t *roster, uint64_t leave_bound_ms)
 {
-  *roster = (ros_roster_t){ .mass_return_ms
-                            = ros_mass_return_ms (leave_bound_ms) };
+  *roster = (ros_roster_t){ .mass_loss_retain_ms
+                            = ros_mass_loss_retain_ms (leave_bound_ms) };
 }
 
 void
@@ -46,40 +46,40 @@
 }
 
 bool
-ros_may_list (const ros_roster_t *roster, const inc_t *who)
+ros_can_list (const ros_roster_t *roster, const inc_t *incarnation)
 {
   const ros_entry_t *entry
-      = kb_map_get (&roster->entries, entry_key (who->id));
-  return entry == NULL || !entry->tells_birth || who->born_ms > 0;
+      = kb_map_get (&roster->entries, entry_key (incarnation->id));
+  return entry == NULL || !entry->has_birth_time || incarnation->born_ms > 0;
 }
 
 bool
-ros_list (ros_roster_t *roster, const inc_t *who)
+ros_list (ros_roster_t *roster, const inc_t *incarnation)
 {
-  uint64_t key = entry_key (who->id);
+  uint64_t key = entry_key (incarnation->id);
   ros_entry_t *entry = kb_map_get (&roster->entries, key);
   bool is_new = entry == NULL;
   if (is_new)
     {
       entry = kb_alloc (sizeof *entry);
       *entry = (ros_entry_t){ 0 };
-      snprintf (entry->id, sizeof entry->id, "%s", who->id);
+      snprintf (entry->id, sizeof entry->id, "%s", incarnation->id);
       kb_map_put (&roster->entries, key, entry);
     }
-  entry->tells_birth = entry->tells_birth || who->born_ms > 0;
+  entry->has_birth_time = entry->has_birth_time || incarnation->born_ms > 0;
   entry->remove_at_ms = 0;
   entry->range_mark = roster->range_count;
   return is_new;
 }
 
 uint64_t
-ros_removal_ms (const ros_roster_t *roster, uint32_t vanished,
-                uint64_t lapsed_until_ms, uint64_t now_ms)
+ros_removal_ms (const ros_roster_t *roster, uint32_t missing_count,
+                uint64_t retain_until_ms, uint64_t now_ms)
 {
   uint64_t at_ms = now_ms;
-  if (vanished >= MASS_COUNT)
-    at_ms += roster->mass_return_ms;
-  return lapsed_until_ms > at_ms ? lapsed_until_ms : at_ms;
+  if (missing_count >= MIN_MASS_LOSS)
+    at_ms += roster->mass_loss_retain_ms;
+  return retain_until_ms > at_ms ? retain_until_ms : at_ms;
 }
 
 void
@@ -103,15 +103,15 @@
 }
 
 void
-ros_range_end (ros_roster_t *roster, uint64_t lapsed_until_ms, uint64_t now_ms)
+ros_range_end (ros_roster_t *roster, uint64_t retain_until_ms, uint64_t now_ms)
 {
-  uint32_t vanished = 0;
+  uint32_t missing_count = 0;
   uint32_t at = 0;
   for (ros_entry_t *entry = kb_map_next (&roster->entries, &at); entry != NULL;
        entry = kb_map_next (&roster->entries, &at))
-    vanished += is_missing (roster, entry);
+    missing_count += is_missing (roster, entry);
   uint64_t remove_at_ms
-      = ros_removal_ms (roster, vanished, lapsed_until_ms, now_ms);
+      = ros_removal_ms (roster, missing_count, retain_until_ms, now_ms);
   at = 0;
   for (ros_entry_t *entry = kb_map_next (&roster->entries, &at); entry != NULL;
        entry = kb_map_next (&roster->entries, &at))
@@ -120,7 +120,7 @@
 }
 
 bool
-ros_take_gone (ros_roster_t *roster, uint64_t now_ms, char id[INC_ID_BYTES])
+ros_pop_expired (ros_roster_t *roster, uint64_t now_ms, char id[INC_ID_BYTES])
 {
   uint32_t at = 0;
   for (ros_entry_t *entry = kb_map_next (&roster->entries, &at); entry != NULL;
@@ -137,7 +137,7 @@
 }
 
 bool
-ros_is_pending (const ros_roster_t *roster)
+ros_has_pending_removals (const ros_roster_t *roster)
 {
   uint32_t at = 0;
   for (const ros_entry_t *entry = kb_map_next (&roster->entries, &at);
--- a/src/coordination/rto.c
+++ b/src/coordination/rto.c
@@ -12,13 +12,13 @@
 {
   /// An answer that is lost says nothing of the time that answers take; from
   /// the third lost one in a row on the peer is taken to have become slower.
-  UNANSWERED_FREE = 2,
+  TOLERATED_LOSSES = 2,
 };
 
 void
-rto_init (rto_timeout_t *timeout, uint32_t least_ms, uint32_t most_ms)
+rto_init (rto_timeout_t *timeout, uint32_t min_ms, uint32_t max_ms)
 {
-  *timeout = (rto_timeout_t){ .least_ms = least_ms, .most_ms = most_ms };
+  *timeout = (rto_timeout_t){ .min_ms = min_ms, .max_ms = max_ms };
 }
 
 void
@@ -48,12 +48,12 @@
 rto_ms (const rto_timeout_t *timeout)
 {
   if (timeout->mean_ms <= 0)
-    return timeout->most_ms;
+    return timeout->max_ms;
   double ms = timeout->mean_ms + DEVIATIONS * timeout->deviation_ms;
-  if (ms < timeout->least_ms)
-    ms = timeout->least_ms;
-  for (uint32_t i = UNANSWERED_FREE;
-       i < timeout->unanswered && ms < timeout->most_ms; i++)
+  if (ms < timeout->min_ms)
+    ms = timeout->min_ms;
+  for (uint32_t i = TOLERATED_LOSSES;
+       i < timeout->unanswered && ms < timeout->max_ms; i++)
     ms *= 2;
-  return ms < timeout->most_ms ? (uint32_t)ms : timeout->most_ms;
+  return ms < timeout->max_ms ? (uint32_t)ms : timeout->max_ms;
 }
--- a/src/coordination/rto.h
+++ b/src/coordination/rto.h
@@ -13,12 +13,12 @@
   double mean_ms; ///< Zero: no answer yet.
   double deviation_ms;
   uint32_t unanswered; ///< Calls in a row.
-  uint32_t least_ms;
-  uint32_t most_ms; ///< Also before any answer.
+  uint32_t min_ms;
+  uint32_t max_ms; ///< Also before any answer.
 } rto_timeout_t;
 
-/// @param least_ms  Never shorter: the granularity of the caller's clock.
-void rto_init (rto_timeout_t *timeout, uint32_t least_ms, uint32_t most_ms);
+/// @param min_ms  Never shorter: the granularity of the caller's clock.
+void rto_init (rto_timeout_t *timeout, uint32_t min_ms, uint32_t max_ms);
 void rto_answered (rto_timeout_t *timeout, uint64_t took_ms);
 void rto_unanswered (rto_timeout_t *timeout);
 /// @return  Timeout of the next call, milliseconds.
--- a/src/coordination/share.c
+++ b/src/coordination/share.c
@@ -6,11 +6,11 @@
 {
   /// An answer must be fresher than what the gateway knows by this part of its
   /// pause; otherwise both would exchange words without end.
-  GAIN_PART = 8,
-  /// Equal tellings that are passed on: an older birth is believed when it is
-  /// told INC_INSIST times in a row, and some of these may be missed. After
+  MIN_GAIN_DIVISOR = 8,
+  /// Equal repeat_count that are passed on: an older birth is believed when it
+  /// is told INC_INSIST times in a row, and some of these may be missed. After
   /// them a heartbeat is no news.
-  PASSED_TELLINGS = 8,
+  MAX_FORWARDED_REPEATS = 8,
 };
 
 void
@@ -40,61 +40,64 @@
 }
 
 bool
-shr_ask_add (shr_cache_t *cache, const shr_ask_t *ask)
+shr_request_add (shr_cache_t *cache, const shr_request_t *request)
 {
   uint32_t at = 0;
-  while (at < cache->ask_count
-         && strcmp (cache->asks[at].gateway, ask->gateway) != 0)
+  while (at < cache->request_count
+         && strcmp (cache->requests[at].gateway, request->gateway) != 0)
     at++;
-  if (at == SHR_MAX_ASKS)
+  if (at == SHR_MAX_REQUESTS)
     return false;
-  if (at == cache->ask_count)
-    cache->ask_count++;
-  cache->asks[at] = *ask;
+  if (at == cache->request_count)
+    cache->request_count++;
+  cache->requests[at] = *request;
   if (cache->as_of == 0)
     {
-      cache->as_of = ask->after;
-      cache->floor = ask->after;
+      cache->as_of = request->after;
+      cache->floor_revision = request->after;
     }
   return true;
 }
 
 /// @return  Whether what is known here is fresher than what the gateway knows.
 static bool
-is_fresher (const shr_cache_t *cache, const shr_ask_t *ask, uint64_t now_ms)
+is_fresher (const shr_cache_t *cache, const shr_request_t *request,
+            uint64_t now_ms)
 {
-  if (cache->began_ms == 0)
+  if (cache->read_began_ms == 0)
     return false;
-  uint64_t its_age_ms = ask->known_age_ms + (now_ms - ask->arrived_ms);
-  uint64_t own_age_ms = now_ms - cache->began_ms;
-  return own_age_ms + ask->pause_ms / GAIN_PART <= its_age_ms;
+  uint64_t requester_age_ms
+      = request->known_age_ms + (now_ms - request->arrived_ms);
+  uint64_t cache_age_ms = now_ms - cache->read_began_ms;
+  return cache_age_ms + request->pause_ms / MIN_GAIN_DIVISOR
+         <= requester_age_ms;
 }
 
-/// @return  Whether an ask can be answered now.
+/// @return  Whether an request can be answered now.
 static bool
-ask_judge (const shr_cache_t *cache, const shr_ask_t *ask, uint64_t now_ms,
-           shr_verdict_t *verdict)
+request_resolve (const shr_cache_t *cache, const shr_request_t *request,
+                 uint64_t now_ms, shr_status_t *verdict)
 {
-  *verdict = SHR_NO_ANSWER;
-  if (ask->is_refused)
+  *verdict = SHR_READ_FAILED;
+  if (request->is_read_failed)
     return true;
-  *verdict = SHR_BEHIND;
-  if (ask->after < cache->floor)
+  *verdict = SHR_TOO_OLD;
+  if (request->after < cache->floor_revision)
     return true;
-  *verdict = SHR_KNOWN;
-  return is_fresher (cache, ask, now_ms);
+  *verdict = SHR_CHANGES_KNOWN;
+  return is_fresher (cache, request, now_ms);
 }
 
 bool
-shr_ask_take (shr_cache_t *cache, uint64_t now_ms, shr_ask_t *out,
-              shr_verdict_t *verdict)
+shr_request_pop (shr_cache_t *cache, uint64_t now_ms, shr_request_t *out,
+                 shr_status_t *verdict)
 {
-  for (uint32_t i = 0; i < cache->ask_count; i++)
+  for (uint32_t i = 0; i < cache->request_count; i++)
     {
-      if (!ask_judge (cache, &cache->asks[i], now_ms, verdict))
+      if (!request_resolve (cache, &cache->requests[i], now_ms, verdict))
         continue;
-      *out = cache->asks[i];
-      cache->asks[i] = cache->asks[--cache->ask_count];
+      *out = cache->requests[i];
+      cache->requests[i] = cache->requests[--cache->request_count];
       return true;
     }
   return false;
@@ -103,13 +106,13 @@
 uint64_t
 shr_due_ms (const shr_cache_t *cache)
 {
-  if (cache->is_reading || cache->ask_count == 0)
+  if (cache->is_reading || cache->request_count == 0)
     return UINT64_MAX;
   uint64_t pause_ms = UINT64_MAX;
-  for (uint32_t i = 0; i < cache->ask_count; i++)
-    if (cache->asks[i].pause_ms < pause_ms)
-      pause_ms = cache->asks[i].pause_ms;
-  return cache->began_ms == 0 ? 0 : cache->began_ms + pause_ms;
+  for (uint32_t i = 0; i < cache->request_count; i++)
+    if (cache->requests[i].pause_ms < pause_ms)
+      pause_ms = cache->requests[i].pause_ms;
+  return cache->read_began_ms == 0 ? 0 : cache->read_began_ms + pause_ms;
 }
 
 bool
@@ -124,7 +127,7 @@
 }
 
 static shr_item_t *
-item_need (shr_cache_t *cache, kb_slice_t key)
+item_ensure (shr_cache_t *cache, kb_slice_t key)
 {
   uint64_t hash = kb_hash (key.ptr, key.len_bytes, 0) | 1;
   shr_item_t *item = kb_map_get (&cache->items, hash);
@@ -137,14 +140,14 @@
 }
 
 static void
-change_take (shr_cache_t *cache, const shr_change_t *change)
+change_apply (shr_cache_t *cache, const shr_change_t *change)
 {
-  shr_item_t *item = item_need (cache, change->key);
-  bool is_same = item->tellings > 0 && item->digest == change->digest
+  shr_item_t *item = item_ensure (cache, change->key);
+  bool is_same = item->repeat_count > 0 && item->digest == change->digest
                  && item->is_gone == change->is_gone;
-  if (is_same && item->tellings == PASSED_TELLINGS)
+  if (is_same && item->repeat_count == MAX_FORWARDED_REPEATS)
     return;
-  item->tellings = is_same ? item->tellings + 1 : 1;
+  item->repeat_count = is_same ? item->repeat_count + 1 : 1;
   item->digest = change->digest;
   item->is_gone = change->is_gone;
   item->revision = change->revision;
@@ -154,14 +157,14 @@
 
 /// Keep nothing: who lacks older changes reads the store itself.
 static void
-cache_forget (shr_cache_t *cache, uint64_t as_of)
+cache_reset (shr_cache_t *cache, uint64_t as_of)
 {
   items_clear (cache);
-  cache->floor = as_of;
+  cache->floor_revision = as_of;
   cache->as_of = as_of;
-  // What was read up to now does not cover what a later ask begins behind.
+  // What was read up to now does not cover what a later request begins behind.
   if (as_of == 0)
-    cache->began_ms = 0;
+    cache->read_began_ms = 0;
 }
 
 void
@@ -169,26 +172,26 @@
                    uint32_t count, uint64_t as_of, uint64_t config_revision)
 {
   cache->is_reading = false;
-  cache->began_ms = cache->reading_since_ms;
+  cache->read_began_ms = cache->reading_since_ms;
   for (uint32_t i = 0; i < count; i++)
-    change_take (cache, &changes[i]);
+    change_apply (cache, &changes[i]);
   if (as_of > cache->as_of)
     cache->as_of = as_of;
   if (config_revision > cache->config_revision)
     cache->config_revision = config_revision;
   if (cache->items.len > SHR_MAX_ITEMS)
-    cache_forget (cache, cache->as_of);
+    cache_reset (cache, cache->as_of);
 }
 
 void
 shr_read_failed (shr_cache_t *cache, bool is_history_gone)
 {
   cache->is_reading = false;
-  for (uint32_t i = 0; i < cache->ask_count; i++)
-    cache->asks[i].is_refused = true;
-  // Begins again behind the next ask.
+  for (uint32_t i = 0; i < cache->request_count; i++)
+    cache->requests[i].is_read_failed = true;
+  // Begins again behind the next request.
   if (is_history_gone)
-    cache_forget (cache, 0);
+    cache_reset (cache, 0);
 }
 
 const shr_item_t *
--- a/src/coordination/share.h
+++ b/src/coordination/share.h
@@ -5,9 +5,9 @@
 /// domain.
 ///
 /// The cache keeps the changes of a while and reads on only while somebody
-/// asks. An ask is kept until the cache knows something fresher than the one
-/// who asks. Each answer says when the read behind it began, so that the
-/// receiver judges its age; that an answer arrives proves nothing.
+/// requests. An request is kept until the cache knows something fresher than
+/// the one who requests. Each answer says when the read behind it began, so
+/// that the receiver judges its age; that an answer arrives proves nothing.
 ///
 /// No I/O. Time is an argument, from a clock that also counts while the VM is
 /// suspended: with one that stands still, a read from before would look fresh
@@ -24,7 +24,7 @@
 enum
 {
   SHR_NAME_BYTES = 48,
-  SHR_MAX_ASKS = 128,
+  SHR_MAX_REQUESTS = 128,
   /// Read the store again for the rest: a cache is no second store.
   SHR_MAX_ITEMS = 4096,
 };
@@ -46,11 +46,11 @@
   kb_buf_t value;
   uint64_t revision; ///< Of the last telling that was passed on.
   uint64_t digest;
-  uint32_t tellings; ///< In a row with this digest.
+  uint32_t repeat_count; ///< In a row with this digest.
   bool is_gone;
 } shr_item_t;
 
-/// A gateway that asks for changes.
+/// A gateway that requests for changes.
 typedef struct
 {
   char gateway[SHR_NAME_BYTES];
@@ -59,39 +59,39 @@
   uint64_t known_age_ms; ///< Age of what it knows, when it asked.
   uint64_t pause_ms;     ///< Between two reads, as it would make them itself.
   uint64_t arrived_ms;
-  bool is_refused; ///< The read that it waited for failed.
-} shr_ask_t;
+  bool is_read_failed; ///< The read that it waited for failed.
+} shr_request_t;
 
 typedef enum
 {
-  SHR_KNOWN,     ///< Tell it what is known.
-  SHR_BEHIND,    ///< What it lacks is not kept here any more.
-  SHR_NO_ANSWER, ///< The store gave none.
-} shr_verdict_t;
+  SHR_CHANGES_KNOWN, ///< Tell it what is known.
+  SHR_TOO_OLD,       ///< What it lacks is not kept here any more.
+  SHR_READ_FAILED,   ///< The store gave none.
+} shr_status_t;
 
 typedef struct
 {
   kb_map_t items;           ///< shr_item_t by the hash of their key.
-  uint64_t floor;           ///< Changes behind this revision are kept.
+  uint64_t floor_revision;  ///< Changes behind this revision are kept.
   uint64_t as_of;           ///< Up to this one; zero: nothing is known.
   uint64_t config_revision; ///< Of the newest configuration seen, or zero.
-  uint64_t began_ms;        ///< Start of the newest read that was answered.
+  uint64_t read_began_ms;   ///< Start of the newest read that was answered.
   bool is_reading;
   uint64_t reading_since_ms;
-  shr_ask_t asks[SHR_MAX_ASKS];
-  uint32_t ask_count;
+  shr_request_t requests[SHR_MAX_REQUESTS];
+  uint32_t request_count;
 } shr_cache_t;
 
 void shr_cache_init (shr_cache_t *cache);
 void shr_cache_finish (shr_cache_t *cache);
-/// Keep an ask; it takes the place of an earlier one of the same gateway.
+/// Keep an request; it takes the place of an earlier one of the same gateway.
 /// @return  False: there is no room.
-bool shr_ask_add (shr_cache_t *cache, const shr_ask_t *ask);
-/// Hand out one ask that can be answered now, and forget it.
+bool shr_request_add (shr_cache_t *cache, const shr_request_t *request);
+/// Hand out one request that can be answered now, and forget it.
 /// @return  False when there is none.
-bool shr_ask_take (shr_cache_t *cache, uint64_t now_ms, shr_ask_t *out,
-                   shr_verdict_t *verdict);
-/// @return  When the store is to be read next; UINT64_MAX: nobody asks.
+bool shr_request_pop (shr_cache_t *cache, uint64_t now_ms, shr_request_t *out,
+                      shr_status_t *verdict);
+/// @return  When the store is to be read next; UINT64_MAX: nobody requests.
 uint64_t shr_due_ms (const shr_cache_t *cache);
 /// @param after  Receives the revision to read behind.
 /// @return       Whether a read is due; it then counts as sent.
--- a/src/daemon/agent_backpressure.c
+++ b/src/daemon/agent_backpressure.c
@@ -18,9 +18,9 @@
 {
   agt_agent_t *agent = r->agent;
   bkp_limit_t heard = agent->meter.limit;
-  bool is_change = bkp_limit_heard (&heard, head->limit_per_s,
-                                    r->started_us / US_PER_MS, tmr_now_ms ());
-  bkp_meter_told (&agent->meter, &heard, tmr_now_ms ());
+  bool is_change = bkp_limit_apply_answer (
+      &heard, head->limit_per_s, r->started_us / US_PER_MS, tmr_now_ms ());
+  bkp_meter_merge (&agent->meter, &heard, tmr_now_ms ());
   if (!is_change)
     return;
   log_write (LOG_INFO, "engine",
@@ -102,5 +102,5 @@
   agent->engine.leaving_ms = 0;
   agent->paused_until_ms = 0;
   bkp_limit_t none = { .at_ms = tmr_now_ms () };
-  bkp_meter_told (&agent->meter, &none, none.at_ms);
+  bkp_meter_merge (&agent->meter, &none, none.at_ms);
 }
--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -29,7 +29,7 @@
 {
   agt_agent_t *agent = r->agent;
   uint64_t now_ms = tmr_now_ms ();
-  if (r->begun_ms > 0 && now_ms - r->begun_ms > ALN_BEGUN_MS)
+  if (r->begun_ms > 0 && now_ms - r->begun_ms > ALN_STARTUP_MS)
     return;
   agent->breaks[agent->break_count++ % AGT_MAX_BREAKS]
       = (agt_break_t){ .request = r->fingerprint,
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -291,7 +291,7 @@
   if (r->begun_ms == 0)
     {
       r->begun_ms = tmr_now_ms ();
-      aln_begun (&r->agent->alone, &r->alone, r->begun_ms);
+      aln_first_byte (&r->agent->alone, &r->alone, r->begun_ms);
     }
   kb_buf_append (&r->answer, bytes.ptr, bytes.len_bytes);
   size_t limit = ANSWER_MAX_BYTES;
--- a/src/gateway/gateway_access.c
+++ b/src/gateway/gateway_access.c
@@ -77,8 +77,8 @@
                             .digest = has_key ? digest : NULL,
                             .is_route_public = route->is_public };
   acc_freshness_t freshness = freshness_of (r->gateway);
-  acc_verdict_t verdict
-      = acc_judge (&config->workspaces, &request, &freshness);
+  acc_result_t verdict
+      = acc_authorize (&config->workspaces, &request, &freshness);
   const gtw_refusal_t *refusal = &refusals[verdict.outcome];
   if (refusal->http_status != 0)
     {
--- a/src/gateway/gateway_alone.c
+++ b/src/gateway/gateway_alone.c
@@ -23,7 +23,7 @@
   if (r->is_engine)
     return true;
   uint64_t now_ms = gtw_now_ms (r->gateway);
-  return !aln_is_kept (&target->alone, now_ms)
+  return !aln_is_exclusive (&target->alone, now_ms)
          && !is_reserved (target, r, now_ms)
          && !aln_is_refused (&target->alone, &r->alone, now_ms);
 }
@@ -74,7 +74,7 @@
     target->reserved_until_ms = 0;
   // Others have their turn as soon as it is answered.
   if (r->is_whole && r->alone.is_alone)
-    aln_begun (&target->alone, &r->alone, gtw_now_ms (r->gateway));
+    aln_first_byte (&target->alone, &r->alone, gtw_now_ms (r->gateway));
   aln_ended (&target->alone, &r->alone);
-  r->alone.waited_ms = 0;
+  r->alone.waiting_since_ms = 0;
 }
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -80,8 +80,8 @@
 {
   double per_s = answer->states_limit ? answer->limit_per_s : -1;
   if (answer->is_limit_malformed
-      || !bkp_limit_heard (&stated->limit, per_s, r->sent_boot_ms,
-                           tmr_boot_ms ()))
+      || !bkp_limit_apply_answer (&stated->limit, per_s, r->sent_boot_ms,
+                                  tmr_boot_ms ()))
     return;
   log_limit (r, stated);
   // Its sidecar is to know with the next tick.
--- a/src/gateway/gateway_budget.c
+++ b/src/gateway/gateway_budget.c
@@ -28,12 +28,12 @@
 void
 gtw_budget_note_first (gtw_gateway_t *gateway, const char *service)
 {
-  bud_note_first (budget_of (gateway, service), gtw_now_ms (gateway));
+  bud_record_request (budget_of (gateway, service), gtw_now_ms (gateway));
 }
 
 bool
 gtw_budget_take (gtw_gateway_t *gateway, const char *service)
 {
-  return bud_take_repeat (budget_of (gateway, service), gateway->gateway_count,
-                          gtw_now_ms (gateway));
+  return bud_take_retry (budget_of (gateway, service), gateway->gateway_count,
+                         gtw_now_ms (gateway));
 }
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -288,7 +288,8 @@
   bool is_sent = r->stage == GTW_SENT || r->stage == GTW_PASSING;
   if (!is_sent || r->target == NULL)
     return false;
-  return !r->is_begun || gtw_now_ms (r->gateway) - r->begun_ms <= ALN_BEGUN_MS;
+  return !r->is_begun
+         || gtw_now_ms (r->gateway) - r->begun_ms <= ALN_STARTUP_MS;
 }
 
 void
--- a/src/sidecar/engine.h
+++ b/src/sidecar/engine.h
@@ -30,7 +30,7 @@
   uint64_t key; ///< egn_adapter_key
   char name[EGN_KEY_BYTES];
   uint32_t version;
-  bool is_coming; ///< On its way from the weight store.
+  bool is_loading; ///< On its way from the weight store.
 } egn_adapter_t;
 
 /// What an engine says of itself.
@@ -51,8 +51,8 @@
   uint32_t adapter_count;
   /// Models whose weights lie in the engine's memory or on its disk; loading
   /// them takes nothing from the weight store.
-  char at_hand[EGN_MAX_MODELS][EGN_NAME_BYTES];
-  uint32_t at_hand_count;
+  char cached_models[EGN_MAX_MODELS][EGN_NAME_BYTES];
+  uint32_t cached_model_count;
 } egn_report_t;
 
 typedef struct
@@ -68,18 +68,18 @@
 
 typedef enum
 {
-  EGN_ORDER_ACCEPTED, ///< Being carried out.
-  EGN_ORDER_HOLDS,    ///< It is so already.
-  EGN_ORDER_CONFLICT, ///< Another order is under way, or the count differs.
+  EGN_ORDER_ACCEPTED,  ///< Being carried out.
+  EGN_ORDER_SATISFIED, ///< It is so already.
+  EGN_ORDER_CONFLICT,  ///< Another order is under way, or the count differs.
   EGN_ORDER_REFUSED,
   EGN_ORDER_NOT_SENT,
   EGN_ORDER_UNKNOWN, ///< No answer: it may still be carried out later.
-} egn_order_end_t;
+} egn_order_outcome_t;
 
 /// @param report  NULL unless status is KB_OK; gone after the callback.
 typedef void (*egn_report_done_t) (void *arg, kb_status_t status,
                                    const egn_report_t *report);
-typedef void (*egn_order_done_t) (void *arg, egn_order_end_t end);
+typedef void (*egn_order_done_t) (void *arg, egn_order_outcome_t end);
 
 /// @param instance  Incarnation of the engine, or empty when it did not say.
 typedef void (*egn_identity_done_t) (void *arg, kb_slice_t instance);
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -9,31 +9,31 @@
 
 enum
 {
-  GATEWAY_GONE_MS = 5000,
+  GATEWAY_TIMEOUT_MS = 5000,
   DEFAULT_SLOTS = 16,
   DEFAULT_ADAPTER_SLOTS = 8,
   /// An engine takes at most four adapters at one time; one place stays for an
   /// adapter that it held before and has again in a tenth of the time.
-  MAX_COMING = 4,
+  MAX_LOADING = 4,
   MAX_COLD = 3,
   EXIT_MS = 250,
   PERCENT = 100,
   /// An order is answered within a millisecond or two, or, when its answer is
   /// lost, never. The longest leaves room for a VM whose processor is starved.
-  ORDER_TIMEOUT_LEAST_MS = 30,
-  ORDER_TIMEOUT_MOST_MS = 400,
+  ORDER_TIMEOUT_MIN_MS = 30,
+  ORDER_TIMEOUT_MAX_MS = 400,
 };
 
 /// Forget gateways that fell silent, and say that this process lives.
 static void
-sidecar_watch (void *arg)
+check_gateways (void *arg)
 {
   scr_sidecar_t *s = arg;
   uint64_t now_ms = scr_now_ms (s);
   for (uint32_t i = 0; i < s->gateway_count;)
     {
       scr_gateway_t *gateway = &s->gateways[i];
-      if (now_ms - gateway->heard_ms < GATEWAY_GONE_MS)
+      if (now_ms - gateway->last_contact_ms < GATEWAY_TIMEOUT_MS)
         {
           i++;
           continue;
@@ -42,20 +42,21 @@
       if (log_begin (&line, LOG_WARN, "sidecar", "gateway_lost"))
         {
           log_text (&line, "gateway", gateway->name);
-          log_int (&line, "silent_ms", (int64_t)(now_ms - gateway->heard_ms));
+          log_int (&line, "silent_ms",
+                   (int64_t)(now_ms - gateway->last_contact_ms));
           log_end (&line);
         }
       adm_owner_gone (&s->table, gateway->id);
       *gateway = s->gateways[--s->gateway_count];
     }
   qrt_lapse (&s->quarantine, now_ms);
-  if (now_ms - s->told_ms >= TRN_HEARTBEAT_MS)
-    scr_tell_state (s, NULL);
-  scr_pump (s);
+  if (now_ms - s->state_sent_ms >= TRN_HEARTBEAT_MS)
+    scr_send_state (s, NULL);
+  scr_process_queue (s);
 }
 
 static void
-sidecar_exit (void *arg)
+on_exit_timer (void *arg)
 {
   scr_sidecar_t *s = arg;
   hst_host_exit (&s->host, 0);
@@ -67,9 +68,9 @@
 {
   scr_sidecar_t *s = (scr_sidecar_t *)host;
   s->table.is_open = false;
-  scr_tell_state (s, NULL);
-  scr_pump (s);
-  tmr_after (&host->timers, &s->exit_timer, EXIT_MS, sidecar_exit, s);
+  scr_send_state (s, NULL);
+  scr_process_queue (s);
+  tmr_after (&host->timers, &s->exit_timer, EXIT_MS, on_exit_timer, s);
 }
 
 static void
@@ -91,7 +92,7 @@
            s->table.coming);
   met_set (met_counter ("knapweedbay_engine_condition", ""), s->condition);
   met_set (met_counter ("knapweedbay_pace_percent", ""),
-           (int64_t)(PERCENT * pce_part (&s->table.reading.pace)));
+           (int64_t)(PERCENT * pce_fraction (&s->table.reading.pace)));
   met_set (met_counter ("knapweedbay_engine_pressed", ""),
            adm_is_pressed (&s->table, scr_now_ms (s)));
   met_set (met_counter ("knapweedbay_gateways", ""), s->gateway_count);
@@ -114,10 +115,10 @@
   adm_options_t options = { .slots = DEFAULT_SLOTS,
                             .adapter_slots = DEFAULT_ADAPTER_SLOTS,
                             .max_cold = MAX_COLD,
-                            .max_coming = MAX_COMING };
+                            .max_coming = MAX_LOADING };
   adm_table_init (&s->table, &options);
   qrt_table_init (&s->quarantine);
-  rto_init (&s->order_timeout, ORDER_TIMEOUT_LEAST_MS, ORDER_TIMEOUT_MOST_MS);
+  rto_init (&s->order_timeout, ORDER_TIMEOUT_MIN_MS, ORDER_TIMEOUT_MAX_MS);
   // Gateways know a sidecar by the address of its VM alone.
   char link_name[SET_TEXT_BYTES + 16];
   bool is_advertised = settings->advertised_address[0] != '\0';
@@ -142,9 +143,9 @@
       || plk_link_bind (&s->host.link, settings->listen_address, &port, error)
              != KB_OK)
     return NULL;
-  tmr_every (&s->host.timers, &s->watch_timer, TRN_HEARTBEAT_MS, sidecar_watch,
-             s);
-  tmr_after (&s->host.timers, &s->poll_timer, 0, scr_poll, s);
+  tmr_every (&s->host.timers, &s->watch_timer, TRN_HEARTBEAT_MS,
+             check_gateways, s);
+  tmr_after (&s->host.timers, &s->poll_timer, 0, scr_poll_engine, s);
   return s;
 }
 
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -28,7 +28,7 @@
   uint64_t revision;
   uint64_t versions_known;
   uint64_t list_stamp; ///< Of the adapter list it was sent last.
-  uint64_t heard_ms;
+  uint64_t last_contact_ms;
 } scr_gateway_t;
 
 struct scr_sidecar
@@ -38,23 +38,23 @@
   src_decode_t decode;
   adm_table_t table;
   ver_table_t versions;
-  qrt_table_t quarantine; ///< Kept for gateways that start again.
-  qln_lender_t lender;    ///< Of workspaces' quotas.
-  qln_lender_t limits;    ///< Lends what plain targets take.
-  qof_office_t office;
+  qrt_table_t quarantine;     ///< Kept for gateways that start again.
+  qln_lender_t lender;        ///< Of workspaces' quotas.
+  qln_lender_t target_limits; ///< Lends what plain targets take.
+  qof_office_t lender_role;
   svc_config_t *config;
   kb_buf_t document;
-  uint64_t document_ms; ///< When it came.
+  uint64_t document_received_ms; ///< When it came.
   scr_gateway_t gateways[SCR_MAX_GATEWAYS];
   uint32_t gateway_count;
   uint32_t engine_count; ///< Of the service, as gateways see it.
 
-  bool is_calling; ///< A report or an order is under way.
+  bool is_engine_call_pending; ///< A report or an order is under way.
   bool has_report;
   msg_engine_condition_t condition;
-  inc_t who; ///< The engine; its id is empty until it is known.
+  inc_t engine_incarnation; ///< The engine; its id is empty until it is known.
   bool is_identifying;
-  uint64_t identified_ms; ///< When it was last asked for.
+  uint64_t identify_sent_ms; ///< When it was last asked for.
   uint64_t seq;
   bool is_model_held;
   bool is_engine_busy;
@@ -68,13 +68,13 @@
   rto_timeout_t order_timeout;
   lto_orders_t late_orders; ///< Without an answer.
   rdr_reader_t *reader;     ///< Of the store; NULL: it has none.
-  shr_cache_t *share;       ///< NULL: no gateway asks for changes.
+  shr_cache_t *share_cache; ///< NULL: no gateway asks for changes.
   tmr_sub_t share_timer;
   tmr_sub_t share_idle_timer;
-  bool is_state_due;
-  uint64_t told_ms;
+  bool is_state_pending;
+  uint64_t state_sent_ms;
   tmr_sub_t poll_timer;
-  tmr_sub_t tell_timer;
+  tmr_sub_t state_timer;
   tmr_sub_t watch_timer;
   tmr_sub_t pace_timer;
   tmr_sub_t exit_timer;
@@ -97,7 +97,7 @@
 void scr_send (scr_sidecar_t *s, const scr_gateway_t *gateway,
                const msg_t *msg);
 /// Tell one gateway, or all when `only` is NULL.
-void scr_tell_state (scr_sidecar_t *s, scr_gateway_t *only);
+void scr_send_state (scr_sidecar_t *s, scr_gateway_t *only);
 /// Tell the gateways soon; changes close together go out as one.
 void scr_state_changed (scr_sidecar_t *s);
 void scr_set_condition (scr_sidecar_t *s, msg_engine_condition_t condition);
@@ -112,31 +112,32 @@
 
 // sidecar_share.c
 /// A gateway asks for changes of the store.
-void scr_share_ask (scr_sidecar_t *s, kb_slice_t peer,
-                    const msg_changes_ask_t *given);
+void scr_share_handle_request (scr_sidecar_t *s, kb_slice_t peer,
+                               const msg_changes_ask_t *given);
 
 // sidecar_quarantine.c
 /// A gateway tells of requests under which targets ended.
-void scr_quarantine_take (scr_sidecar_t *s, kb_slice_t words);
+void scr_quarantine_receive (scr_sidecar_t *s, kb_slice_t words);
 /// Give a gateway what it lacks.
 /// @param stamp  Of what it knows.
-void scr_quarantine_help (scr_sidecar_t *s, const scr_gateway_t *gateway,
-                          uint64_t stamp);
+void scr_quarantine_sync_gateway (scr_sidecar_t *s,
+                                  const scr_gateway_t *gateway,
+                                  uint64_t stamp);
 
 // sidecar_quota.c
 void scr_quota_init (scr_sidecar_t *s);
 /// @param gateway  Id of the one that tells its state.
-void scr_quota_take_state (scr_sidecar_t *s, uint64_t gateway,
-                           const msg_gateway_state_t *state);
+void scr_quota_receive_state (scr_sidecar_t *s, uint64_t gateway,
+                              const msg_gateway_state_t *state);
 /// A gateway asks for credit.
-void scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer,
-                    const msg_quota_ask_t *given);
+void scr_quota_handle_request (scr_sidecar_t *s, kb_slice_t peer,
+                               const msg_quota_ask_t *given);
 
 // sidecar_engine.c
 /// Do whatever can be done now: grant, decline, order.
-void scr_pump (scr_sidecar_t *s);
+void scr_process_queue (scr_sidecar_t *s);
 /// Ask the engine for its report, unless a call is under way; takes the
 /// sidecar.
-void scr_poll (void *arg);
+void scr_poll_engine (void *arg);
 
 #endif
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -10,24 +10,24 @@
 {
   /// Reports are free on the engine's own VM. While an adapter is on its way
   /// its arrival is what requests wait for.
-  POLL_COMING_MS = 25,
+  POLL_LOADING_MS = 25,
   POLL_BUSY_MS = 150,
   POLL_IDLE_MS = 300,
   /// Reports missed in a row until the engine counts as down.
-  REPORT_FAILURES = 2,
+  MAX_REPORT_FAILURES = 2,
   /// Models fetched from the weight store by all engines together stay far
   /// below its ceiling when each waits this long between two tries.
   MODEL_RETRY_MS = 5000,
-  MODEL_RETRY_AT_HAND_MS = 1000,
+  MODEL_RETRY_CACHED_MS = 1000,
   IDENTIFY_RETRY_MS = 1000,
   /// While requests wait, prompts that are read make room for more.
-  PACE_MS = 10,
+  QUEUE_RETRY_MS = 10,
 };
 
-static void order_done (void *arg, egn_order_end_t end);
+static void order_done (void *arg, egn_order_outcome_t end);
 
 static const char *
-order_end_name (egn_order_end_t end)
+order_outcome_name (egn_order_outcome_t end)
 {
   static const char *const names[]
       = { "accepted", "holds", "conflict", "refused", "not_sent", "unknown" };
@@ -36,17 +36,17 @@
 
 static void
 log_order (const scr_sidecar_t *s, const adm_adapter_t *adapter,
-           egn_order_end_t end)
+           egn_order_outcome_t end)
 {
   log_event_t line;
-  if (!log_begin (&line, end <= EGN_ORDER_HOLDS ? LOG_DEBUG : LOG_WARN,
+  if (!log_begin (&line, end <= EGN_ORDER_SATISFIED ? LOG_DEBUG : LOG_WARN,
                   "sidecar", "order"))
     return;
   log_text (&line, "operation",
             s->order_kind == ADM_DO_UNLOAD ? "unload" : "load");
   log_text (&line, "adapter", adapter == NULL ? "" : adapter->name);
   log_int (&line, "seq", (int64_t)s->seq);
-  log_text (&line, "outcome", order_end_name (end));
+  log_text (&line, "outcome", order_outcome_name (end));
   log_end (&line);
 }
 
@@ -54,14 +54,16 @@
 static uint64_t
 engine_hash (const scr_sidecar_t *s)
 {
-  return s->who.id[0] == '\0' ? 0 : scr_name_id (kb_slice_str (s->who.id));
+  return s->engine_incarnation.id[0] == '\0'
+             ? 0
+             : scr_name_id (kb_slice_str (s->engine_incarnation.id));
 }
 
 /// Learn how long answers take. An order whose answer is lost holds all later
 /// ones back until its timeout: with 400 ms always and a third of the answers
 /// lost, an engine brought one adapter a second instead of three.
 static void
-note_order_time (scr_sidecar_t *s, egn_order_end_t end)
+record_order_time (scr_sidecar_t *s, egn_order_outcome_t end)
 {
   if (end == EGN_ORDER_UNKNOWN)
     rto_unanswered (&s->order_timeout);
@@ -71,28 +73,28 @@
 
 /// Give an order; one at a time.
 static void
-give_order (scr_sidecar_t *s, egn_order_t *order)
+send_order (scr_sidecar_t *s, egn_order_t *order)
 {
   order->expected_seq = s->seq;
-  order->instance = s->who.id;
+  order->instance = s->engine_incarnation.id;
   order->timeout_ms = rto_ms (&s->order_timeout);
   s->ordered_ms = scr_now_ms (s);
-  s->is_calling = true;
+  s->is_engine_call_pending = true;
   s->engine->vtable->order (s->engine, order, order_done, s);
 }
 
 static void
-order_done (void *arg, egn_order_end_t end)
+order_done (void *arg, egn_order_outcome_t end)
 {
   scr_sidecar_t *s = arg;
-  s->is_calling = false;
-  note_order_time (s, end);
+  s->is_engine_call_pending = false;
+  record_order_time (s, end);
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, s->order_adapter);
   log_order (s, adapter, end);
   bool is_fetch = s->order_kind == ADM_DO_LOAD && s->order_adapter != 0;
   if (end == EGN_ORDER_UNKNOWN && is_fetch)
-    lto_note (&s->late_orders, engine_hash (s), s->seq, s->ordered_ms);
-  bool is_done = end == EGN_ORDER_ACCEPTED || end == EGN_ORDER_HOLDS;
+    lto_record (&s->late_orders, engine_hash (s), s->seq, s->ordered_ms);
+  bool is_done = end == EGN_ORDER_ACCEPTED || end == EGN_ORDER_SATISFIED;
   if (is_done)
     s->seq++;
   bool is_unload = s->order_kind == ADM_DO_UNLOAD;
@@ -113,13 +115,13 @@
   if (is_done)
     {
       scr_state_changed (s);
-      scr_pump (s);
+      scr_process_queue (s);
     }
   // The report tells what holds: whether an order without an answer was
   // accepted shows in the count of orders.
-  if (!s->is_calling)
-    tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_COMING_MS : 0,
-               scr_poll, s);
+  if (!s->is_engine_call_pending)
+    tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_LOADING_MS : 0,
+               scr_poll_engine, s);
 }
 
 /// Order the engine to fetch or drop an adapter.
@@ -142,18 +144,18 @@
     MET_INC ("knapweedbay_orders_total", "operation=\"load\"");
   else
     MET_INC ("knapweedbay_orders_total", "operation=\"unload\"");
-  give_order (s, &order);
+  send_order (s, &order);
 }
 
 static void
-pump_again (void *arg)
+process_queue_on_timer (void *arg)
 {
-  scr_pump (arg);
+  scr_process_queue (arg);
 }
 
 /// Do whatever can be done now: grant, scr_decline, order.
 void
-scr_pump (scr_sidecar_t *s)
+scr_process_queue (scr_sidecar_t *s)
 {
   s->table.reserved = lto_reserved (&s->late_orders, engine_hash (s), s->seq,
                                     scr_now_ms (s));
@@ -161,15 +163,16 @@
     {
       // Without the configuration the places for adapters are not known; an
       // engine that is ordered to hold more than it can crashes.
-      bool may_order = !s->is_calling && s->has_report && !s->is_engine_busy
-                       && !s->host.is_stopping && s->config != NULL;
+      bool may_order = !s->is_engine_call_pending && s->has_report
+                       && !s->is_engine_busy && !s->host.is_stopping
+                       && s->config != NULL;
       adm_action_t action = adm_next (&s->table, may_order, scr_now_ms (s));
       switch (action.kind)
         {
         case ADM_DO_NOTHING:
           if (s->table.waiting > 0)
-            tmr_after (&s->host.timers, &s->pace_timer, PACE_MS, pump_again,
-                       s);
+            tmr_after (&s->host.timers, &s->pace_timer, QUEUE_RETRY_MS,
+                       process_queue_on_timer, s);
           return;
         case ADM_DO_GRANT:
           scr_grant (s, action.ask);
@@ -194,10 +197,10 @@
 }
 
 static bool
-is_at_hand (const egn_report_t *report, const char *model)
+is_model_cached (const egn_report_t *report, const char *model)
 {
-  for (uint32_t i = 0; i < report->at_hand_count; i++)
-    if (strcmp (report->at_hand[i], model) == 0)
+  for (uint32_t i = 0; i < report->cached_model_count; i++)
+    if (strcmp (report->cached_models[i], model) == 0)
       return true;
   return false;
 }
@@ -214,8 +217,8 @@
   const svc_service_t *service = scr_own_service (s);
   if (service != NULL)
     return service->model_count > 0 ? service->models[0].name : NULL;
-  bool is_alone = s->config == NULL && report->at_hand_count == 1;
-  return is_alone ? report->at_hand[0] : NULL;
+  bool is_alone = s->config == NULL && report->cached_model_count == 1;
+  return is_alone ? report->cached_models[0] : NULL;
 }
 
 /// An engine restarts without its model; only this process can bring it back.
@@ -223,10 +226,11 @@
 order_model (scr_sidecar_t *s, const egn_report_t *report)
 {
   const char *model = wanted_model (s, report);
-  if (model == NULL || report->is_busy || report->is_leaving || s->is_calling)
+  if (model == NULL || report->is_busy || report->is_leaving
+      || s->is_engine_call_pending)
     return;
-  uint64_t pause_ms
-      = is_at_hand (report, model) ? MODEL_RETRY_AT_HAND_MS : MODEL_RETRY_MS;
+  uint64_t pause_ms = is_model_cached (report, model) ? MODEL_RETRY_CACHED_MS
+                                                      : MODEL_RETRY_MS;
   uint64_t now_ms = scr_now_ms (s);
   if (s->model_ordered_ms > 0 && now_ms - s->model_ordered_ms < pause_ms)
     return;
@@ -235,7 +239,7 @@
   s->order_adapter = 0;
   egn_order_t order = { .is_load = true, .model = model };
   MET_INC ("knapweedbay_orders_total", "operation=\"load_model\"");
-  give_order (s, &order);
+  send_order (s, &order);
 }
 
 static void
@@ -245,11 +249,12 @@
   s->is_identifying = false;
   if (instance.len_bytes == 0)
     return;
-  kb_slice_copy (instance, s->who.id, sizeof s->who.id);
+  kb_slice_copy (instance, s->engine_incarnation.id,
+                 sizeof s->engine_incarnation.id);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "engine_identified"))
     {
-      log_text (&line, "instance", s->who.id);
+      log_text (&line, "instance", s->engine_incarnation.id);
       log_end (&line);
     }
   scr_state_changed (s);
@@ -261,12 +266,12 @@
 identify_engine (scr_sidecar_t *s)
 {
   uint64_t now_ms = scr_now_ms (s);
-  if (s->who.id[0] != '\0' || s->is_identifying
-      || (s->identified_ms > 0
-          && now_ms - s->identified_ms < IDENTIFY_RETRY_MS))
+  if (s->engine_incarnation.id[0] != '\0' || s->is_identifying
+      || (s->identify_sent_ms > 0
+          && now_ms - s->identify_sent_ms < IDENTIFY_RETRY_MS))
     return;
   s->is_identifying = true;
-  s->identified_ms = now_ms;
+  s->identify_sent_ms = now_ms;
   s->engine->vtable->identify (s->engine, identity_done, s);
 }
 
@@ -276,17 +281,17 @@
   log_event_t line;
   if (log_begin (&line, LOG_WARN, "sidecar", "engine_restarted"))
     {
-      log_text (&line, "instance", s->who.id);
+      log_text (&line, "instance", s->engine_incarnation.id);
       log_int (&line, "granted", s->table.granted);
       log_end (&line);
     }
   s->model_ordered_ms = 0;
-  s->who = (inc_t){ 0 };
-  s->identified_ms = 0;
+  s->engine_incarnation = (inc_t){ 0 };
+  s->identify_sent_ms = 0;
   lto_restarted (&s->late_orders);
   adm_engine_restarted (&s->table);
   bkp_limit_t none = { .at_ms = tmr_boot_ms () };
-  bkp_meter_told (&s->table.meter, &none, scr_now_ms (s));
+  bkp_meter_merge (&s->table.meter, &none, scr_now_ms (s));
   scr_state_changed (s);
 }
 
@@ -300,19 +305,19 @@
 {
   if (!s->has_report)
     return false;
-  bool is_reborn = report->born_ms > 0 && s->who.born_ms > 0
-                   && report->born_ms != s->who.born_ms;
-  return is_reborn || report->seq < s->seq
+  bool has_new_birth = report->born_ms > 0 && s->engine_incarnation.born_ms > 0
+                       && report->born_ms != s->engine_incarnation.born_ms;
+  return has_new_birth || report->seq < s->seq
          || (s->is_model_held && report->model_count == 0);
 }
 
 static void
-take_report (scr_sidecar_t *s, const egn_report_t *report)
+apply_report (scr_sidecar_t *s, const egn_report_t *report)
 {
   if (is_restarted (s, report))
     engine_restarted (s);
   if (report->born_ms > 0)
-    s->who.born_ms = report->born_ms;
+    s->engine_incarnation.born_ms = report->born_ms;
   s->has_report = true;
   s->report_failures = 0;
   s->seq = report->seq;
@@ -325,7 +330,7 @@
     {
       const egn_adapter_t *a = &report->adapters[i];
       adm_report_adapter (&s->table, a->key, kb_slice_str (a->name),
-                          a->version, a->is_coming, scr_now_ms (s));
+                          a->version, a->is_loading, scr_now_ms (s));
       adm_adapter_t *adapter = kb_map_get (&s->table.adapters, a->key);
       adm_adapter_want (adapter, ver_newest (&s->versions, a->key));
     }
@@ -345,10 +350,10 @@
 report_done (void *arg, kb_status_t status, const egn_report_t *report)
 {
   scr_sidecar_t *s = arg;
-  s->is_calling = false;
+  s->is_engine_call_pending = false;
   if (status == KB_OK)
-    take_report (s, report);
-  else if (++s->report_failures >= REPORT_FAILURES)
+    apply_report (s, report);
+  else if (++s->report_failures >= MAX_REPORT_FAILURES)
     {
       // A crashed engine comes back as another incarnation.
       if (s->has_report)
@@ -358,22 +363,22 @@
     }
   if (status == KB_OK && !s->is_model_held)
     order_model (s, report);
-  scr_pump (s);
-  if (s->is_calling)
+  scr_process_queue (s);
+  if (s->is_engine_call_pending)
     return;
-  uint64_t pause_ms = s->table.coming > 0 ? POLL_COMING_MS
+  uint64_t pause_ms = s->table.coming > 0 ? POLL_LOADING_MS
                       : s->table.granted > 0 || s->table.waiting > 0
                           ? POLL_BUSY_MS
                           : POLL_IDLE_MS;
-  tmr_after (&s->host.timers, &s->poll_timer, pause_ms, scr_poll, s);
+  tmr_after (&s->host.timers, &s->poll_timer, pause_ms, scr_poll_engine, s);
 }
 
 void
-scr_poll (void *arg)
+scr_poll_engine (void *arg)
 {
   scr_sidecar_t *s = arg;
-  if (s->is_calling)
+  if (s->is_engine_call_pending)
     return;
-  s->is_calling = true;
+  s->is_engine_call_pending = true;
   s->engine->vtable->report (s->engine, report_done, s);
 }
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -13,7 +13,7 @@
   /// what it takes on a free link, and the time of its bytes on one that is
   /// slow or shared. Sent sooner, copies of a large one crowd out the
   /// gateway's own.
-  HELP_AFTER_MS = 300,
+  SYNC_DELAY_MS = 300,
   SLOW_LINK_BYTES_PER_MS = 200,
   MILLI = 1000,
 };
@@ -38,12 +38,12 @@
   // An engine that is ordered to hold more than its slots or its memory
   // crashes, and with it all that it runs.
   s->table.options.adapter_slots = svc_service_adapter_places (service);
-  pce_accept (&s->table.reading.pace,
-              svc_service_gap_target_ms (s->config, service->name));
+  pce_set_max_gap (&s->table.reading.pace,
+                   svc_service_gap_target_ms (s->config, service->name));
 }
 
 static void
-take_document (scr_sidecar_t *s, const msg_document_t *given)
+apply_document (scr_sidecar_t *s, const msg_document_t *given)
 {
   uint64_t present = s->config == NULL ? 0 : s->config->revision;
   if (!svc_revision_is_newer (present, given->revision))
@@ -60,7 +60,7 @@
   s->config = config;
   kb_buf_clear (&s->document);
   kb_buf_append (&s->document, given->data.ptr, given->data.len_bytes);
-  s->document_ms = scr_now_ms (s);
+  s->document_received_ms = scr_now_ms (s);
   apply_config (s);
   // Two thousand routes take 0.8 MB, at each of hundreds of engines.
   svc_config_drop_callers (config);
@@ -74,24 +74,24 @@
 }
 
 static bool
-is_help_due (const scr_sidecar_t *s, uint64_t now_ms)
+is_sync_due (const scr_sidecar_t *s, uint64_t now_ms)
 {
   uint64_t after_ms
-      = HELP_AFTER_MS + s->document.len_bytes / SLOW_LINK_BYTES_PER_MS;
-  return now_ms - s->document_ms >= after_ms;
+      = SYNC_DELAY_MS + s->document.len_bytes / SLOW_LINK_BYTES_PER_MS;
+  return now_ms - s->document_received_ms >= after_ms;
 }
 
 /// Pass on what a gateway lacks: it may be cut off from the store. Most read
 /// it there themselves, a moment later than the first one.
 static void
-help_gateway (scr_sidecar_t *s, const scr_gateway_t *gateway)
+sync_gateway (scr_sidecar_t *s, const scr_gateway_t *gateway)
 {
   uint64_t now_ms = scr_now_ms (s);
   uint64_t own = scr_name_id (kb_slice_str (s->host.settings.name));
   if (!trn_is_mine (own, gateway->id, s->engine_count, now_ms))
     return;
   if (s->config != NULL && gateway->revision < s->config->revision
-      && is_help_due (s, now_ms))
+      && is_sync_due (s, now_ms))
     psn_give_document (&s->host, gateway->name, s->config->revision,
                        &s->document);
   if (gateway->versions_known < s->versions.changes)
@@ -99,7 +99,7 @@
 }
 
 static void
-take_version (scr_sidecar_t *s, const msg_adapter_version_t *given)
+apply_version (scr_sidecar_t *s, const msg_adapter_version_t *given)
 {
   const ver_item_t *item = ver_learn (
       &s->versions, given->model, given->adapter, (uint32_t)given->version);
@@ -160,8 +160,8 @@
           = { .id = ask->id,
               .version = ask->adapter == NULL ? 0 : ask->adapter->version,
               .load_us = load_us,
-              .instance = kb_slice_str (s->who.id),
-              .born_ms = s->who.born_ms,
+              .instance = kb_slice_str (s->engine_incarnation.id),
+              .born_ms = s->engine_incarnation.born_ms,
               .is_alone = ask->alone.is_alone } };
   scr_send (s, gateway, &msg);
   MET_INC ("knapweedbay_places_granted_total", "");
@@ -175,7 +175,7 @@
 reconcile_places (scr_sidecar_t *s, kb_slice_t peer, kb_slice_t packed)
 {
   uint64_t owner = scr_name_id (peer);
-  uint32_t made_good = 0;
+  uint32_t answered = 0;
   adm_compare_begin (&s->table);
   for (uint32_t at = 0; at + sizeof (msg_place_ref_t) <= packed.len_bytes;
        at += sizeof (msg_place_ref_t))
@@ -191,22 +191,22 @@
         scr_grant (s, ask);
       else
         scr_decline (s, peer, ref.id, "not_heard", 0);
-      made_good++;
+      answered++;
     }
   uint32_t released = adm_compare_end (&s->table, owner);
   log_event_t line;
-  if (made_good + released == 0
+  if (answered + released == 0
       || !log_begin (&line, LOG_INFO, "sidecar", "places_reconciled"))
     return;
   log_str (&line, "gateway", peer);
-  log_int (&line, "answered", made_good);
+  log_int (&line, "answered", answered);
   log_int (&line, "released", released);
   log_end (&line);
 }
 
 /// What the engine stated in an answer that this gateway passed on.
 static void
-take_limit (scr_sidecar_t *s, const msg_gateway_state_t *state)
+apply_limit (scr_sidecar_t *s, const msg_gateway_state_t *state)
 {
   uint64_t now_ms = tmr_boot_ms ();
   bkp_limit_t told
@@ -214,7 +214,7 @@
           .per_s = (double)state->limit_milli / MILLI,
           .at_ms
           = now_ms > state->limit_age_ms ? now_ms - state->limit_age_ms : 0 };
-  if (!bkp_meter_told (&s->table.meter, &told, scr_now_ms (s)))
+  if (!bkp_meter_merge (&s->table.meter, &told, scr_now_ms (s)))
     return;
   scr_state_changed (s);
   log_event_t line;
@@ -227,8 +227,8 @@
 }
 
 static void
-take_gateway_state (scr_sidecar_t *s, kb_slice_t peer,
-                    const msg_gateway_state_t *state)
+handle_gateway_state (scr_sidecar_t *s, kb_slice_t peer,
+                      const msg_gateway_state_t *state)
 {
   scr_gateway_t *gateway = scr_gateway_find (s, scr_name_id (peer));
   if (gateway == NULL)
@@ -242,16 +242,16 @@
   gateway->revision = state->revision;
   gateway->versions_known = state->versions_known;
   gateway->list_stamp = state->list_stamp;
-  gateway->heard_ms = scr_now_ms (s);
+  gateway->last_contact_ms = scr_now_ms (s);
   s->engine_count = (uint32_t)state->engine_count;
-  help_gateway (s, gateway);
-  scr_quarantine_help (s, gateway, state->quarantine_stamp);
-  scr_quota_take_state (s, gateway->id, state);
-  take_limit (s, state);
+  sync_gateway (s, gateway);
+  scr_quarantine_sync_gateway (s, gateway, state->quarantine_stamp);
+  scr_quota_receive_state (s, gateway->id, state);
+  apply_limit (s, state);
   reconcile_places (s, peer, state->places);
   if (is_new)
-    scr_tell_state (s, gateway);
-  scr_pump (s);
+    scr_send_state (s, gateway);
+  scr_process_queue (s);
 }
 
 /// Why a request got no place, with what decided it.
@@ -275,7 +275,8 @@
 }
 
 static void
-take_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_place_ask_t *given)
+handle_place_request (scr_sidecar_t *s, kb_slice_t peer,
+                      const msg_place_ask_t *given)
 {
   if (s->condition != MSG_ENGINE_READY || s->host.is_stopping)
     {
@@ -318,21 +319,21 @@
   ask.forecast_ms = now_ms + forecast.first_ms;
   if (adm_ask_add (&s->table, &ask) == NULL)
     return;
-  scr_pump (s);
+  scr_process_queue (s);
 }
 
 static void
-take_release (scr_sidecar_t *s, kb_slice_t peer,
-              const msg_place_release_t *given)
+handle_place_release (scr_sidecar_t *s, kb_slice_t peer,
+                      const msg_place_release_t *given)
 {
   adm_ask_t *ask = adm_ask_find (&s->table, scr_name_id (peer), given->id);
   if (ask == NULL)
     return;
-  pce_note_stream (&s->table.reading.pace, (uint32_t)given->gaps,
-                   given->gaps_ms, scr_now_ms (s));
+  pce_record_stream (&s->table.reading.pace, (uint32_t)given->gaps,
+                     given->gaps_ms, scr_now_ms (s));
   adm_note_held (&s->table, ask, scr_now_ms (s));
   adm_ask_remove (&s->table, ask);
-  scr_pump (s);
+  scr_process_queue (s);
 }
 
 /// How wrong the forecast was that let a request in.
@@ -349,7 +350,7 @@
 }
 
 static void
-take_begun (scr_sidecar_t *s, kb_slice_t peer, uint64_t id)
+handle_place_begun (scr_sidecar_t *s, kb_slice_t peer, uint64_t id)
 {
   adm_ask_t *ask = adm_ask_find (&s->table, scr_name_id (peer), id);
   if (ask == NULL)
@@ -357,7 +358,7 @@
   if (ask->is_reading)
     observe_forecast (ask, scr_now_ms (s));
   adm_ask_begun (&s->table, ask, scr_now_ms (s));
-  scr_pump (s);
+  scr_process_queue (s);
 }
 
 void
@@ -367,33 +368,33 @@
   switch (msg->type)
     {
     case MSG_GATEWAY_STATE:
-      take_gateway_state (s, peer, &msg->gateway_state);
+      handle_gateway_state (s, peer, &msg->gateway_state);
       break;
     case MSG_PLACE_ASK:
-      take_ask (s, peer, &msg->place_ask);
+      handle_place_request (s, peer, &msg->place_ask);
       break;
     case MSG_PLACE_RELEASE:
-      take_release (s, peer, &msg->place_release);
+      handle_place_release (s, peer, &msg->place_release);
       break;
     case MSG_PLACE_BEGUN:
-      take_begun (s, peer, msg->place_begun.id);
+      handle_place_begun (s, peer, msg->place_begun.id);
       break;
     case MSG_CHANGES_ASK:
-      scr_share_ask (s, peer, &msg->changes_ask);
+      scr_share_handle_request (s, peer, &msg->changes_ask);
       break;
     case MSG_QUOTA_ASK:
-      scr_quota_ask (s, peer, &msg->quota_ask);
+      scr_quota_handle_request (s, peer, &msg->quota_ask);
       break;
     case MSG_QUARANTINE:
-      scr_quarantine_take (s, msg->quarantine.words);
+      scr_quarantine_receive (s, msg->quarantine.words);
       break;
     case MSG_DOCUMENT:
-      take_document (s, &msg->document);
-      scr_pump (s);
+      apply_document (s, &msg->document);
+      scr_process_queue (s);
       break;
     case MSG_ADAPTER_VERSION:
-      take_version (s, &msg->adapter_version);
-      scr_pump (s);
+      apply_version (s, &msg->adapter_version);
+      scr_process_queue (s);
       break;
     default:
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"unexpected\"");
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -18,20 +18,21 @@
                                 .overshoot = settings->quota_overshoot,
                                 .slack = settings->quota_slack };
   qln_init (&s->lender, &tolerance, s->host.incarnation, tmr_boot_ms ());
-  qln_init (&s->limits, &bkp_limit_tolerance, s->host.incarnation,
+  qln_init (&s->target_limits, &bkp_limit_tolerance, s->host.incarnation,
             tmr_boot_ms ());
-  s->limits.keeps_to_reach = true;
-  qof_init (&s->office, tmr_boot_ms ());
+  s->target_limits.keeps_to_reach = true;
+  qof_init (&s->lender_role, tmr_boot_ms ());
 }
 
 void
-scr_quota_take_state (scr_sidecar_t *s, uint64_t gateway,
-                      const msg_gateway_state_t *state)
+scr_quota_receive_state (scr_sidecar_t *s, uint64_t gateway,
+                         const msg_gateway_state_t *state)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  qof_peak_take (&s->office.peak, (uint32_t)state->gateway_peak,
+  qof_peak_take (&s->lender_role.peak, (uint32_t)state->gateway_peak,
                  state->gateway_peak_age_ms, now_ms);
-  if (qof_note_elsewhere (&s->office, gateway, state->lent_elsewhere, now_ms))
+  if (qof_note_elsewhere (&s->lender_role, gateway, state->lent_elsewhere,
+                          now_ms))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "sidecar",
@@ -39,7 +40,7 @@
 }
 
 static void
-log_refusal (kb_slice_t peer, const msg_quota_ask_t *given)
+log_quota_refusal (kb_slice_t peer, const msg_quota_ask_t *given)
 {
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"quota_ask\"");
   log_event_t line;
@@ -63,12 +64,12 @@
 }
 
 static qln_ask_t
-ask_of (scr_sidecar_t *s, uint64_t gateway, const msg_quota_ask_t *given,
-        uint64_t now_ms)
+request_from_msg (scr_sidecar_t *s, uint64_t gateway,
+                  const msg_quota_ask_t *given, uint64_t now_ms)
 {
-  qof_peak_take (&s->office.peak, (uint32_t)given->gateway_peak,
+  qof_peak_take (&s->lender_role.peak, (uint32_t)given->gateway_peak,
                  given->gateway_peak_age_ms, now_ms);
-  uint32_t asker = qof_hear (&s->office, gateway, now_ms);
+  uint32_t asker = qof_hear (&s->lender_role, gateway, now_ms);
   return (qln_ask_t){
     .workspace = given->subject,
     .revision = revision_of (given, now_ms),
@@ -85,22 +86,23 @@
     .uptime_ms = given->uptime_ms,
     .reach = (double)given->reach_milli / MILLI,
     .asker = asker,
-    .share = qof_share (&s->office, given->subject, gateway, now_ms),
+    .share = qof_share (&s->lender_role, given->subject, gateway, now_ms),
   };
 }
 
 void
-scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_quota_ask_t *given)
+scr_quota_handle_request (scr_sidecar_t *s, kb_slice_t peer,
+                          const msg_quota_ask_t *given)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  qln_ask_t ask = ask_of (s, scr_name_id (peer), given, now_ms);
+  qln_ask_t ask = request_from_msg (s, scr_name_id (peer), given, now_ms);
   if (!qln_ask_is_sound (&ask))
     {
-      log_refusal (peer, given);
+      log_quota_refusal (peer, given);
       return;
     }
   kb_buf_t ledger = { 0 };
-  qln_lender_t *lender = given->is_of_target ? &s->limits : &s->lender;
+  qln_lender_t *lender = given->is_of_target ? &s->target_limits : &s->lender;
   qln_grant_t grant = qln_lend (lender, &ask, &ledger, now_ms);
   msg_t msg
       = { .type = MSG_QUOTA_GRANT,
--- a/src/sidecar/sidecar_share.c
+++ b/src/sidecar/sidecar_share.c
@@ -11,27 +11,27 @@
 enum
 {
   /// The changes kept for gateways go after this long without a question.
-  IDLE_MS = 10000,
+  SHARE_IDLE_MS = 10000,
 };
 
 static void share_update (scr_sidecar_t *s);
 
 static void
-share_wake (void *arg)
+share_on_timer (void *arg)
 {
   share_update (arg);
 }
 
 static msg_changes_status_t
-status_of (shr_verdict_t verdict)
+status_of (shr_status_t verdict)
 {
   switch (verdict)
     {
-    case SHR_KNOWN:
+    case SHR_CHANGES_KNOWN:
       return MSG_CHANGES_KNOWN;
-    case SHR_BEHIND:
+    case SHR_TOO_OLD:
       return MSG_CHANGES_BEHIND;
-    case SHR_NO_ANSWER:
+    case SHR_READ_FAILED:
       break;
     }
   return MSG_CHANGES_NO_ANSWER;
@@ -53,16 +53,16 @@
 }
 
 static void
-share_tell (scr_sidecar_t *s, const shr_ask_t *ask, shr_verdict_t verdict)
+share_answer (scr_sidecar_t *s, const shr_request_t *ask, shr_status_t verdict)
 {
-  const shr_cache_t *cache = s->share;
-  bool is_known = verdict == SHR_KNOWN;
-  bool is_after = cache->began_ms > ask->arrived_ms;
+  const shr_cache_t *cache = s->share_cache;
+  bool is_known = verdict == SHR_CHANGES_KNOWN;
+  bool is_after = cache->read_began_ms > ask->arrived_ms;
   kb_buf_t changes = { 0 };
   if (is_known)
     pack_changes (cache, ask->after, &changes);
-  uint64_t before_ms = is_after ? 0 : ask->arrived_ms - cache->began_ms;
-  uint64_t after_ms = is_after ? cache->began_ms - ask->arrived_ms : 0;
+  uint64_t before_ms = is_after ? 0 : ask->arrived_ms - cache->read_began_ms;
+  uint64_t after_ms = is_after ? cache->read_began_ms - ask->arrived_ms : 0;
   msg_t msg = { .type = MSG_CHANGES,
                 .changes = { .id = ask->id,
                              .status = status_of (verdict),
@@ -83,7 +83,7 @@
   if (result->status == KB_OK)
     {
       MET_INC ("knapweedbay_shared_reads_total", "result=\"ok\"");
-      shr_read_answered (s->share, result->changes, result->change_count,
+      shr_read_answered (s->share_cache, result->changes, result->change_count,
                          result->as_of, result->config_revision);
     }
   else
@@ -92,13 +92,14 @@
       log_event_t line;
       if (log_begin (&line, LOG_INFO, "store", "store_read_failed"))
         {
-          log_int (&line, "behind", (int64_t)s->share->as_of);
-          log_int (&line, "waited_ms",
-                   (int64_t)(tmr_boot_ms () - s->share->reading_since_ms));
-          log_int (&line, "asked_by", s->share->ask_count);
+          log_int (&line, "behind", (int64_t)s->share_cache->as_of);
+          log_int (
+              &line, "waited_ms",
+              (int64_t)(tmr_boot_ms () - s->share_cache->reading_since_ms));
+          log_int (&line, "asked_by", s->share_cache->request_count);
           log_end (&line);
         }
-      shr_read_failed (s->share, result->status == KB_ENOTFOUND);
+      shr_read_failed (s->share_cache, result->status == KB_ENOTFOUND);
     }
   share_update (s);
 }
@@ -107,35 +108,35 @@
 static void
 share_update (scr_sidecar_t *s)
 {
-  shr_cache_t *cache = s->share;
+  shr_cache_t *cache = s->share_cache;
   uint64_t now_ms = tmr_boot_ms ();
-  shr_ask_t ask;
-  shr_verdict_t verdict;
-  while (shr_ask_take (cache, now_ms, &ask, &verdict))
-    share_tell (s, &ask, verdict);
+  shr_request_t ask;
+  shr_status_t verdict;
+  while (shr_request_pop (cache, now_ms, &ask, &verdict))
+    share_answer (s, &ask, verdict);
   uint64_t after;
   if (shr_read_begin (cache, now_ms, &after))
     s->reader->vtable->read (s->reader, after, share_read_done, s);
   uint64_t due_ms = shr_due_ms (cache);
   if (due_ms != UINT64_MAX)
     tmr_after (&s->host.timers, &s->share_timer,
-               due_ms > now_ms ? due_ms - now_ms : 0, share_wake, s);
+               due_ms > now_ms ? due_ms - now_ms : 0, share_on_timer, s);
 }
 
 static void
-share_idle (void *arg)
+share_on_idle (void *arg)
 {
   scr_sidecar_t *s = arg;
-  if (s->share->is_reading)
+  if (s->share_cache->is_reading)
     {
-      tmr_after (&s->host.timers, &s->share_idle_timer, IDLE_MS, share_idle,
-                 s);
+      tmr_after (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
+                 share_on_idle, s);
       return;
     }
   tmr_cancel (&s->host.timers, &s->share_timer);
-  shr_cache_finish (s->share);
-  free (s->share);
-  s->share = NULL;
+  shr_cache_finish (s->share_cache);
+  free (s->share_cache);
+  s->share_cache = NULL;
 }
 
 static void
@@ -157,27 +158,28 @@
 }
 
 void
-scr_share_ask (scr_sidecar_t *s, kb_slice_t peer,
-               const msg_changes_ask_t *given)
+scr_share_handle_request (scr_sidecar_t *s, kb_slice_t peer,
+                          const msg_changes_ask_t *given)
 {
-  shr_ask_t ask = { .id = given->id,
-                    .after = given->after,
-                    .known_age_ms = given->known_age_ms,
-                    .pause_ms = given->pause_ms,
-                    .arrived_ms = tmr_boot_ms () };
+  shr_request_t ask = { .id = given->id,
+                        .after = given->after,
+                        .known_age_ms = given->known_age_ms,
+                        .pause_ms = given->pause_ms,
+                        .arrived_ms = tmr_boot_ms () };
   kb_slice_copy (peer, ask.gateway, sizeof ask.gateway);
   bool is_open = s->reader != NULL && !s->host.is_stopping && given->after > 0
                  && is_same_store (s, given->store);
-  if (is_open && s->share == NULL)
+  if (is_open && s->share_cache == NULL)
     {
-      s->share = kb_alloc (sizeof *s->share);
-      shr_cache_init (s->share);
+      s->share_cache = kb_alloc (sizeof *s->share_cache);
+      shr_cache_init (s->share_cache);
     }
-  if (!is_open || !shr_ask_add (s->share, &ask))
+  if (!is_open || !shr_request_add (s->share_cache, &ask))
     {
       share_refuse (s, ask.gateway, ask.id);
       return;
     }
-  tmr_after (&s->host.timers, &s->share_idle_timer, IDLE_MS, share_idle, s);
+  tmr_after (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
+             share_on_idle, s);
   share_update (s);
 }
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_tell.c
@@ -27,7 +27,7 @@
 }
 
 static msg_adapter_state_t
-state_of (const adm_adapter_t *adapter)
+adapter_state (const adm_adapter_t *adapter)
 {
   switch (adapter->state)
     {
@@ -50,15 +50,16 @@
     {
       if (a->state == ADM_ABSENT && a->waiting == 0)
         continue;
-      msg_engine_adapter_t packed
-          = { .key = a->key, .version = a->version, .state = state_of (a) };
+      msg_engine_adapter_t packed = { .key = a->key,
+                                      .version = a->version,
+                                      .state = adapter_state (a) };
       kb_buf_append (out, &packed, sizeof packed);
     }
 }
 
 static void
-tell_gateway (scr_sidecar_t *s, scr_gateway_t *gateway, msg_t *msg,
-              kb_slice_t adapters)
+send_state_to (scr_sidecar_t *s, scr_gateway_t *gateway, msg_t *msg,
+               kb_slice_t adapters)
 {
   msg_engine_state_t *state = &msg->engine_state;
   bool is_list_known = gateway->list_stamp == state->list_stamp;
@@ -79,7 +80,7 @@
 
 /// Tell one gateway, or all.
 void
-scr_tell_state (scr_sidecar_t *s, scr_gateway_t *only)
+scr_send_state (scr_sidecar_t *s, scr_gateway_t *only)
 {
   kb_buf_t adapters = { 0 };
   pack_adapters (s, &adapters);
@@ -101,41 +102,42 @@
         .start_wait_ms = bkp_meter_wait_ms (&s->table.meter, s->table.waiting,
                                             scr_now_ms (s)),
         .start_every_ms = start_every_ms (s),
-        .instance = kb_slice_str (s->who.id),
-        .born_ms = s->who.born_ms,
+        .instance = kb_slice_str (s->engine_incarnation.id),
+        .born_ms = s->engine_incarnation.born_ms,
         .quarantine_stamp = qrt_stamp (&s->quarantine),
-        .gateway_peak = s->office.peak.count,
-        .gateway_peak_age_ms = tmr_boot_ms () - s->office.peak.seen_ms,
+        .gateway_peak = s->lender_role.peak.count,
+        .gateway_peak_age_ms = tmr_boot_ms () - s->lender_role.peak.seen_ms,
         .list_stamp = kb_hash (adapters.ptr, adapters.len_bytes, 1) | 1 }
   };
   if (only != NULL)
-    tell_gateway (s, only, &msg, kb_buf_slice (&adapters));
+    send_state_to (s, only, &msg, kb_buf_slice (&adapters));
   for (uint32_t i = 0; only == NULL && i < s->gateway_count; i++)
-    tell_gateway (s, &s->gateways[i], &msg, kb_buf_slice (&adapters));
+    send_state_to (s, &s->gateways[i], &msg, kb_buf_slice (&adapters));
   kb_buf_finish (&adapters);
   if (only != NULL)
     return;
-  s->told_ms = scr_now_ms (s);
-  s->is_state_due = false;
+  s->state_sent_ms = scr_now_ms (s);
+  s->is_state_pending = false;
 }
 
 static void
-tell_on_time (void *arg)
+send_state_on_timer (void *arg)
 {
-  scr_tell_state (arg, NULL);
+  scr_send_state (arg, NULL);
 }
 
 /// Tell the gateways soon; changes close together go out as one.
 void
 scr_state_changed (scr_sidecar_t *s)
 {
-  if (s->is_state_due)
+  if (s->is_state_pending)
     return;
-  s->is_state_due = true;
-  uint64_t since_ms = scr_now_ms (s) - s->told_ms;
+  s->is_state_pending = true;
+  uint64_t since_ms = scr_now_ms (s) - s->state_sent_ms;
   uint64_t pause_ms = trn_tell_pause_ms (s->gateway_count);
-  tmr_after (&s->host.timers, &s->tell_timer,
-             since_ms >= pause_ms ? 0 : pause_ms - since_ms, tell_on_time, s);
+  tmr_after (&s->host.timers, &s->state_timer,
+             since_ms >= pause_ms ? 0 : pause_ms - since_ms,
+             send_state_on_timer, s);
 }
 
 void
@@ -149,7 +151,7 @@
     {
       log_text (&line, "from", names[s->condition]);
       log_text (&line, "to", names[condition]);
-      log_text (&line, "instance", s->who.id);
+      log_text (&line, "instance", s->engine_incarnation.id);
       log_int (&line, "granted", s->table.granted);
       log_end (&line);
     }
--- a/test/model/gateway.cc
+++ b/test/model/gateway.cc
@@ -108,7 +108,7 @@
   acc_freshness_t freshness
       = { known_ms == 0 ? UINT64_MAX : now_ms - known_ms, REVOKE_BOUND_MS };
   static const wsp_table_t table = one_workspace ();
-  return acc_judge (&table, &request, &freshness).outcome == ACC_ADMITTED;
+  return acc_authorize (&table, &request, &freshness).outcome == ACC_ADMITTED;
 }
 
 void
@@ -147,8 +147,8 @@
     }
   for (const flw_reader_t &r : follower_.readers)
     {
-      uint64_t parts[4]
-          = { hash, r.is_reading, r.failed_since_ms > 0, r.silent_reads };
+      uint64_t parts[4] = { hash, r.is_reading, r.failed_since_ms > 0,
+                            r.consecutive_timeouts };
       hash = kb_hash (parts, sizeof parts, 0);
     }
   return hash;
@@ -164,7 +164,7 @@
   snprintf (who.id, sizeof who.id, "%s", id.c_str ());
   who.born_ms = item.value.born_ms;
   if (ros_list (&roster_, &who))
-    flw_note_new_target (&follower_);
+    flw_record_new_target (&follower_);
   inc_belief_t &belief = beliefs_[id];
   inc_belief_t before = belief;
   inc_verdict_t verdict = inc_judge (&belief, item.value.born_ms);
@@ -203,7 +203,7 @@
 Gateway::sweep (uint64_t now_ms)
 {
   char id[INC_ID_BYTES];
-  while (ros_take_gone (&roster_, now_ms, id))
+  while (ros_pop_expired (&roster_, now_ms, id))
     in_use_[id] = false;
 }
 
@@ -214,9 +214,9 @@
   for (const Item &item : items)
     vanished += is_target (item) && item.is_gone;
   if (planted_ == Planted::LAPSED_ENTRY_IS_GONE)
-    follower_.lapsed_until_ms = 0;
+    follower_.retain_until_ms = 0;
   uint64_t remove_at_ms = ros_removal_ms (
-      &roster_, vanished, flw_lapsed_until_ms (&follower_), now_ms);
+      &roster_, vanished, flw_retain_until_ms (&follower_), now_ms);
   for (const Item &item : items)
     if (!take_item (item, remove_at_ms, now_ms)
         && planted_ == Planted::BATCH_IS_LOST_BY_ONE_BAD_ENTRY)
@@ -235,7 +235,7 @@
 }
 
 void
-Gateway::take (flw_which_t which, const Answer &answer, uint64_t now_ms)
+Gateway::take (flw_reader_id_t which, const Answer &answer, uint64_t now_ms)
 {
   flw_answered (&follower_, which, now_ms, answer.as_of,
                 operator_revision (answer.items), (uint32_t)random_ ());
@@ -247,15 +247,15 @@
     ros_range_begin (&roster_);
   take_items (answer.items, now_ms);
   if (is_list)
-    ros_range_end (&roster_, flw_lapsed_until_ms (&follower_), now_ms);
+    ros_range_end (&roster_, flw_retain_until_ms (&follower_), now_ms);
 }
 
 /// @return  Whether the word was of use.
 bool
 Gateway::take_word (const Word &word, uint64_t now_ms)
 {
-  bool is_known
-      = word.verdict == SHR_KNOWN && word.config_revision <= config_revision_;
+  bool is_known = word.verdict == SHR_CHANGES_KNOWN
+                  && word.config_revision <= config_revision_;
   uint64_t began_ms
       = reads_[FLW_BATCH].sent_ms + (uint64_t)word.began_after_ms;
   if (planted_ == Planted::ARRIVAL_IS_TRUSTED)
@@ -286,7 +286,7 @@
         continue;
       bool is_of_use = take_word (word, now_ms);
       r = Read ();
-      if (!is_of_use && word.verdict != SHR_BEHIND)
+      if (!is_of_use && word.verdict != SHR_TOO_OLD)
         leave_alone_until_ms_ = now_ms + LEAVE_ALONE_MS;
     }
   Read &r = reads_[FLW_BATCH];
@@ -302,7 +302,7 @@
 void
 Gateway::send_ask (Sidecar *peer, const flw_read_t &read, uint64_t now_ms)
 {
-  shr_ask_t ask = {};
+  shr_request_t ask = {};
   ask.id = ++ask_id_;
   ask.after = read.after;
   ask.known_age_ms = planted_ == Planted::ARRIVAL_IS_TRUSTED
@@ -315,7 +315,7 @@
 /// The store takes the read up, unless it never reaches it or the store is
 /// silent; its answer takes its way back.
 void
-Gateway::fetch_answer (Read &r, flw_which_t which, const Store &store,
+Gateway::fetch_answer (Read &r, flw_reader_id_t which, const Store &store,
                        uint64_t now_ms)
 {
   if (store.trouble == Trouble::SILENT || is_cut)
@@ -336,7 +336,7 @@
 }
 
 void
-Gateway::step_read (flw_which_t which, const Store &store, uint64_t now_ms)
+Gateway::step_read (flw_reader_id_t which, const Store &store, uint64_t now_ms)
 {
   Read &r = reads_[which];
   if (!r.is_open || r.read.is_shared)
@@ -366,12 +366,12 @@
     return;
   step_shared (peer, now_ms);
   for (int i = 0; i < FLW_READERS; i++)
-    step_read ((flw_which_t)i, store, now_ms);
+    step_read ((flw_reader_id_t)i, store, now_ms);
   sweep (now_ms);
   for (int i = 0; i < FLW_READERS; i++)
     {
-      flw_which_t which = (flw_which_t)i;
-      if (flw_take_lost (&follower_, which))
+      flw_reader_id_t which = (flw_reader_id_t)i;
+      if (flw_take_cancellation (&follower_, which))
         reads_[i] = Read ();
       flw_read_t read;
       bool has_peer = !is_apart && now_ms >= leave_alone_until_ms_;
--- a/test/model/gateway.h
+++ b/test/model/gateway.h
@@ -83,14 +83,14 @@
   void init (uint64_t now_ms);
   void finish ();
   void take_config (uint64_t revision);
-  void step_read (flw_which_t which, const Store &store, uint64_t now_ms);
+  void step_read (flw_reader_id_t which, const Store &store, uint64_t now_ms);
   void step_shared (Sidecar *peer, uint64_t now_ms);
   bool take_word (const Word &word, uint64_t now_ms);
   void send_ask (Sidecar *peer, const flw_read_t &read, uint64_t now_ms);
   void take_items (const std::vector<Item> &items, uint64_t now_ms);
-  void fetch_answer (Read &r, flw_which_t which, const Store &store,
+  void fetch_answer (Read &r, flw_reader_id_t which, const Store &store,
                      uint64_t now_ms);
-  void take (flw_which_t which, const Answer &answer, uint64_t now_ms);
+  void take (flw_reader_id_t which, const Answer &answer, uint64_t now_ms);
   bool take_item (const Item &item, uint64_t remove_at_ms, uint64_t now_ms);
   bool take_target (const Item &item);
   void sweep (uint64_t now_ms);
--- a/test/model/sidecar.cc
+++ b/test/model/sidecar.cc
@@ -29,9 +29,9 @@
 }
 
 void
-Sidecar::ask (size_t gateway, const shr_ask_t &ask, uint64_t at_ms)
+Sidecar::ask (size_t gateway, const shr_request_t &ask, uint64_t at_ms)
 {
-  shr_ask_t sent = ask;
+  shr_request_t sent = ask;
   snprintf (sent.gateway, sizeof sent.gateway, "%zu", gateway);
   asks_.emplace_back (at_ms, sent);
 }
@@ -98,14 +98,15 @@
 }
 
 void
-Sidecar::tell (const shr_ask_t &ask, shr_verdict_t verdict, uint64_t now_ms)
+Sidecar::tell (const shr_request_t &ask, shr_status_t verdict, uint64_t now_ms)
 {
   Word word;
   word.id = ask.id;
   word.at_ms = now_ms + 1;
   word.verdict = verdict;
   word.as_of = cache_.as_of;
-  word.began_after_ms = (int64_t)cache_.began_ms - (int64_t)ask.arrived_ms;
+  word.began_after_ms
+      = (int64_t)cache_.read_began_ms - (int64_t)ask.arrived_ms;
   word.config_revision = cache_.config_revision;
   uint32_t at = 0;
   for (const shr_item_t *i = shr_next_change (&cache_, ask.after, &at);
@@ -125,16 +126,16 @@
     return;
   while (!asks_.empty () && asks_.front ().first <= now_ms)
     {
-      shr_ask_t ask = asks_.front ().second;
+      shr_request_t ask = asks_.front ().second;
       ask.arrived_ms = now_ms;
       asks_.pop_front ();
-      shr_ask_add (&cache_, &ask);
+      shr_request_add (&cache_, &ask);
     }
   if (is_open_)
     step_read (store, now_ms);
-  shr_ask_t ask;
-  shr_verdict_t verdict;
-  while (shr_ask_take (&cache_, now_ms, &ask, &verdict))
+  shr_request_t ask;
+  shr_status_t verdict;
+  while (shr_request_pop (&cache_, now_ms, &ask, &verdict))
     tell (ask, verdict, now_ms);
   if (!shr_read_begin (&cache_, now_ms, &after_))
     return;
--- a/test/model/sidecar.h
+++ b/test/model/sidecar.h
@@ -24,7 +24,7 @@
 {
   uint64_t id = 0;
   uint64_t at_ms = 0; ///< When it arrives.
-  shr_verdict_t verdict = SHR_NO_ANSWER;
+  shr_status_t verdict = SHR_READ_FAILED;
   uint64_t as_of = 0;
   int64_t began_after_ms = 0; ///< From the question's arrival to the read.
   uint64_t config_revision = 0;
@@ -41,7 +41,7 @@
   /// Start again: everything that was learnt is gone.
   void restart ();
   /// A question on its way.
-  void ask (size_t gateway, const shr_ask_t &ask, uint64_t at_ms);
+  void ask (size_t gateway, const shr_request_t &ask, uint64_t at_ms);
   void step (const Store &store, uint64_t now_ms);
   /// Words on their way to each gateway.
   std::deque<Word> words[2];
@@ -53,10 +53,10 @@
 private:
   void step_read (const Store &store, uint64_t now_ms);
   void take (const Answer &answer);
-  void tell (const shr_ask_t &ask, shr_verdict_t verdict, uint64_t now_ms);
+  void tell (const shr_request_t &ask, shr_status_t verdict, uint64_t now_ms);
   shr_cache_t cache_;
   std::map<std::string, Item> items_; ///< Values behind the cache's keys.
-  std::deque<std::pair<uint64_t, shr_ask_t>> asks_;
+  std::deque<std::pair<uint64_t, shr_request_t>> asks_;
   bool is_open_ = false;
   bool is_lost_ = false;
   uint64_t after_ = 0;
--- a/test/relay/sidecar_test.cc
+++ b/test/relay/sidecar_test.cc
@@ -1,5 +1,5 @@
-// A real sidecar before a stand-in of its engine, with this test as its
-// gateway: what comes in an order that real gateways rarely produce.
+// A real sidecar before a stand-in of link_arg engine, with this test as
+// link_arg gateway: what comes in an order that real gateways rarely produce.
 #include <gtest/gtest.h>
 
 #include "site.h"
@@ -29,23 +29,24 @@
     peer = site.engines[0].ip + ":" + std::to_string (site.inner_port ());
     uv_loop_init (&loop);
     tmr_service_init (&timers, &loop);
-    events.on_message = [] (plk_link_t *its, kb_slice_t, const msg_t *msg) {
-      auto *test = (SidecarTest *)its->owner;
-      test->grants += msg->type == MSG_PLACE_GRANT;
-      test->is_heard = test->is_heard || msg->type == MSG_ENGINE_STATE;
-      test->documents += msg->type == MSG_DOCUMENT;
-    };
+    events.on_message
+        = [] (plk_link_t *link_arg, kb_slice_t, const msg_t *msg) {
+            auto *test = (SidecarTest *)link_arg->owner;
+            test->grants += msg->type == MSG_PLACE_GRANT;
+            test->has_state = test->has_state || msg->type == MSG_ENGINE_STATE;
+            test->documents += msg->type == MSG_DOCUMENT;
+          };
     plk_link_init (&link, &loop, &timers, &events, this, "gateway");
     ASSERT_EQ (plk_link_connect (&link, peer.c_str ()), KB_OK);
     ASSERT_TRUE (run_until ([&] {
-      if (!is_heard)
-        tell_state ();
-      return is_heard;
+      if (!has_state)
+        send_state ();
+      return has_state;
     }));
   }
   /// As a gateway that knows no configuration.
   void
-  tell_state ()
+  send_state ()
   {
     msg_t hello = {};
     hello.type = MSG_GATEWAY_STATE;
@@ -54,7 +55,7 @@
     plk_link_send (&link, slice (peer), &hello);
   }
   void
-  give_document (const std::string &text)
+  send_document (const std::string &text)
   {
     msg_t document = {};
     document.type = MSG_DOCUMENT;
@@ -101,15 +102,15 @@
   tmr_service_t timers;
   plk_events_t events = {};
   plk_link_t link = {};
-  bool is_heard = false;
+  bool has_state = false;
   int grants = 0;
   int documents = 0;
 };
 
 // A sidecar restarts while callers wait, and a gateway's question overtakes
-// the configuration. It does not know yet how many adapters its engine has
-// room for; an engine that is ordered to hold more crashes, with all its
-// streams.
+// the configuration. It does not know yet how many adapters link_arg engine
+// has room for; an engine that is ordered to hold more crashes, with all
+// link_arg streams.
 TEST_F (SidecarTest, OrdersNothingBeforeItKnowsTheLimits)
 {
   // Until the engine's first report every question is declined.
@@ -122,7 +123,7 @@
     ask (id, "a" + std::to_string (id));
   run_until ([] { return false; }, 600);
   EXPECT_EQ (site.engines[0].target->loads (), 0);
-  give_document (site.config);
+  send_document (site.config);
   EXPECT_TRUE (run_until ([&] { return grants >= 4; }));
   EXPECT_LE (site.engines[0].target->most_held (), 4u);
 }
@@ -132,13 +133,13 @@
 {
   std::string large = site.config;
   large.insert (large.rfind ('}'), std::string (400000, ' '));
-  give_document (large);
-  auto is_given = [&] {
-    tell_state ();
+  send_document (large);
+  auto has_document = [&] {
+    send_state ();
     return documents > 0;
   };
-  EXPECT_FALSE (run_until (is_given, 1500));
-  EXPECT_TRUE (run_until (is_given));
+  EXPECT_FALSE (run_until (has_document, 1500));
+  EXPECT_TRUE (run_until (has_document));
 }
 
 } // namespace
--- a/test/unit/access_test.cc
+++ b/test/unit/access_test.cc
@@ -20,13 +20,13 @@
     wsp_seal (&table_);
   }
   ~Access () override { wsp_finish (&table_); }
-  acc_verdict_t
+  acc_result_t
   judge (const uint8_t *digest, uint64_t age_ms = 0, bool is_public = false,
          uint32_t fields = 1)
   {
     acc_request_t request = { fields, digest, is_public };
     acc_freshness_t freshness = { age_ms, bound_ms_ };
-    return acc_judge (&table_, &request, &freshness);
+    return acc_authorize (&table_, &request, &freshness);
   }
   wsp_table_t table_ = {};
   uint8_t red_[WSP_DIGEST_BYTES] = { 1 };
@@ -36,7 +36,7 @@
 
 TEST_F (Access, AKnownKeyNamesItsWorkspace)
 {
-  acc_verdict_t verdict = judge (red_);
+  acc_result_t verdict = judge (red_);
   EXPECT_EQ (verdict.outcome, ACC_ADMITTED);
   EXPECT_STREQ (verdict.workspace->name, "red");
 }
@@ -52,10 +52,10 @@
 // one that it does not know may have been added meanwhile.
 TEST_F (Access, KeysAreTrustedAsLongAsTheConfigurationIsFresh)
 {
-  EXPECT_EQ (judge (red_, acc_trust_ms (5000)).outcome, ACC_ADMITTED);
-  EXPECT_EQ (judge (red_, acc_trust_ms (5000) + 1).outcome, ACC_STALE);
-  EXPECT_EQ (judge (other_, acc_trust_ms (5000)).outcome, ACC_UNKNOWN_KEY);
-  EXPECT_EQ (judge (other_, acc_trust_ms (5000) + 1).outcome, ACC_STALE);
+  EXPECT_EQ (judge (red_, acc_max_age_ms (5000)).outcome, ACC_ADMITTED);
+  EXPECT_EQ (judge (red_, acc_max_age_ms (5000) + 1).outcome, ACC_STALE);
+  EXPECT_EQ (judge (other_, acc_max_age_ms (5000)).outcome, ACC_UNKNOWN_KEY);
+  EXPECT_EQ (judge (other_, acc_max_age_ms (5000) + 1).outcome, ACC_STALE);
   EXPECT_EQ (judge (nullptr, UINT64_MAX).outcome, ACC_NO_KEY);
   bound_ms_ = 0;
   EXPECT_EQ (judge (red_, UINT64_MAX).outcome, ACC_ADMITTED);
@@ -66,7 +66,7 @@
 // before, is known by then, and what follows has half a second to spare.
 TEST_F (Access, TheTrustLeavesRoomForALateWatch)
 {
-  EXPECT_LE (acc_trust_ms (5000) + 1000 + 500, 5000u);
+  EXPECT_LE (acc_max_age_ms (5000) + 1000 + 500, 5000u);
 }
 
 TEST_F (Access, APublicRouteIsOpenToAll)
@@ -84,7 +84,7 @@
   wsp_table_t none = {};
   acc_request_t request = { 1, other_, false };
   acc_freshness_t freshness = { UINT64_MAX, 5000 };
-  acc_verdict_t verdict = acc_judge (&none, &request, &freshness);
+  acc_result_t verdict = acc_authorize (&none, &request, &freshness);
   EXPECT_EQ (verdict.outcome, ACC_ADMITTED);
   EXPECT_EQ (verdict.workspace, nullptr);
 }
--- a/test/unit/admit_test.cc
+++ b/test/unit/admit_test.cc
@@ -338,14 +338,15 @@
   table.options.slots = 1000;
   for (uint64_t id = 1; id <= 200; id++)
     ask (id, "", 0, 1, 400);
-  double given_tokens = 0;
+  double dispatched_tokens = 0;
   for (uint64_t now_ms = 1; now_ms < 1000; now_ms++)
     {
       while (next (now_ms).kind == ADM_DO_GRANT)
-        given_tokens += 400;
-      EXPECT_LE (given_tokens, (50 + 0.7 * (double)now_ms) * 35) << now_ms;
+        dispatched_tokens += 400;
+      EXPECT_LE (dispatched_tokens, (50 + 0.7 * (double)now_ms) * 35)
+          << now_ms;
     }
-  EXPECT_GT (given_tokens, 0.6 * 1000 * 35);
+  EXPECT_GT (dispatched_tokens, 0.6 * 1000 * 35);
 }
 
 TEST_F (AdmitTest, AGatewayThatIsGoneGivesItsPlacesBack)
@@ -356,7 +357,7 @@
   adm_owner_gone (&table, 7);
   EXPECT_EQ (table.granted, 0u);
   EXPECT_EQ (table.waiting, 0u);
-  EXPECT_EQ (table.reading.given_tokens, 0);
+  EXPECT_EQ (table.reading.dispatched_tokens, 0);
   EXPECT_EQ (table.waiting_cost, 0);
 }
 
@@ -504,7 +505,7 @@
 {
   bkp_limit_t told
       = { .is_limited = true, .per_s = per_s, .at_ms = now_ms + 1 };
-  bkp_meter_told (&table->meter, &told, now_ms);
+  bkp_meter_merge (&table->meter, &told, now_ms);
 }
 
 // Guards against requests that waited already and go past a limit.
--- a/test/unit/alone_test.cc
+++ b/test/unit/alone_test.cc
@@ -37,9 +37,9 @@
   ASSERT_TRUE (aln_may_start (&gate_, &request, 1000));
   aln_started (&gate_, &request, 1000);
   EXPECT_FALSE (aln_may_start (&gate_, &other_, 1100));
-  aln_begun (&gate_, &request, 1100);
-  EXPECT_FALSE (aln_may_start (&gate_, &other_, 1100 + ALN_BEGUN_MS - 1));
-  EXPECT_TRUE (aln_may_start (&gate_, &other_, 1100 + ALN_BEGUN_MS));
+  aln_first_byte (&gate_, &request, 1100);
+  EXPECT_FALSE (aln_may_start (&gate_, &other_, 1100 + ALN_STARTUP_MS - 1));
+  EXPECT_TRUE (aln_may_start (&gate_, &other_, 1100 + ALN_STARTUP_MS));
 }
 
 // A stream goes on for seconds after its first event. What happens to it then
@@ -48,11 +48,11 @@
 {
   aln_request_t request = suspect ();
   aln_started (&gate_, &request, 1000);
-  aln_begun (&gate_, &request, 1050);
+  aln_first_byte (&gate_, &request, 1050);
   EXPECT_TRUE (aln_may_start (&gate_, &other_, 1300));
   aln_started (&gate_, &other_, 1300);
   aln_ended (&gate_, &request);
-  EXPECT_EQ (gate_.beginning, 1u);
+  EXPECT_EQ (gate_.starting, 1u);
   EXPECT_TRUE (aln_may_start (&gate_, &other_, 1301));
 }
 
@@ -60,9 +60,9 @@
 {
   aln_request_t request = suspect ();
   aln_started (&gate_, &request, 1000);
-  aln_begun (&gate_, &request, 1100);
+  aln_first_byte (&gate_, &request, 1100);
   aln_request_t next = suspect ();
-  uint64_t over_ms = 1100 + ALN_BEGUN_MS;
+  uint64_t over_ms = 1100 + ALN_STARTUP_MS;
   uint64_t rested_ms = over_ms + 4 * (over_ms - 1000);
   EXPECT_TRUE (aln_is_refused (&gate_, &next, rested_ms - 1));
   EXPECT_FALSE (aln_is_refused (&gate_, &next, rested_ms));
--- a/test/unit/follow_test.cc
+++ b/test/unit/follow_test.cc
@@ -40,10 +40,10 @@
   flw_follower_t f;
   uint64_t now_ms = 0;
   uint64_t delay_ms = 4;
-  uint64_t silent_from_ms = 0;
-  uint64_t silent_to_ms = 0;
-  uint64_t quiet_from_ms = 0;
-  uint64_t quiet_to_ms = 0;
+  uint64_t outage_from_ms = 0;
+  uint64_t outage_to_ms = 0;
+  uint64_t stalled_from_ms = 0;
+  uint64_t stalled_to_ms = 0;
   bool is_refusing = false;
   uint64_t heartbeat_ms = 60;
   uint64_t revision = 1;
@@ -56,58 +56,58 @@
   struct Read
   {
     bool is_open = false;
-    bool is_swallowed = false;
-    bool was_quiet = false;
+    bool is_dropped = false;
+    bool was_stalled = false;
     flw_read_t read;
     uint64_t sent_ms = 0;
   };
 
   bool
-  is_silent () const
+  is_store_silent () const
   {
-    return now_ms >= silent_from_ms && now_ms < silent_to_ms;
+    return now_ms >= outage_from_ms && now_ms < outage_to_ms;
   }
 
   bool
-  is_quiet () const
+  are_watches_stalled () const
   {
-    return now_ms >= quiet_from_ms && now_ms < quiet_to_ms;
+    return now_ms >= stalled_from_ms && now_ms < stalled_to_ms;
   }
 
   void
   step ()
   {
-    if (now_ms + 1 == quiet_to_ms)
-      forgotten_ = revision;
+    if (now_ms + 1 == stalled_to_ms)
+      compacted_ = revision;
     if (heartbeat_ms > 0 && now_ms % heartbeat_ms == 0)
       revision++;
     for (int i = 0; i < FLW_READERS; i++)
       {
-        play_read ((flw_which_t)i);
+        step_read ((flw_reader_id_t)i);
         for (int k = 0; k < FLW_READERS; k++)
-          if (flw_take_lost (&f, (flw_which_t)k))
+          if (flw_take_cancellation (&f, (flw_reader_id_t)k))
             open_[k].is_open = false;
       }
     for (int i = 0; i < FLW_READERS; i++)
-      send_due ((flw_which_t)i);
+      send_due ((flw_reader_id_t)i);
   }
 
   void
-  send_due (flw_which_t which)
+  send_due (flw_reader_id_t which)
   {
     Read &r = open_[which];
     if (!flw_begin (&f, which, false, now_ms, &r.read))
       return;
     ASSERT_FALSE (r.is_open);
     r.is_open = true;
-    r.is_swallowed = is_silent ();
-    r.was_quiet = false;
+    r.is_dropped = is_store_silent ();
+    r.was_stalled = false;
     r.sent_ms = now_ms;
     reads++;
   }
 
   bool
-  has_news (flw_which_t which, const Read &r) const
+  is_answer_due (flw_reader_id_t which, const Read &r) const
   {
     uint64_t newest = which == FLW_BATCH ? revision : config_revision;
     return r.read.after == 0 || newest > r.read.after
@@ -115,29 +115,30 @@
   }
 
   void
-  play_read (flw_which_t which)
+  step_read (flw_reader_id_t which)
   {
     Read &r = open_[which];
     if (!r.is_open)
       return;
-    r.is_swallowed |= is_silent ();
+    r.is_dropped |= is_store_silent ();
     bool is_watch = r.read.after > 0;
-    r.was_quiet |= is_watch && is_quiet ();
-    bool is_cut = r.was_quiet && !is_quiet ();
-    if (is_watch && is_quiet () && now_ms - r.sent_ms < r.read.timeout_ms)
+    r.was_stalled |= is_watch && are_watches_stalled ();
+    bool is_cut = r.was_stalled && !are_watches_stalled ();
+    if (is_watch && are_watches_stalled ()
+        && now_ms - r.sent_ms < r.read.timeout_ms)
       return;
     bool is_late = now_ms - r.sent_ms >= r.read.timeout_ms;
-    bool is_due = !r.is_swallowed && now_ms - r.sent_ms >= delay_ms;
+    bool is_due = !r.is_dropped && now_ms - r.sent_ms >= delay_ms;
     if (is_late || is_cut || (is_refusing && is_due))
       {
         r.is_open = false;
         flw_failed (&f, which, now_ms, FLW_NO_ANSWER, random_ ());
         return;
       }
-    if (!is_due || !has_news (which, r))
+    if (!is_due || !is_answer_due (which, r))
       return;
     r.is_open = false;
-    if (is_watch && r.read.after < forgotten_)
+    if (is_watch && r.read.after < compacted_)
       {
         flw_failed (&f, which, now_ms, FLW_HISTORY_GONE, random_ ());
         return;
@@ -153,7 +154,7 @@
   }
 
   std::mt19937 random_;
-  uint64_t forgotten_ = 0; ///< The history up to here is gone.
+  uint64_t compacted_ = 0; ///< The history up to here is gone.
   Read open_[FLW_READERS];
 };
 
@@ -171,9 +172,9 @@
   for (uint32_t seed = 1; seed <= 400; seed++)
     {
       Timeline t (seed);
-      t.silent_from_ms = 1000 + seed * 13 % 2000;
-      t.silent_to_ms = t.silent_from_ms + 50 + seed * 97 % 15000;
-      t.run_until (t.silent_to_ms);
+      t.outage_from_ms = 1000 + seed * 13 % 2000;
+      t.outage_to_ms = t.outage_from_ms + 50 + seed * 97 % 15000;
+      t.run_until (t.outage_to_ms);
       t.change_config ();
       uint64_t return_ms = t.now_ms;
       t.run_until (return_ms + 10000);
@@ -188,25 +189,25 @@
 {
   enum
   {
-    CONTACT_MS = 3000, ///< From the store's return until changes bind.
-    QUIET_MS = 1260,
+    RECOVERY_BOUND_MS = 3000, ///< From the store's return until changes bind.
+    STALL_MS = 1260,
   };
   uint64_t worst_ms = 0;
   for (uint32_t seed = 1; seed <= 400; seed++)
     {
       Timeline t (seed);
-      t.silent_from_ms = 1000 + seed * 13 % 2000;
-      t.silent_to_ms = t.silent_from_ms + 50 + seed * 97 % 15000;
-      t.run_until (t.silent_to_ms);
+      t.outage_from_ms = 1000 + seed * 13 % 2000;
+      t.outage_to_ms = t.outage_from_ms + 50 + seed * 97 % 15000;
+      t.run_until (t.outage_to_ms);
       t.change_config ();
       uint64_t return_ms = t.now_ms;
-      t.quiet_from_ms = return_ms + 300 + seed * 7 % 1700;
-      t.quiet_to_ms = t.quiet_from_ms + QUIET_MS;
+      t.stalled_from_ms = return_ms + 300 + seed * 7 % 1700;
+      t.stalled_to_ms = t.stalled_from_ms + STALL_MS;
       t.run_until (return_ms + 10000);
       ASSERT_EQ (t.known_config, t.config_revision) << "seed " << seed;
       worst_ms = std::max (worst_ms, t.known_since_ms - return_ms);
     }
-  EXPECT_LT (worst_ms, (uint64_t)CONTACT_MS);
+  EXPECT_LT (worst_ms, (uint64_t)RECOVERY_BOUND_MS);
 }
 
 // As above on a store without a single target, where nothing ever changes.
@@ -214,8 +215,8 @@
 {
   Timeline t;
   t.heartbeat_ms = 0;
-  t.silent_from_ms = 5000;
-  t.silent_to_ms = 5400;
+  t.outage_from_ms = 5000;
+  t.outage_to_ms = 5400;
   t.run_until (5400);
   t.change_config ();
   t.run_until (5400 + 2300);
@@ -226,8 +227,8 @@
 TEST (Follow, ASilenceCostsFewCalls)
 {
   Timeline t;
-  t.silent_from_ms = 5000;
-  t.silent_to_ms = 25000;
+  t.outage_from_ms = 5000;
+  t.outage_to_ms = 25000;
   t.run_until (6000);
   int before = t.reads;
   t.run_until (25000);
@@ -304,11 +305,11 @@
   while (!t.f.readers[FLW_BATCH].is_reading)
     t.run_until (t.now_ms + 1);
   uint64_t began_ms = t.f.readers[FLW_BATCH].began_ms;
-  t.silent_from_ms = t.now_ms;
-  t.silent_to_ms = began_ms + t.f.readers[FLW_BATCH].timeout_ms;
-  t.run_until (t.silent_to_ms + 300);
+  t.outage_from_ms = t.now_ms;
+  t.outage_to_ms = began_ms + t.f.readers[FLW_BATCH].timeout_ms;
+  t.run_until (t.outage_to_ms + 300);
   ASSERT_FALSE (t.f.readers[FLW_BATCH].failed_since_ms);
-  EXPECT_GE (flw_lapsed_until_ms (&t.f), t.silent_to_ms + 2000);
+  EXPECT_GE (flw_retain_until_ms (&t.f), t.outage_to_ms + 2000);
 }
 
 // Guards against a target that left in an outage and is used past its bound.
@@ -316,21 +317,22 @@
 {
   enum
   {
-    CONTACT_MS = 3000,
-    ON_THE_WAY_MS = 100, ///< Of the removal, and of a request sent before it.
+    RECOVERY_BOUND_MS = 3000,
+    REMOVAL_MARGIN_MS
+    = 100, ///< Of the removal, and of a request sent before it.
   };
   uint64_t latest_ms = 0;
   for (uint32_t seed = 1; seed <= 400; seed++)
     {
       Timeline t (seed);
-      t.silent_from_ms = 4000 + seed * 13 % 2000;
-      t.silent_to_ms = t.silent_from_ms + 1500 + seed * 97 % 6000;
-      t.run_until (t.silent_to_ms + 2500);
-      ASSERT_GT (flw_lapsed_until_ms (&t.f), t.silent_to_ms);
+      t.outage_from_ms = 4000 + seed * 13 % 2000;
+      t.outage_to_ms = t.outage_from_ms + 1500 + seed * 97 % 6000;
+      t.run_until (t.outage_to_ms + 2500);
+      ASSERT_GT (flw_retain_until_ms (&t.f), t.outage_to_ms);
       latest_ms
-          = std::max (latest_ms, flw_lapsed_until_ms (&t.f) - t.silent_to_ms);
+          = std::max (latest_ms, flw_retain_until_ms (&t.f) - t.outage_to_ms);
     }
-  EXPECT_LE (latest_ms, (uint64_t)(CONTACT_MS - ON_THE_WAY_MS));
+  EXPECT_LE (latest_ms, (uint64_t)(RECOVERY_BOUND_MS - REMOVAL_MARGIN_MS));
 }
 
 // The history is forgotten: everything is read again, and the direct reader
@@ -441,7 +443,7 @@
   ASSERT_TRUE (flw_begin (&f, FLW_DIRECT, false, now_ms, &read));
   ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, now_ms, &read));
   ASSERT_TRUE (flw_shared_answered (&f, 5706, 5700, 14, 12, 0));
-  EXPECT_TRUE (flw_take_lost (&f, FLW_DIRECT));
+  EXPECT_TRUE (flw_take_cancellation (&f, FLW_DIRECT));
   ASSERT_TRUE (flw_begin (&f, FLW_DIRECT, false, 5706, &read));
   EXPECT_EQ (read.after, 14u);
 }
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -17,9 +17,9 @@
 {
   for (uint64_t now_ms = from_ms; now_ms < from_ms + for_ms; now_ms += 100)
     {
-      pce_note_reading (pace, busy * 100, now_ms);
+      pce_record_prefill (pace, busy * 100, now_ms);
       double gap_ms = event_ms / (1 - busy);
-      pce_note_stream (pace, 20, (uint64_t)(20 * gap_ms), now_ms);
+      pce_record_stream (pace, 20, (uint64_t)(20 * gap_ms), now_ms);
     }
   return from_ms + for_ms;
 }
@@ -28,9 +28,9 @@
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
-  EXPECT_DOUBLE_EQ (pce_part (&pace), 0.65);
-  pce_accept (&pace, 400);
-  EXPECT_DOUBLE_EQ (pce_part (&pace), 0.65);
+  EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.65);
+  pce_set_max_gap (&pace, 400);
+  EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.65);
 }
 
 // One site's callers accept pauses of 400 ms and its engines make an event
@@ -43,12 +43,12 @@
   pce_pace_t slow;
   pce_pace_init (&quick);
   pce_pace_init (&slow);
-  pce_accept (&quick, 400);
-  pce_accept (&slow, 300);
+  pce_set_max_gap (&quick, 400);
+  pce_set_max_gap (&slow, 300);
   play_streams (&quick, 28, 0, 0, 20000);
   play_streams (&slow, 40, 0, 0, 20000);
-  EXPECT_NEAR (pce_part (&quick), 0.81, 0.01);
-  EXPECT_NEAR (pce_part (&slow), 0.64, 0.01);
+  EXPECT_NEAR (pce_fraction (&quick), 0.81, 0.01);
+  EXPECT_NEAR (pce_fraction (&slow), 0.64, 0.01);
 }
 
 // What the pace lets in makes gaps longer, and longer gaps must not by
@@ -57,11 +57,11 @@
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
-  pce_accept (&pace, 400);
+  pce_set_max_gap (&pace, 400);
   uint64_t now_ms = play_streams (&pace, 28, 0, 0, 20000);
-  double idle = pce_part (&pace);
+  double idle = pce_fraction (&pace);
   play_streams (&pace, 28, 0.7, now_ms, 40000);
-  EXPECT_NEAR (pce_part (&pace), idle, 0.04);
+  EXPECT_NEAR (pce_fraction (&pace), idle, 0.04);
 }
 
 // A load that changes the engine's own speed: batches become full, each token
@@ -70,24 +70,24 @@
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
-  pce_accept (&pace, 400);
+  pce_set_max_gap (&pace, 400);
   uint64_t now_ms = play_streams (&pace, 28, 0.5, 0, 20000);
   now_ms = play_streams (&pace, 56, 0.5, now_ms, 30000);
-  double settled = pce_part (&pace);
+  double settled = pce_fraction (&pace);
   EXPECT_NEAR (settled, 0.63, 0.03);
   play_streams (&pace, 56, 0.5, now_ms, 10000);
-  EXPECT_NEAR (pce_part (&pace), settled, 0.01);
+  EXPECT_NEAR (pce_fraction (&pace), settled, 0.01);
 }
 
 TEST (Pace, StaysWithinItsBounds)
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
-  pce_accept (&pace, 400);
+  pce_set_max_gap (&pace, 400);
   play_streams (&pace, 1000, 0, 0, 20000);
-  EXPECT_DOUBLE_EQ (pce_part (&pace), 0.6);
+  EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.6);
   play_streams (&pace, 0.5, 0, 20000, 400000);
-  EXPECT_DOUBLE_EQ (pce_part (&pace), 0.9);
+  EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.9);
 }
 
 } // namespace
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -299,8 +299,8 @@
   uint32_t taken = 0;
   for (int i = 0; i < 1000; i++)
     {
-      bud_note_first (&budget, (uint64_t)i);
-      taken += bud_take_repeat (&budget, 2, (uint64_t)i);
+      bud_record_request (&budget, (uint64_t)i);
+      taken += bud_take_retry (&budget, 2, (uint64_t)i);
     }
   EXPECT_GT (taken, 50u);
   EXPECT_LE (taken, 210u);
@@ -314,9 +314,9 @@
   bud_budget_t budget;
   bud_budget_init (&budget, &options);
   for (int i = 0; i < 10; i++)
-    bud_note_first (&budget, 0);
-  EXPECT_TRUE (bud_take_repeat (&budget, 1, 100));
-  EXPECT_FALSE (bud_take_repeat (&budget, 1, 5000));
+    bud_record_request (&budget, 0);
+  EXPECT_TRUE (bud_take_retry (&budget, 1, 100));
+  EXPECT_FALSE (bud_take_retry (&budget, 1, 5000));
 }
 
 TEST (Budget, GatewaysShareTheSlack)
@@ -326,7 +326,7 @@
   options.window_ms = 1000;
   bud_budget_t budget;
   bud_budget_init (&budget, &options);
-  EXPECT_GT (bud_left (&budget, 1, 0), bud_left (&budget, 10, 0));
+  EXPECT_GT (bud_remaining (&budget, 1, 0), bud_remaining (&budget, 10, 0));
 }
 
 } // namespace
--- a/test/unit/platform_test.cc
+++ b/test/unit/platform_test.cc
@@ -278,8 +278,8 @@
   EXPECT_STREQ (report->adapters[0].name, "m/a1");
   EXPECT_EQ (report->adapters[0].version, 2u);
   EXPECT_STREQ (report->adapters[2].name, "m/a3");
-  EXPECT_TRUE (report->adapters[2].is_coming);
-  EXPECT_EQ (report->at_hand_count, 1u);
+  EXPECT_TRUE (report->adapters[2].is_loading);
+  EXPECT_EQ (report->cached_model_count, 1u);
   EXPECT_NE (plt_report_decode (slice ("[1"), report.get (), &error), KB_OK);
 }
 
@@ -696,7 +696,7 @@
       directory.source.vtable->on_changes (&directory.source, &changes);
       EXPECT_TRUE (told.empty ()) << word.key << word.revision;
       EXPECT_EQ (f.readers[FLW_BATCH].as_of, 10u);
-      EXPECT_TRUE (f.is_store_due);
+      EXPECT_TRUE (f.is_store_read_due);
       directory.source.vtable->stop (&directory.source);
     }
 }
@@ -728,10 +728,11 @@
 // before it.
 TEST_F (DirectoryTest, ManyThatVanishTogetherGoWithinTheirBound)
 {
-  EXPECT_EQ (ros_mass_return_ms (3000), 800u);
-  EXPECT_EQ (ros_mass_return_ms (2000), 800u);
+  EXPECT_EQ (ros_mass_loss_retain_ms (3000), 800u);
+  EXPECT_EQ (ros_mass_loss_retain_ms (2000), 800u);
   for (uint64_t bound_ms : { 500, 1000, 1500, 2000 })
-    EXPECT_LE (ros_mass_return_ms (bound_ms) + dir_target_pause_ms (bound_ms),
+    EXPECT_LE (ros_mass_loss_retain_ms (bound_ms)
+                   + dir_target_pause_ms (bound_ms),
                bound_ms * 3 / 4);
 }
 
--- a/test/unit/reading_test.cc
+++ b/test/unit/reading_test.cc
@@ -15,32 +15,32 @@
   void
   SetUp () override
   {
-    rdg_reading_init (&reading);
+    pfl_prefill_init (&reading);
   }
-  rdg_reading_t reading;
+  pfl_prefill_t reading;
 };
 
 TEST_F (ReadingTest, LongPromptsCostMoreThanTheirTokens)
 {
-  EXPECT_NEAR (rdg_cost (100), 100, 1);
-  EXPECT_GT (rdg_cost (8000), 10000);
+  EXPECT_NEAR (pfl_cost_tokens (100), 100, 1);
+  EXPECT_GT (pfl_cost_tokens (8000), 10000);
 }
 
 // However long a prompt is, it is read once the engine has read all others.
 TEST_F (ReadingTest, AnyPromptFitsWhenNothingIsLeft)
 {
-  EXPECT_TRUE (rdg_fits (&reading, 50000, 0));
-  rdg_give (&reading, 50000, 0);
-  EXPECT_FALSE (rdg_fits (&reading, 10, 100));
-  EXPECT_TRUE (rdg_fits (&reading, 50000, 10000));
+  EXPECT_TRUE (pfl_can_dispatch (&reading, 50000, 0));
+  pfl_dispatch (&reading, 50000, 0);
+  EXPECT_FALSE (pfl_can_dispatch (&reading, 10, 100));
+  EXPECT_TRUE (pfl_can_dispatch (&reading, 50000, 10000));
 }
 
 TEST_F (ReadingTest, WhatIsTakenBackMakesRoom)
 {
-  rdg_give (&reading, 1500, 0);
-  EXPECT_FALSE (rdg_fits (&reading, 1500, 0));
-  rdg_take_back (&reading, 1500);
-  EXPECT_TRUE (rdg_fits (&reading, 1500, 0));
+  pfl_dispatch (&reading, 1500, 0);
+  EXPECT_FALSE (pfl_can_dispatch (&reading, 1500, 0));
+  pfl_cancel (&reading, 1500);
+  EXPECT_TRUE (pfl_can_dispatch (&reading, 1500, 0));
 }
 
 // Engines of one site add 40 ms to every first event. Taken as a ratio of
@@ -50,7 +50,7 @@
   for (int i = 0; i < 400; i++)
     {
       double tokens = 200 + i % 10 * 300;
-      rdg_learn (&reading, tokens, 40 + tokens / 20);
+      pfl_record_first_event (&reading, tokens, 40 + tokens / 20);
     }
   EXPECT_NEAR (reading.tokens_per_ms, 20, 1);
 }
--- a/test/unit/share_test.cc
+++ b/test/unit/share_test.cc
@@ -16,11 +16,11 @@
 
 constexpr uint64_t kPauseMs = 800;
 
-shr_ask_t
+shr_request_t
 ask_of (const char *gateway, uint64_t after, uint64_t known_age_ms,
         uint64_t now_ms)
 {
-  shr_ask_t ask = {};
+  shr_request_t ask = {};
   snprintf (ask.gateway, sizeof ask.gateway, "%s", gateway);
   ask.id = 7;
   ask.after = after;
@@ -53,8 +53,8 @@
   ask (const char *gateway, uint64_t after, uint64_t known_age_ms,
        uint64_t now_ms)
   {
-    shr_ask_t a = ask_of (gateway, after, known_age_ms, now_ms);
-    return shr_ask_add (&cache, &a);
+    shr_request_t a = ask_of (gateway, after, known_age_ms, now_ms);
+    return shr_request_add (&cache, &a);
   }
 
   void
@@ -79,8 +79,8 @@
   }
 
   shr_cache_t cache;
-  shr_ask_t out;
-  shr_verdict_t verdict;
+  shr_request_t out;
+  shr_status_t verdict;
 };
 
 TEST_F (Share, NobodyAsksNothingIsRead)
@@ -94,14 +94,14 @@
 {
   ASSERT_TRUE (ask ("a", 10, 800, 1000));
   ASSERT_TRUE (ask ("b", 12, 700, 1000));
-  EXPECT_FALSE (shr_ask_take (&cache, 1000, &out, &verdict));
+  EXPECT_FALSE (shr_request_pop (&cache, 1000, &out, &verdict));
   read (1000,
         { change_of ("servers/i", 11, "x"), change_of ("servers/j", 13, "y") },
         14);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_KNOWN);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_KNOWN);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_CHANGES_KNOWN);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_CHANGES_KNOWN);
   EXPECT_EQ (told (10).size (), 2u);
   EXPECT_EQ (told (12), std::vector<uint64_t> ({ 13 }));
   EXPECT_EQ (shr_due_ms (&cache), UINT64_MAX);
@@ -113,23 +113,23 @@
 {
   ASSERT_TRUE (ask ("a", 10, 800, 1000));
   read (1000, {}, 14);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
   ASSERT_TRUE (ask ("a", 14, 5, 1005));
-  EXPECT_FALSE (shr_ask_take (&cache, 1005, &out, &verdict));
+  EXPECT_FALSE (shr_request_pop (&cache, 1005, &out, &verdict));
   EXPECT_EQ (shr_due_ms (&cache), 1000 + kPauseMs);
   read (1000 + kPauseMs, {}, 20);
-  EXPECT_TRUE (shr_ask_take (&cache, 1804, &out, &verdict));
+  EXPECT_TRUE (shr_request_pop (&cache, 1804, &out, &verdict));
 }
 
 TEST_F (Share, WhoKnowsLessIsToldAtOnce)
 {
   ASSERT_TRUE (ask ("a", 10, 800, 1000));
   read (1000, { change_of ("servers/i", 11, "x") }, 14);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
   ASSERT_TRUE (ask ("b", 10, 700, 1100));
-  ASSERT_TRUE (shr_ask_take (&cache, 1100, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_KNOWN);
-  EXPECT_EQ (out.arrived_ms - cache.began_ms, 100u);
+  ASSERT_TRUE (shr_request_pop (&cache, 1100, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_CHANGES_KNOWN);
+  EXPECT_EQ (out.arrived_ms - cache.read_began_ms, 100u);
 }
 
 // A gateway that lacks what was read before the first question would take
@@ -138,10 +138,10 @@
 {
   ASSERT_TRUE (ask ("a", 10, 800, 1000));
   read (1000, {}, 14);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
   ASSERT_TRUE (ask ("b", 9, 700, 1100));
-  ASSERT_TRUE (shr_ask_take (&cache, 1100, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_BEHIND);
+  ASSERT_TRUE (shr_request_pop (&cache, 1100, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_TOO_OLD);
 }
 
 // The store forgets its history while the cache is behind it. What is read
@@ -151,19 +151,19 @@
 {
   ASSERT_TRUE (ask ("a", 10, 800, 1000));
   read (1000, {}, 14);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
   ASSERT_TRUE (ask ("a", 14, 700, 1800));
   uint64_t after;
   ASSERT_TRUE (shr_read_begin (&cache, 1800, &after));
   shr_read_failed (&cache, true);
-  ASSERT_TRUE (shr_ask_take (&cache, 1810, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_NO_ANSWER);
+  ASSERT_TRUE (shr_request_pop (&cache, 1810, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_READ_FAILED);
   ASSERT_TRUE (ask ("a", 30, 5, 1900));
   ASSERT_TRUE (ask ("b", 14, 820, 1900));
-  ASSERT_TRUE (shr_ask_take (&cache, 1900, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1900, &out, &verdict));
   EXPECT_STREQ (out.gateway, "b");
-  EXPECT_EQ (verdict, SHR_BEHIND);
-  EXPECT_FALSE (shr_ask_take (&cache, 1900, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_TOO_OLD);
+  EXPECT_FALSE (shr_request_pop (&cache, 1900, &out, &verdict));
 }
 
 TEST_F (Share, AReadWithoutAnswerIsSaidToAllWhoWait)
@@ -175,8 +175,8 @@
   shr_read_failed (&cache, false);
   for (int i = 0; i < 2; i++)
     {
-      ASSERT_TRUE (shr_ask_take (&cache, 1600, &out, &verdict));
-      EXPECT_EQ (verdict, SHR_NO_ANSWER);
+      ASSERT_TRUE (shr_request_pop (&cache, 1600, &out, &verdict));
+      EXPECT_EQ (verdict, SHR_READ_FAILED);
     }
 }
 
@@ -192,7 +192,7 @@
       uint64_t known = revision;
       ASSERT_TRUE (ask ("a", known, kPauseMs, now_ms));
       read (now_ms, { change_of ("servers/i", ++revision, "x") }, revision);
-      ASSERT_TRUE (shr_ask_take (&cache, now_ms, &out, &verdict));
+      ASSERT_TRUE (shr_request_pop (&cache, now_ms, &out, &verdict));
       EXPECT_EQ (told (known).size (), i < 8 ? 1u : 0u) << i;
     }
   ASSERT_TRUE (ask ("a", revision, kPauseMs, now_ms));
@@ -210,8 +210,8 @@
   for (const std::string &key : keys)
     changes.push_back (change_of (key.c_str (), 11, "x"));
   read (1000, changes, 11);
-  ASSERT_TRUE (shr_ask_take (&cache, 1004, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_BEHIND);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
+  EXPECT_EQ (verdict, SHR_TOO_OLD);
   EXPECT_EQ (cache.items.len, 0u);
 }
 
@@ -219,8 +219,8 @@
 {
   ASSERT_TRUE (ask ("a", 10, 800, 1000));
   ASSERT_TRUE (ask ("a", 12, 800, 1001));
-  EXPECT_EQ (cache.ask_count, 1u);
-  for (int i = 1; i < SHR_MAX_ASKS; i++)
+  EXPECT_EQ (cache.request_count, 1u);
+  for (int i = 1; i < SHR_MAX_REQUESTS; i++)
     ASSERT_TRUE (ask (("g" + std::to_string (i)).c_str (), 12, 0, 1002));
   EXPECT_FALSE (ask ("one too many", 12, 0, 1002));
 }
--- a/tools/lab/model.cc
+++ b/tools/lab/model.cc
@@ -100,7 +100,7 @@
     for (auto &e : engines_)
       {
         adm_table_init (&e.table, &options);
-        pce_accept (&e.table.reading.pace, d.gap_ms);
+        pce_set_max_gap (&e.table.reading.pace, d.gap_ms);
         e.table.is_open = true;
       }
   }
@@ -719,8 +719,8 @@
     if (r.ask != nullptr)
       {
         uint32_t gaps = (uint32_t)((r.output - 1) / d_.stride);
-        pce_note_stream (&e.table.reading.pace, gaps, r.event_ms - r.first_ms,
-                         now_);
+        pce_record_stream (&e.table.reading.pace, gaps,
+                           r.event_ms - r.first_ms, now_);
         adm_note_held (&e.table, r.ask, now_);
       }
     drop_ask (r);
