--- a/src/coordination/admit.h
+++ b/src/coordination/admit.h
@@ -11,7 +11,7 @@
 #include "coordination/alone.h"
 #include "coordination/backpressure.h"
 #include "coordination/lanes.h"
-#include "coordination/reading.h"
+#include "coordination/prefill.h"
 #include "state/buf.h"
 #include "state/map.h"
 
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-#include "coordination/reading.h"
+#include "coordination/prefill.h"
 #include "state/buf.h"
 
 /// Targets that an adapter is brought to first, by rendezvous weight. The
--- a/src/coordination/reading.c
+++ b/src/coordination/prefill.c
@@ -1,4 +1,4 @@
-#include "coordination/reading.h"
+#include "coordination/prefill.h"
 
 enum
 {
--- a/src/coordination/reading.h
+++ b/src/coordination/prefill.h
@@ -1,8 +1,8 @@
 /// @file prefill.h
 /// How an engine reads prompts: the rate as measured, and the pace at which
 /// prompts are given out. No I/O; time is an argument.
-#ifndef KB_COORDINATION_READING_H
-#define KB_COORDINATION_READING_H
+#ifndef KB_COORDINATION_PREFILL_H
+#define KB_COORDINATION_PREFILL_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -92,7 +92,7 @@
   return kb_hash (name.ptr, name.len_bytes, 0) | 1;
 }
 
-// sidecar_tell.c
+// sidecar_state.c
 scr_gateway_t *scr_gateway_find (scr_sidecar_t *s, uint64_t id);
 void scr_send (scr_sidecar_t *s, const scr_gateway_t *gateway,
                const msg_t *msg);
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_state.c
@@ -1,4 +1,4 @@
-/// @file sidecar_tell.c
+/// @file sidecar_state.c
 /// What a sidecar tells the gateways: condition, load, adapters.
 #include "relay/turn.h"
 #include "sidecar/sidecar_defs.h"
--- a/test/unit/reading_test.cc
+++ b/test/unit/prefill_test.cc
@@ -3,7 +3,7 @@
 
 extern "C"
 {
-#include "coordination/reading.h"
+#include "coordination/prefill.h"
 }
 
 namespace
