--- a/src/coordination/access.c
+++ b/src/coordination/access.c
@@ -4,8 +4,8 @@
 
 enum
 {
-  /// Part of the bound after which keys are trusted no longer. The rest is for
-  /// a store whose watches tell a change up to a second late.
+  /// Part of the bound for which keys are accepted. The rest allows for a
+  /// store whose watches report a change up to a second late.
   MAX_AGE_PERCENT = 70,
   PERCENT = 100,
 };
@@ -29,7 +29,7 @@
 {
   if (request->key_count != 1 || request->digest == NULL)
     return (acc_result_t){ .outcome = ACC_NO_KEY };
-  // A key that is not known may have been added meanwhile.
+  // An unknown key may have been added meanwhile.
   if (is_stale (freshness))
     return (acc_result_t){ .outcome = ACC_STALE };
   const wsp_workspace_t *workspace = wsp_find (table, request->digest);
@@ -43,8 +43,8 @@
                const acc_freshness_t *freshness)
 {
   acc_result_t result = authorize_key (table, request, freshness);
-  // A request that needs no key is never refused for one; with a good key it
-  // acts for that workspace.
+  // A request that needs no key is never refused because of one; with a valid
+  // key it acts for that workspace.
   if (!table->are_keys_required || request->is_route_public)
     result.outcome = ACC_ADMITTED;
   return result;
--- a/src/coordination/alone.c
+++ b/src/coordination/alone.c
@@ -4,14 +4,14 @@
 
 enum
 {
-  /// Others are kept back for this long, though nothing comes: the request may
-  /// wait for memory, or its gateway may be gone.
+  /// Others are blocked for at most this long if no first byte arrives: the
+  /// request may wait for memory, or its gateway may have failed.
   MAX_BLOCK_MS = 1000,
-  /// A request that is to begin alone keeps others back while those that are
-  /// starting finish. One of these may hang; after this it is refused, and
-  /// another target is asked.
+  /// A request that must start alone blocks others while it waits for starting
+  /// ones, of which one may hang. After this time it is refused and sent to
+  /// another target.
   MAX_WAIT_MS = 500,
-  /// A target rests from it for this many times as long as it took.
+  /// Length of the cooldown, in durations of the preceding block.
   COOLDOWN_FACTOR = 4,
 };
 
@@ -21,7 +21,7 @@
   return now_ms < gate->blocked_until_ms;
 }
 
-/// @return  Whether nobody is starting.
+/// @return  Whether no request is starting.
 static bool
 has_no_starting (const aln_gate_t *gate, uint64_t now_ms)
 {
@@ -53,7 +53,7 @@
   return has_waited || now_ms < gate->cooldown_until_ms;
 }
 
-/// Others are, or were, kept back for a while: rest from that.
+/// Extend the cooldown for a period in which others are or were blocked.
 static void
 cooldown_extend (aln_gate_t *gate, uint64_t blocked_since_ms,
                  uint64_t blocked_until_ms)
@@ -104,7 +104,7 @@
   bool has_started = request->is_starting || gate->exclusive == request;
   gate->starting -= request->is_starting;
   request->is_starting = false;
-  // It kept others back in vain.
+  // It blocked others without having started.
   if (!has_started && request->waiting_since_ms > 0)
     cooldown_extend (gate, request->waiting_since_ms,
                      request->waiting_since_ms + MAX_WAIT_MS);
--- a/src/coordination/alone.h
+++ b/src/coordination/alone.h
@@ -1,13 +1,13 @@
 /// @file alone.h
-/// Requests that begin at a target while no other one does. Targets ended
-/// under some requests as these began, and with them what others had there;
-/// whether a target ends under one that begins alone is its own doing. No I/O;
-/// time is an argument.
+/// Starts suspect requests at a target while no other request starts there.
+/// Some requests make a target terminate when they start, and the open
+/// requests of others fail with it; if a target terminates while a request
+/// starts alone, that request is the cause. No I/O; time is an argument.
 ///
-/// A short time after the first byte of an answer counts as starting, because
-/// a target can end a moment after it began. A target rests from this for a
-/// multiple of the time that it took, so that a caller exclusive sends such
-/// requests without end keeps others back for a small part of the time only.
+/// A request counts as starting until a short time after the first byte of its
+/// answer, because a target can terminate just after it. A start alone is
+/// followed by a cooldown of a multiple of its duration, so that a caller who
+/// keeps sending such requests blocks others for a small part of the time.
 #ifndef KB_COORDINATION_ALONE_H
 #define KB_COORDINATION_ALONE_H
 
@@ -16,40 +16,40 @@
 
 enum
 {
-  /// After its first byte a request counts as starting for this long.
+  /// A request counts as starting until this long after its first byte.
   ALN_STARTUP_MS = 150,
 };
 
-/// One request, as far as this matters.
+/// State of one request.
 typedef struct
 {
-  bool is_alone;    ///< To begin alone.
-  bool is_starting; ///< Started; nothing has come of its answer.
-  uint64_t
-      waiting_since_ms; ///< Moment since when it keeps others back; zero: not.
+  bool is_alone;             ///< Must start alone.
+  bool is_starting;          ///< Started, no byte of its answer received.
+  uint64_t waiting_since_ms; ///< When it began to block others; zero: not.
 } aln_request_t;
 
-/// Who begins at one target.
+/// Starts at one target.
 typedef struct
 {
-  uint32_t starting;      ///< Requests that are.
-  uint64_t first_byte_ms; ///< When a first byte came last; zero: never.
-  const aln_request_t *exclusive; ///< Begins alone; NULL: none does.
-  uint64_t blocked_since_ms;      ///< Since when it has kept others back.
-  uint64_t blocked_until_ms;      ///< Nobody else starts before this.
-  uint64_t cooldown_until_ms;     ///< No other one begins alone before this.
+  uint32_t starting;              ///< Number of starting requests.
+  uint64_t first_byte_ms;         ///< When one last arrived; zero: never.
+  const aln_request_t *exclusive; ///< Starting alone; NULL: none.
+  uint64_t blocked_since_ms;      ///< When it began to block others.
+  uint64_t blocked_until_ms;      ///< No other request starts before this.
+  uint64_t cooldown_until_ms;     ///< No other one starts alone before this.
 } aln_gate_t;
 
-/// @return  Whether the next request in turn may start. One that is to begin
-///          alone and may not keeps others back from now on.
+/// @return  Whether the next queued request may start. One that must start
+///          alone and may not yet blocks others from now on.
 bool aln_may_start (aln_gate_t *gate, aln_request_t *request, uint64_t now_ms);
-/// @return  Whether a request begins alone now, so that no other one starts.
+/// @return  Whether a request is starting alone, so that no other may start.
 bool aln_is_exclusive (const aln_gate_t *gate, uint64_t now_ms);
-/// @return  Whether a request that is to begin alone should do so elsewhere:
-///          the target rests from that, or it has waited for too long.
+/// @return  Whether a request that must start alone should use another target:
+///          this one is in its cooldown, or the request has waited too long.
 bool aln_is_refused (const aln_gate_t *gate, const aln_request_t *request,
                      uint64_t now_ms);
-/// Note each start, each first byte and each end, also of one that waits.
+/// Call these at each start, first byte and end, also at the end of a request
+/// that was still waiting.
 void aln_started (aln_gate_t *gate, aln_request_t *request, uint64_t now_ms);
 void aln_first_byte (aln_gate_t *gate, aln_request_t *request,
                      uint64_t now_ms);
--- a/src/coordination/backpressure.c
+++ b/src/coordination/backpressure.c
@@ -3,11 +3,11 @@
 const quo_tolerance_t bkp_limit_tolerance
     = { .window_s = 4, .overshoot = 0.5, .slack = 5 };
 
-/// Least rate at which a target is used.
+/// Minimum rate at which a target is used.
 static const double MIN_PER_S = 0.1;
-/// A limit beyond is none.
+/// Higher limits are ignored.
 static const double MAX_PER_S = 1e6;
-/// Requests that may start at one moment, beside those of this time.
+/// Size of a burst: this many requests plus those of BURST_S.
 static const double BURST = 1;
 static const double BURST_S = 0.25;
 
@@ -34,9 +34,9 @@
   bool is_limited = per_s >= 0 && per_s <= MAX_PER_S;
   bkp_limit_t stated = { .is_limited = is_limited,
                          .per_s = is_limited ? per_s : 0,
-                         // An answer without a limit may have been overtaken
-                         // by one that states it, but was not given before
-                         // its request was sent.
+                         // An answer without a limit may be older than one
+                         // that states a limit and overtook it, but it is not
+                         // older than its request.
                          .at_ms = is_limited ? now_ms : sent_ms };
   return bkp_limit_merge (limit, &stated);
 }
--- a/src/coordination/budget.c
+++ b/src/coordination/budget.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/// Part of the budget that is used. Requests of a window are counted at the
-/// targets, a little later than here, and gateways differ in their share.
+/// Fraction of the budget that is used. The bound is checked at the targets,
+/// which count requests slightly later, and gateways differ in their share.
 static const double USABLE_FRACTION = 0.7;
 
 void
--- a/src/coordination/budget.h
+++ b/src/coordination/budget.h
@@ -1,7 +1,7 @@
 /// @file budget.h
-/// The retry budget of a fleet, as one gateway keeps its share of it: in any
-/// window, retries at a service stay below a ratio of its requests plus a
-/// slack that all gateways share. No I/O.
+/// One gateway's share of the retry budget of a fleet: in any window, retries
+/// at a service stay below a ratio of its requests plus a slack that is
+/// divided among all gateways. No I/O.
 #ifndef KB_COORDINATION_BUDGET_H
 #define KB_COORDINATION_BUDGET_H
 
@@ -10,13 +10,13 @@
 
 enum
 {
-  BUD_BUCKETS = 20, ///< Steps a window is counted in.
+  BUD_BUCKETS = 20, ///< Buckets of the sliding window.
 };
 
 typedef struct
 {
   double ratio;
-  double slack; ///< Of the whole fleet.
+  double slack; ///< Retries of the whole fleet.
   uint32_t window_ms;
 } bud_options_t;
 
@@ -25,17 +25,17 @@
   bud_options_t options;
   uint32_t requests[BUD_BUCKETS];
   uint32_t retries[BUD_BUCKETS];
-  uint64_t bucket; ///< Number of the present bucket.
+  uint64_t bucket; ///< Number of the current bucket.
 } bud_budget_t;
 
 void bud_budget_init (bud_budget_t *budget, const bud_options_t *options);
 void bud_record_request (bud_budget_t *budget, uint64_t now_ms);
-/// Take one repeat.
-/// @param gateway_count  Gateways that draw on the budget, at least one.
-/// @return         False when it is used up.
+/// Spend one retry of the budget.
+/// @param gateway_count  Gateways that share the budget, at least one.
+/// @return               False if the budget is used up.
 bool bud_take_retry (bud_budget_t *budget, uint32_t gateway_count,
                      uint64_t now_ms);
-/// @return  Repeats that are left now.
+/// @return  Retries that are left in the current window.
 double bud_remaining (bud_budget_t *budget, uint32_t gateway_count,
                       uint64_t now_ms);
 
--- a/src/coordination/follow.c
+++ b/src/coordination/follow.c
@@ -2,64 +2,64 @@
 
 enum
 {
-  RANGE_TIMEOUT_MS = 1500, ///< The store answers in milliseconds when well.
-  /// Heartbeats of targets answer the batch reader long before this; with no
-  /// target at all it costs a call a second.
+  RANGE_TIMEOUT_MS = 1500, ///< A healthy store answers in milliseconds.
+  /// Heartbeats of targets end these long polls much earlier. Without any
+  /// target they cost about one call a second.
   BATCH_WAIT_MS = 300,
-  /// The batch reader bounds how late a change is taken after a silence: a
-  /// read sent just before the store's return, its timeout, the pause before
-  /// the next and that one's answer: 300 + 600 + 100 ms and an answer. With a
-  /// timeout of 6.5 s it was up to 6.7 s, and routes that had been confirmed
-  /// were refused for 3 s.
+  /// The batch reader bounds how late a change is applied after an outage: a
+  /// read sent just before the store recovers, its timeout, the pause and the
+  /// answer of the next read, 300 + 600 + 100 ms and an answer. A timeout of
+  /// 6.5 s allowed 6.7 s, and confirmed routes were refused for 3 s.
   BATCH_SLACK_MS = 600,
-  /// A store that answers late but answers is followed too: all reads of a
-  /// silence but the first may take longer, and all while it shows to be slow.
-  /// Such a read bounds a change at 300 + 1,600 + 100 ms; the platform allows
-  /// 3 s. A plain read that is answered meanwhile ends it sooner.
+  /// A slow store must be followed too: after a timeout, and while answers are
+  /// late, reads may take longer. Such a read delays a change by at most
+  /// 300 + 1,600 + 100 ms; the platform allows 3 s. A range read that is
+  /// answered meanwhile cancels it earlier.
   BATCH_SLOW_SLACK_MS = 1600,
   TIMEOUT_PAUSE_MS = 100,
-  /// In a silence the direct reader reads without waiting for changes: that
-  /// shows the store's return, also while reads that wait hear nothing.
+  /// During an outage the direct reader sends range reads, which detect the
+  /// recovery of the store even while long polls get no answer.
   DIRECT_RANGE_TIMEOUT_MS = 600,
   DIRECT_RANGE_PAUSE_MS = 300,
-  /// A read that ends without an answer after this long was not refused but
-  /// cut, and is sent again soon.
+  /// A read that fails after this long was interrupted rather than refused,
+  /// and is retried soon.
   INTERRUPTED_MS = 250,
-  /// Answered or not, this reader promises nothing: long waits save calls.
+  /// No bound depends on the direct reader, so it waits long to save calls.
   DIRECT_WAIT_MS = 30000,
   DIRECT_SLACK_MS = 1500,
-  /// A store that refuses is asked again soon, and by all its readers at
-  /// different times.
+  /// Retries after a refusal are short and jittered, so that the clients of
+  /// the store do not retry at the same time.
   RETRY_FIRST_MS = 150,
   RETRY_MAX_MS = 500,
-  /// A gap this long may have let leases of live targets lapse. A waiting read
-  /// that is cut while the store is well is made good within 225 ms.
+  /// A gap this long may have let leases of live targets expire. A long poll
+  /// that is interrupted while the store is well is replaced within 225 ms.
   GAP_MS = 300,
-  UNREACHABLE_MS = 800, ///< The store counts as lost after this.
-  /// Live targets whose entries lapsed in an outage are back within about 2 s.
+  UNREACHABLE_MS = 800, ///< The store counts as unreachable after this.
+  /// Live targets whose leases expired in an outage are listed again within
+  /// about 2 s.
   RECOVERY_MS = 2500,
-  /// From the store's return, which was at the start of the last read that
-  /// failed at the earliest, until a daemon must be up to date again.
+  /// A daemon must be up to date this long after the store recovers, which
+  /// happens at the start of the last failed read at the earliest.
   RECOVERY_BOUND_MS = 3000,
-  /// A target that left is removed with the next sweep, and a request may be
-  /// on its way to it by then.
+  /// Covers the delay until the next sweep removes a target, and a request
+  /// that was sent to it just before.
   REMOVAL_MARGIN_MS = 100,
-  /// While targets come back one by one, after a start or a gap, each pause is
-  /// this short, and up to as much again: callers wait for the first ones, and
-  /// after a loss of all power each engine is known 0.3 s earlier on average.
-  /// It ends after as many batches without a new target, so that a fleet that
-  /// starts together stays below the store's rate: 410 entries make 1,822
-  /// calls a second for 0.7 s.
+  /// While targets are listed again one by one, after a start or a gap, pauses
+  /// are this long plus up to as much jitter: callers wait for the first
+  /// targets, and after a power loss each engine is known 0.3 s earlier on
+  /// average. Recovery ends early after RECOVERY_IDLE_BATCHES batches without
+  /// a new target, so that a fleet that starts at once stays below the store's
+  /// rate limit: 410 entry VMs make 1,822 calls/s for 0.7 s.
   RECOVERY_PAUSE_MS = 150,
   RECOVERY_IDLE_BATCHES = 3,
-  /// A peer reads when what is known here is a pause old. It is waited for
-  /// this part of a pause longer, which adds 175 ms to the age of what is
-  /// known at a bound of 2 s; its answer takes some 10 ms, and more on a VM
-  /// that has just started.
+  /// A peer reads the store when the local state is one pause old. Its answer
+  /// takes about 10 ms, more on a VM that has just started, and is awaited for
+  /// another 1 / SHARED_SLACK_DIVISOR of a pause. That adds 175 ms to the age
+  /// of the state at a bound of 2 s.
   SHARED_SLACK_DIVISOR = 4,
   SHARED_SLACK_MIN_MS = 100,
-  /// The direct reader waits for changes. An answer sooner than this without
-  /// one is followed by a pause, or the reads would follow each other at once.
+  /// An answer to a long poll that is earlier than this and has no changes is
+  /// followed by a pause, to avoid a busy loop.
   EARLY_ANSWER_MS = 100,
 };
 
@@ -71,7 +71,7 @@
     f->readers[i] = (flw_reader_t){ .answered_ms = now_ms,
                                     .due_ms = now_ms,
                                     .retry_ms = RETRY_FIRST_MS };
-  // It goes on from where the first range ends.
+  // Starts after the batch reader's first range read.
   f->readers[FLW_DIRECT].due_ms = UINT64_MAX;
 }
 
@@ -101,8 +101,8 @@
                        .timeout_ms = BATCH_WAIT_MS + slack_ms };
 }
 
-/// Peers are asked while the store is known to be well, and not when it is due
-/// anyway.
+/// Peers are used while the store is known to be well, unless a read of the
+/// store itself is due.
 static bool
 can_share (const flw_follower_t *f, uint64_t now_ms)
 {
@@ -151,7 +151,7 @@
   return is_cancel_due;
 }
 
-/// Take a reader's read for lost, if one is under way; the next one is due.
+/// Cancel the pending read of a reader, if any, and make the next one due.
 static void
 reader_restart (flw_reader_t *r, uint64_t now_ms)
 {
@@ -160,7 +160,7 @@
   r->is_reading = false;
 }
 
-/// The direct reader reads again from what the batch reader knows.
+/// Restart the direct reader at the batch reader's revision.
 static void
 direct_restart (flw_follower_t *f, uint64_t now_ms)
 {
@@ -169,7 +169,7 @@
   reader_restart (direct, now_ms);
 }
 
-/// Whether the store answers the batch reader's reads with silence.
+/// @return  Whether the batch reader's reads time out.
 static bool
 is_store_silent (const flw_follower_t *f)
 {
@@ -177,8 +177,8 @@
   return batch->failed_since_ms > 0 && batch->consecutive_timeouts > 0;
 }
 
-/// The direct reader reads the operator's keys as they are, unless it is doing
-/// so already.
+/// Make the direct reader send a range read of the operator's keys, unless it
+/// already does.
 static void
 direct_read_range (flw_follower_t *f, uint64_t now_ms)
 {
@@ -193,8 +193,8 @@
   reader_restart (direct, now_ms);
 }
 
-/// The store answers plain reads: a waiting read that was sent before is taken
-/// for lost.
+/// The store answers range reads: cancel the batch reader's long poll if it
+/// was sent earlier.
 static void
 batch_restart (flw_follower_t *f, uint64_t now_ms)
 {
@@ -221,8 +221,8 @@
                 uint64_t config_revision, uint32_t random)
 {
   flw_reader_t *batch = &f->readers[FLW_BATCH];
-  // Measured from the start of a read that got no answer: the store may have
-  // been silent since then, also when the failure was noticed just now.
+  // Measured from the start of the unanswered read: the outage may have begun
+  // then, even if the failure was only just detected.
   bool is_gap
       = batch->failed_since_ms > 0 && now_ms - batch->failed_since_ms > GAP_MS;
   bool is_failure_over = batch->failed_since_ms > 0;
@@ -247,8 +247,8 @@
     direct_restart (f, now_ms);
 }
 
-/// @return  Pause before a store that refused, or had nothing to say, is asked
-///          again.
+/// @return  Pause after a refusal or an early answer without changes; grows
+///          exponentially up to RETRY_MAX_MS.
 static uint64_t
 backoff_ms (flw_reader_t *r, uint32_t random)
 {
@@ -274,7 +274,7 @@
     r->retry_ms = RETRY_FIRST_MS;
   r->is_slow = now_ms - r->began_ms > BATCH_WAIT_MS + BATCH_SLACK_MS;
   r->consecutive_timeouts = 0;
-  // A read that is answered late must not take the reader back.
+  // A late answer must not move the reader back to an older revision.
   if (as_of > r->as_of)
     r->as_of = as_of;
   r->due_ms = is_early ? now_ms + backoff_ms (r, random) : now_ms;
@@ -288,20 +288,20 @@
     batch_restart (f, now_ms);
 }
 
-/// @return  Pause after a read of this reader that got no answer.
+/// @return  Pause after a failed read.
 static uint64_t
 failure_pause_ms (flw_reader_t *r, uint64_t took_ms, bool is_timeout,
                   uint32_t random)
 {
-  // It has waited long enough already.
+  // The timeout itself has already delayed the next read.
   if (is_timeout)
     return random % TIMEOUT_PAUSE_MS;
   return took_ms >= INTERRUPTED_MS ? random % RETRY_FIRST_MS
                                    : backoff_ms (r, random);
 }
 
-/// The direct reader leaves a store that refuses to the other one, and is
-/// renewed with its next answer. In a silence it goes on by itself.
+/// While the store refuses, the direct reader stops until the batch reader is
+/// answered. During an outage it continues with range reads.
 static void
 direct_failed (flw_follower_t *f, uint64_t now_ms, bool is_timeout)
 {
@@ -328,8 +328,8 @@
   r->is_reading = false;
   if (failure == FLW_HISTORY_GONE)
     {
-      // The direct reader leaves the range to the other one, and goes on from
-      // its next answer.
+      // The batch reader reads the range; the direct reader continues from
+      // its answer, except during an outage.
       r->as_of = 0;
       r->due_ms
           = which == FLW_BATCH || is_store_silent (f) ? now_ms : UINT64_MAX;
@@ -380,8 +380,8 @@
   f->idle_batches++;
   f->next_pause_ms = batch_pause_ms (f, now_ms, random);
   batch->due_ms = began_ms + f->next_pause_ms;
-  // Its read may have begun later and been answered earlier than the last one
-  // here: nothing is known less for it.
+  // The peer's read may have begun later and yet returned an older revision;
+  // newer knowledge is kept.
   if (as_of > batch->as_of)
     batch->as_of = as_of;
   const flw_reader_t *direct = &f->readers[FLW_DIRECT];
--- a/src/coordination/lateorder.c
+++ b/src/coordination/lateorder.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/// Put an order in the slot of one that expects the same count, since only
-/// one of them can be carried out, or else of the oldest.
+/// Store an order. It replaces one for the same engine that expects the same
+/// count, since only one of the two can be executed, or else the oldest one.
 static void
 order_put (lto_order_t *orders, const lto_order_t *order)
 {
--- a/src/coordination/pace.c
+++ b/src/coordination/pace.c
@@ -4,34 +4,35 @@
 
 enum
 {
-  /// Time over which reading is averaged: a few streams' lives.
+  /// Time constant for averaging the prefill: a few durations of a stream.
   PREFILL_WINDOW_MS = 2000,
-  /// Streams that end in the first second of a day say little; until as many
-  /// gaps were seen the default holds.
+  /// The default applies until this many gaps were measured: the first streams
+  /// after a start are not representative.
   MIN_GAPS = 100,
 };
 
-/// What the newest gap weighs: about the last two thousand count, which an
-/// engine under load makes in twenty seconds.
+/// Weight of the newest gap; about the last 2,000 gaps count, which take an
+/// engine under load 20 s.
 static const double GAP_WEIGHT = 0.0005;
-/// Before anything was observed.
+/// Before enough gaps were measured.
 static const double DEFAULT_FRACTION = 0.65;
-/// Below the first a slow engine reads less than its callers ask for, and the
-/// queue costs more than the pauses: mean worth of six drawn sites with slow
-/// engines 0.374 and 0.407 (9 days each) at a least of 0.4, 0.404 and 0.446 at
-/// 0.6. Above the second one long prompt pauses every stream.
+/// Below the minimum the prefill of a slow engine does not keep up with
+/// demand, and queueing costs more than long gaps: the mean worth of six
+/// simulated sites with slow engines (9 days each) was 0.374 and 0.407 with a
+/// minimum of 0.4, 0.404 and 0.446 with 0.6. Above the maximum one long prompt
+/// stalls every stream.
 static const double MIN_FRACTION = 0.6;
 static const double MAX_FRACTION = 0.9;
-/// While prompts are given out at the full pace, the mean pause between events
-/// is this fraction of the longest that callers accept: pauses spread that
-/// much. The best fixed fraction of the rate was 0.79, 0.74 and 0.67 on three
-/// sites whose engines make an event every 28, 26 and 35 ms and whose callers
-/// accept 400, 300 and 300 ms, which a third gives. Beyond saturation a little
-/// more is better. Mean worth of the heavy days with 0.65 of the rate
-/// everywhere 0.669, 0.616, 0.764, with a third 0.694, 0.615, 0.764, with
-/// three eighths 0.694, 0.617, 0.762.
+/// Target for the mean gap while prompts are dispatched at the full pace, as a
+/// fraction of the maximum accepted gap, since gaps vary widely. A third gives
+/// the best fixed fractions of the rate on three sites: 0.79, 0.74 and 0.67,
+/// with engines that emit an event every 28, 26 and 35 ms and callers that
+/// accept 400, 300 and 300 ms. Beyond saturation slightly more is better: the
+/// mean worth at high load was 0.669, 0.616 and 0.764 with a fixed fraction of
+/// 0.65, 0.694, 0.615 and 0.764 with 1/3, 0.694, 0.617 and 0.762 with 3/8.
 static const double MEAN_GAP_FRACTION = 0.375;
-/// An engine that seems to do nothing but read still makes its events.
+/// Bound of the measured prefill share: streams progress even if the estimate
+/// exceeds it.
 static const double MAX_PREFILL_FRACTION = 0.9;
 
 void
@@ -54,10 +55,10 @@
 }
 
 void
-pce_record_prefill (pce_pace_t *pace, double reading_ms, uint64_t now_ms)
+pce_record_prefill (pce_pace_t *pace, double prefill_ms, uint64_t now_ms)
 {
   pace->prefill_fraction
-      = prefill_fraction_at (pace, now_ms) + reading_ms / PREFILL_WINDOW_MS;
+      = prefill_fraction_at (pace, now_ms) + prefill_ms / PREFILL_WINDOW_MS;
   pace->prefill_updated_ms = now_ms;
 }
 
@@ -67,11 +68,12 @@
 {
   if (gaps == 0)
     return;
-  double busy
+  double prefill_share
       = fmin (prefill_fraction_at (pace, now_ms), MAX_PREFILL_FRACTION);
-  double kept = pow (1 - GAP_WEIGHT, gaps);
-  pace->gaps = pace->gaps * kept + gaps;
-  pace->gaps_ms = pace->gaps_ms * kept + (double)took_ms * (1 - busy);
+  double retained = pow (1 - GAP_WEIGHT, gaps);
+  pace->gaps = pace->gaps * retained + gaps;
+  pace->gaps_ms
+      = pace->gaps_ms * retained + (double)took_ms * (1 - prefill_share);
 }
 
 double
@@ -79,8 +81,8 @@
 {
   if (pace->max_gap_ms <= 0 || pace->gaps < MIN_GAPS)
     return DEFAULT_FRACTION;
-  // At a fraction p of the time spent on reading, events come 1 / (1 - p)
-  // times as far apart as without any.
+  // With a share p of the time spent on prefill, gaps are 1 / (1 - p) times as
+  // long as without any.
   double gap_ms = pace->gaps_ms / pace->gaps;
   double fraction = 1 - gap_ms / (MEAN_GAP_FRACTION * pace->max_gap_ms);
   return fmin (fmax (fraction, MIN_FRACTION), MAX_FRACTION);
--- a/src/coordination/prefill.c
+++ b/src/coordination/prefill.c
@@ -3,28 +3,27 @@
 enum
 {
   /// A prompt of this many tokens takes twice the time of as many tokens in
-  /// short prompts. From the sheets of both sites' engines.
+  /// short prompts, according to the engines' data sheets.
   QUADRATIC_TOKENS = 22000,
-  /// Prompts being read delay every running stream: an event waits for several
-  /// steps, each with a piece of a prompt. What is given out at one time is at
-  /// most this much prefill, and no more than the engine reads meanwhile is
-  /// added; without a limit 5 % of the streams of a calm day paused for over
-  /// 300 ms. What was given out is counted as read with time. Counted until
-  /// its first event it kept the engine idle for the fixed 40 ms of each first
-  /// event: mean worth of the heavy days 0.560 and 0.726 on the two small
-  /// sites, 0.593 and 0.736 so.
+  /// Prefill delays every running stream: an event waits for several steps,
+  /// each with a chunk of a prompt. At most this much prefill is outstanding,
+  /// and it is refilled as the engine processes it; without a limit 5 % of the
+  /// streams at low load paused for over 300 ms. Dispatched tokens count as
+  /// processed with time rather than at the first event: that would leave the
+  /// engine idle for the fixed 40 ms of each first event, and lowered the mean
+  /// worth at high load from 0.593 to 0.560 and from 0.736 to 0.726 on two
+  /// small sites.
   MAX_OUTSTANDING_MS = 45,
 };
 
-/// Reading rate before anything was measured, and bounds of a measured one,
-/// in tokens a millisecond.
+/// Prefill rate before the first sample, and bounds of the measured rate, in
+/// tokens per millisecond.
 static const double DEFAULT_RATE = 35;
 static const double MIN_RATE = 4;
 static const double MAX_RATE = 400;
-/// Weight of the newest sample: about the last fifty count.
+/// Weight of the newest sample; about the last 50 samples count.
 static const double SAMPLE_WEIGHT = 0.02;
-/// The regression before any sample: prompts of 1,000 tokens, spread as
-/// widely.
+/// Initial regression: mean and deviation of the tokens, and the intercept.
 static const double PRIOR_TOKENS = 1000;
 static const double PRIOR_FIXED_MS = 50;
 
--- a/src/coordination/prefill.h
+++ b/src/coordination/prefill.h
@@ -1,6 +1,6 @@
 /// @file prefill.h
-/// How an engine reads prompts: the rate as measured, and the pace at which
-/// prompts are given out. No I/O; time is an argument.
+/// Prefill of an engine: its measured rate, and the limit on prompts that are
+/// dispatched to it. No I/O; time is an argument.
 #ifndef KB_COORDINATION_PREFILL_H
 #define KB_COORDINATION_PREFILL_H
 
@@ -9,9 +9,9 @@
 
 #include "coordination/pace.h"
 
-/// Weighted regression of the time to a first event on the tokens read before
-/// it. The slope is the prefill rate; the rest, which may be as long as the
-/// prefill, is the same for every prompt.
+/// Weighted linear regression of the time to the first event on the tokens
+/// processed before it. The slope gives the prefill rate; the intercept, which
+/// may be as long as the prefill itself, is the same for every prompt.
 typedef struct
 {
   double mean_tokens;
@@ -23,30 +23,29 @@
 typedef struct
 {
   pfl_regression_t regression;
-  double tokens_per_ms;     ///< As measured.
-  double dispatched_tokens; ///< Given out and outstanding to read at
-                            ///< `dispatched_ms`.
+  double tokens_per_ms;     ///< Measured prefill rate.
+  double dispatched_tokens; ///< Outstanding at `dispatched_ms`.
   uint64_t dispatched_ms;
   pce_pace_t pace;
 } pfl_prefill_t;
 
 void pfl_prefill_init (pfl_prefill_t *prefill);
-/// What prefill a prompt costs, in tokens of a short one: attention grows with
-/// the square of the length.
+/// @return  Prefill cost of a prompt, in tokens of a short one: attention
+///          grows with the square of the length.
 double pfl_cost_tokens (uint32_t prompt_tokens);
-/// @return  Tokens given out that the engine has not read yet.
+/// @return  Dispatched tokens that the engine has not processed yet.
 double pfl_outstanding_tokens (const pfl_prefill_t *prefill, uint64_t now_ms);
-/// @return  Whether a prompt can be given out now.
+/// @return  Whether a prompt can be dispatched now.
 bool pfl_can_dispatch (const pfl_prefill_t *prefill, double cost,
                        uint64_t now_ms);
-/// Give a prompt out.
-/// @return  Tokens to be read until its first event, its own included.
+/// Dispatch a prompt.
+/// @return  Tokens to be processed until its first event, its own included.
 double pfl_dispatch (pfl_prefill_t *prefill, double cost, uint64_t now_ms);
-/// A run ended before its first event: its prompt is not read any further.
+/// A run ended before its first event: its prompt is not processed further.
 void pfl_cancel (pfl_prefill_t *prefill, double cost);
-/// A first event came.
-/// @param tokens   What was to be read when its prompt was given out.
-/// @param took_ms  Since then.
+/// The first event of a run arrived.
+/// @param tokens   Returned by pfl_dispatch for its prompt.
+/// @param took_ms  Time since the dispatch.
 void pfl_record_first_event (pfl_prefill_t *prefill, double tokens,
                              double took_ms);
 
--- a/src/coordination/roster.c
+++ b/src/coordination/roster.c
@@ -7,9 +7,9 @@
 
 enum
 {
-  /// Many targets that vanish at one moment, without a gap seen here, are
-  /// more likely lapsed than gone. They are kept for as long, and for this
-  /// part of the bound for leaving targets at most.
+  /// Many targets that disappear at once, without a gap in the reads, probably
+  /// had their leases expire but are alive. They are retained for this time,
+  /// limited to a percentage of the bound for leaving targets.
   MASS_LOSS_RETAIN_MS = 800,
   MASS_LOSS_RETAIN_PERCENT = 40,
   MIN_MASS_LOSS = 3,
--- a/src/coordination/roster.h
+++ b/src/coordination/roster.h
@@ -1,7 +1,8 @@
 /// @file roster.h
-/// Which targets are listed, kept from a list that lags: entries lapse while
-/// the store is away though their targets live, and several may vanish at one
-/// moment. No I/O; time is an argument.
+/// Set of listed targets, derived from a list that may be wrong for a while:
+/// leases of live targets expire while the store is unreachable, and several
+/// entries may disappear at once. Targets whose entries disappear are
+/// therefore retained for some time. No I/O; time is an argument.
 #ifndef KB_COORDINATION_ROSTER_H
 #define KB_COORDINATION_ROSTER_H
 
@@ -11,13 +12,13 @@
 #include "state/incarnation.h"
 #include "state/map.h"
 
-/// An id that is listed, or was a moment ago.
+/// A target id that is listed, or was listed until recently.
 typedef struct
 {
   char id[INC_ID_BYTES];
-  uint64_t range_mark;   ///< The last whole range that held it.
-  uint64_t remove_at_ms; ///< Zero: listed.
-  bool has_birth_time;   ///< Its target does, so that each entry must.
+  uint64_t range_mark;   ///< Number of the last full range with this id.
+  uint64_t remove_at_ms; ///< Zero: still listed.
+  bool has_birth_time;   ///< Its entries must state the birth time.
 } ros_entry_t;
 
 typedef struct
@@ -25,37 +26,37 @@
   kb_map_t entries;
   uint64_t range_count;
   uint64_t
-      mass_loss_retain_ms; ///< Targets that vanish together are kept for this.
+      mass_loss_retain_ms; ///< Retention of targets that disappear at once.
 } ros_roster_t;
 
-/// @param leave_bound_ms  A leaving target gets nothing new after this.
+/// @param leave_bound_ms  A leaving target gets no new request after this.
 void ros_init (ros_roster_t *roster, uint64_t leave_bound_ms);
 void ros_finish (ros_roster_t *roster);
-/// An entry names a target.
-/// @return  Whether its id was not known.
+/// Add the target of an entry.
+/// @return  Whether its id is new.
 bool ros_list (ros_roster_t *roster, const inc_t *incarnation);
-/// @return  Whether an entry may name a target: one that told its birth before
-///          tells it always.
+/// @return  Whether an entry is acceptable: once a target has stated its birth
+///          time, each of its entries must.
 bool ros_can_list (const ros_roster_t *roster, const inc_t *incarnation);
-/// @return  When targets that vanish now are taken as gone.
-/// @param missing_count         How many vanish at this moment.
-/// @param retain_until_ms  Entries may have lapsed: kept until then.
+/// @return  When targets that disappear now are to be removed.
+/// @param missing_count    How many disappear now.
+/// @param retain_until_ms  Leases may have expired: retained until then.
 uint64_t ros_removal_ms (const ros_roster_t *roster, uint32_t missing_count,
                          uint64_t retain_until_ms, uint64_t now_ms);
-/// An entry is gone, or names no target any more. Unknown ids change nothing.
+/// An entry was deleted or no longer has a target. Ignores unknown ids.
 void ros_unlist (ros_roster_t *roster, const char *id, uint64_t remove_at_ms);
-/// A whole range follows: what it does not list is missing at its end.
+/// A full range follows: ids that are not listed by its end are missing.
 void ros_range_begin (ros_roster_t *roster);
 void ros_range_end (ros_roster_t *roster, uint64_t retain_until_ms,
                     uint64_t now_ms);
-/// Hand out one target whose time has come, and forget it.
-/// @return  False when there is none.
+/// Remove one target whose retention has expired.
+/// @param id  Set to its id.
+/// @return    False if there is none.
 bool ros_pop_expired (ros_roster_t *roster, uint64_t now_ms,
                       char id[INC_ID_BYTES]);
-/// @return  Whether some target is still kept.
+/// @return  Whether a target that is no longer listed is still retained.
 bool ros_has_pending_removals (const ros_roster_t *roster);
-/// @return  Time for which targets that vanish together are kept,
-///          milliseconds.
+/// @return  Retention of targets that disappear at once, milliseconds.
 uint64_t ros_mass_loss_retain_ms (uint64_t leave_bound_ms);
 
 #endif
--- a/src/coordination/rto.c
+++ b/src/coordination/rto.c
@@ -2,16 +2,16 @@
 
 #include <math.h>
 
-/// Weights of RFC 6298: an eighth for the mean, a quarter for the deviation,
-/// of which the timeout is four above the mean.
+/// Constants of RFC 6298: smoothing of the mean and of the deviation, and
+/// deviations that the timeout is above the mean.
 static const double MEAN_WEIGHT = 0.125;
 static const double DEVIATION_WEIGHT = 0.25;
 static const double DEVIATIONS = 4;
 
 enum
 {
-  /// An answer that is lost says nothing of the time that answers take; from
-  /// the third lost one in a row on the peer is taken to have become slower.
+  /// A lost answer does not show that the peer is slow; backoff starts with
+  /// the third consecutive call without an answer.
   TOLERATED_LOSSES = 2,
 };
 
--- a/src/coordination/share.c
+++ b/src/coordination/share.c
@@ -4,12 +4,12 @@
 
 enum
 {
-  /// An answer must be fresher than what the gateway knows by this part of its
-  /// pause; otherwise both would exchange words without end.
+  /// An answer must be fresher than the gateway's state by 1 / this of its
+  /// pause; otherwise both sides would exchange messages in a busy loop.
   MIN_GAIN_DIVISOR = 8,
-  /// Equal repeat_count that are passed on: an older birth is believed when it
-  /// is told INC_INSIST times in a row, and some of these may be missed. After
-  /// them a heartbeat is no news.
+  /// Equal changes in a row that are forwarded: an older birth time is
+  /// accepted after INC_INSIST equal reports in a row, some of which may be
+  /// missed. Further heartbeats are not forwarded.
   MAX_FORWARDED_REPEATS = 8,
 };
 
@@ -59,7 +59,7 @@
   return true;
 }
 
-/// @return  Whether what is known here is fresher than what the gateway knows.
+/// @return  Whether the cache is fresher than the gateway's state.
 static bool
 is_fresher (const shr_cache_t *cache, const shr_request_t *request,
             uint64_t now_ms)
@@ -73,28 +73,28 @@
          <= requester_age_ms;
 }
 
-/// @return  Whether an request can be answered now.
+/// @return  Whether a request can be answered now, with `status`.
 static bool
 request_resolve (const shr_cache_t *cache, const shr_request_t *request,
-                 uint64_t now_ms, shr_status_t *verdict)
+                 uint64_t now_ms, shr_status_t *status)
 {
-  *verdict = SHR_READ_FAILED;
+  *status = SHR_READ_FAILED;
   if (request->is_read_failed)
     return true;
-  *verdict = SHR_TOO_OLD;
+  *status = SHR_TOO_OLD;
   if (request->after < cache->floor_revision)
     return true;
-  *verdict = SHR_CHANGES_KNOWN;
+  *status = SHR_CHANGES_KNOWN;
   return is_fresher (cache, request, now_ms);
 }
 
 bool
 shr_request_pop (shr_cache_t *cache, uint64_t now_ms, shr_request_t *out,
-                 shr_status_t *verdict)
+                 shr_status_t *status)
 {
   for (uint32_t i = 0; i < cache->request_count; i++)
     {
-      if (!request_resolve (cache, &cache->requests[i], now_ms, verdict))
+      if (!request_resolve (cache, &cache->requests[i], now_ms, status))
         continue;
       *out = cache->requests[i];
       cache->requests[i] = cache->requests[--cache->request_count];
@@ -155,14 +155,15 @@
   kb_buf_append (&item->value, change->value.ptr, change->value.len_bytes);
 }
 
-/// Keep nothing: who lacks older changes reads the store itself.
+/// Clear the cache. Gateways that need older changes must read the store.
 static void
 cache_reset (shr_cache_t *cache, uint64_t as_of)
 {
   items_clear (cache);
   cache->floor_revision = as_of;
   cache->as_of = as_of;
-  // What was read up to now does not cover what a later request begins behind.
+  // Earlier reads do not cover the revision from which the next request
+  // starts.
   if (as_of == 0)
     cache->read_began_ms = 0;
 }
@@ -189,7 +190,7 @@
   cache->is_reading = false;
   for (uint32_t i = 0; i < cache->request_count; i++)
     cache->requests[i].is_read_failed = true;
-  // Begins again behind the next request.
+  // Restarts at the revision of the next request.
   if (is_history_gone)
     cache_reset (cache, 0);
 }
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -12,19 +12,19 @@
   GATEWAY_TIMEOUT_MS = 5000,
   DEFAULT_SLOTS = 16,
   DEFAULT_ADAPTER_SLOTS = 8,
-  /// An engine takes at most four adapters at one time; one place stays for an
-  /// adapter that it held before and has again in a tenth of the time.
+  /// An engine fetches at most four adapters at a time. One slot is reserved
+  /// for an adapter that it held before, which loads in a tenth of the time.
   MAX_LOADING = 4,
   MAX_COLD = 3,
   EXIT_MS = 250,
   PERCENT = 100,
-  /// An order is answered within a millisecond or two, or, when its answer is
-  /// lost, never. The longest leaves room for a VM whose processor is starved.
+  /// An order is answered within one or two milliseconds, or never when its
+  /// answer is lost. The maximum allows for a VM with a starved CPU.
   ORDER_TIMEOUT_MIN_MS = 30,
   ORDER_TIMEOUT_MAX_MS = 400,
 };
 
-/// Forget gateways that fell silent, and say that this process lives.
+/// Remove gateways that stopped responding, and send the heartbeat.
 static void
 check_gateways (void *arg)
 {
@@ -62,7 +62,8 @@
   hst_host_exit (&s->host, 0);
 }
 
-/// Requests under way do not pass through here; only places wait.
+/// Open requests do not pass through the sidecar; only requests for places are
+/// waiting here.
 static void
 sidecar_on_stop (hst_host_t *host)
 {
@@ -119,7 +120,7 @@
   adm_table_init (&s->table, &options);
   qrt_table_init (&s->quarantine);
   rto_init (&s->order_timeout, ORDER_TIMEOUT_MIN_MS, ORDER_TIMEOUT_MAX_MS);
-  // Gateways know a sidecar by the address of its VM alone.
+  // Gateways identify a sidecar by the address of its VM alone.
   char link_name[SET_TEXT_BYTES + 16];
   bool is_advertised = settings->advertised_address[0] != '\0';
   snprintf (link_name, sizeof link_name, "%s:%d",
@@ -131,7 +132,7 @@
     return NULL;
   scr_quota_init (s);
   s->engine = deployment->make_engine (&s->host.pool, settings, error);
-  // Without an address of the store it reads for nobody.
+  // Without a store address it reads the store for no gateway.
   if (settings->store_address[0] != '\0')
     {
       s->reader = deployment->make_reader (&s->host.pool, settings, error);
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -1,5 +1,5 @@
 /// @file sidecar_defs.h
-/// State of the sidecar, shared by its files.
+/// State of the sidecar, shared by its source files.
 #ifndef KB_SIDECAR_SIDECAR_DEFS_H
 #define KB_SIDECAR_SIDECAR_DEFS_H
 
@@ -19,7 +19,7 @@
   SCR_MAX_GATEWAYS = 512,
 };
 
-/// A gateway that speaks to this sidecar.
+/// A gateway connected to this sidecar.
 typedef struct
 {
   char name[48];
@@ -27,48 +27,48 @@
   uint64_t incarnation;
   uint64_t revision;
   uint64_t versions_known;
-  uint64_t list_stamp; ///< Of the adapter list it was sent last.
+  uint64_t list_stamp; ///< Of the last adapter list sent to it.
   uint64_t last_contact_ms;
 } scr_gateway_t;
 
 struct scr_sidecar
 {
-  hst_host_t host; ///< First.
+  hst_host_t host; ///< Must be first: cast from hst_host_t.
   egn_engine_t *engine;
   src_decode_t decode;
   adm_table_t table;
   ver_table_t versions;
-  qrt_table_t quarantine;     ///< Kept for gateways that start again.
-  qln_lender_t lender;        ///< Of workspaces' quotas.
-  qln_lender_t target_limits; ///< Lends what plain targets take.
+  qrt_table_t quarantine;     ///< Kept for gateways that restart.
+  qln_lender_t lender;        ///< Lends workspaces' quotas.
+  qln_lender_t target_limits; ///< Lends the limits of plain targets.
   qof_office_t lender_role;
   svc_config_t *config;
   kb_buf_t document;
-  uint64_t document_received_ms; ///< When it came.
+  uint64_t document_received_ms; ///< When the configuration arrived.
   scr_gateway_t gateways[SCR_MAX_GATEWAYS];
   uint32_t gateway_count;
-  uint32_t engine_count; ///< Of the service, as gateways see it.
+  uint32_t engine_count; ///< Engines of the service, as reported by gateways.
 
-  bool is_engine_call_pending; ///< A report or an order is under way.
+  bool is_engine_call_pending; ///< A report or an order is pending.
   bool has_report;
   msg_engine_condition_t condition;
-  inc_t engine_incarnation; ///< The engine; its id is empty until it is known.
+  inc_t engine_incarnation; ///< Its id is empty until it is known.
   bool is_identifying;
-  uint64_t identify_sent_ms; ///< When it was last asked for.
-  uint64_t seq;
+  uint64_t identify_sent_ms; ///< Last request for the incarnation.
+  uint64_t seq; ///< Orders accepted by the engine since its start.
   bool is_model_held;
   bool is_engine_busy;
-  uint64_t model_ordered_ms; ///< Last order to fetch a model.
+  uint64_t model_ordered_ms; ///< Last order to load a model.
   uint32_t report_failures;
 
-  /// The order under way.
+  /// The pending order.
   adm_kind_t order_kind;
-  uint64_t order_adapter; ///< Key; zero: the model.
+  uint64_t order_adapter; ///< Key of the adapter; zero: the model.
   uint64_t ordered_ms;
   rto_timeout_t order_timeout;
-  lto_orders_t late_orders; ///< Without an answer.
-  rdr_reader_t *reader;     ///< Of the store; NULL: it has none.
-  shr_cache_t *share_cache; ///< NULL: no gateway asks for changes.
+  lto_orders_t late_orders; ///< Orders that got no answer.
+  rdr_reader_t *reader;     ///< Of the store; NULL: no store address is set.
+  shr_cache_t *share_cache; ///< NULL: no gateway has requested changes lately.
   tmr_sub_t share_timer;
   tmr_sub_t share_idle_timer;
   bool is_state_pending;
@@ -96,48 +96,49 @@
 scr_gateway_t *scr_gateway_find (scr_sidecar_t *s, uint64_t id);
 void scr_send (scr_sidecar_t *s, const scr_gateway_t *gateway,
                const msg_t *msg);
-/// Tell one gateway, or all when `only` is NULL.
+/// Send the state to one gateway, or to all when `only` is NULL.
 void scr_send_state (scr_sidecar_t *s, scr_gateway_t *only);
-/// Tell the gateways soon; changes close together go out as one.
+/// Schedule a state message to all gateways; changes in quick succession are
+/// sent as one.
 void scr_state_changed (scr_sidecar_t *s);
 void scr_set_condition (scr_sidecar_t *s, msg_engine_condition_t condition);
 
 // sidecar_links.c
 void scr_on_message (hst_host_t *host, kb_slice_t peer, const msg_t *msg);
-/// @return  The service of this engine, or NULL before a configuration.
+/// @return  The service of this engine; NULL before a configuration arrived.
 const svc_service_t *scr_own_service (const scr_sidecar_t *s);
-void scr_grant (scr_sidecar_t *s, const adm_ask_t *ask);
+void scr_grant (scr_sidecar_t *s, const adm_ask_t *request);
 void scr_decline (scr_sidecar_t *s, kb_slice_t peer, uint64_t id,
                   const char *reason, uint64_t retry_after_ms);
 
 // sidecar_share.c
-/// A gateway asks for changes of the store.
+/// Handle a request for changes of the store.
 void scr_share_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                               const msg_changes_ask_t *given);
+                               const msg_changes_ask_t *msg);
 
 // sidecar_quarantine.c
-/// A gateway tells of requests under which targets ended.
-void scr_quarantine_receive (scr_sidecar_t *s, kb_slice_t words);
-/// Give a gateway what it lacks.
-/// @param stamp  Of what it knows.
+/// Receive records of requests during which targets terminated.
+void scr_quarantine_receive (scr_sidecar_t *s, kb_slice_t records);
+/// Send a gateway the records that it lacks.
+/// @param stamp  Of the records that it knows.
 void scr_quarantine_sync_gateway (scr_sidecar_t *s,
                                   const scr_gateway_t *gateway,
                                   uint64_t stamp);
 
 // sidecar_quota.c
 void scr_quota_init (scr_sidecar_t *s);
-/// @param gateway  Id of the one that tells its state.
+/// @param gateway  Id of the sender.
 void scr_quota_receive_state (scr_sidecar_t *s, uint64_t gateway,
                               const msg_gateway_state_t *state);
-/// A gateway asks for credit.
+/// Handle a request for credit.
 void scr_quota_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                               const msg_quota_ask_t *given);
+                               const msg_quota_ask_t *msg);
 
 // sidecar_engine.c
-/// Do whatever can be done now: grant, decline, order.
+/// Grant and decline places and order the engine, as far as possible now.
 void scr_process_queue (scr_sidecar_t *s);
-/// Ask the engine for its report, unless a call is under way; takes the
-/// sidecar.
+/// Request a report from the engine unless a call is pending.
+/// @param arg  The sidecar.
 void scr_poll_engine (void *arg);
 
 #endif
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -1,5 +1,5 @@
 /// @file sidecar_engine.c
-/// The engine beside a sidecar: its reports, orders to it, and its model.
+/// Handles the engine beside a sidecar: its reports, orders, and its model.
 #include <stdio.h>
 
 #include "sidecar/sidecar_defs.h"
@@ -8,49 +8,49 @@
 
 enum
 {
-  /// Reports are free on the engine's own VM. While an adapter is on its way
-  /// its arrival is what requests wait for.
+  /// Reports cost nothing on the engine's own VM. While an adapter is loading,
+  /// requests wait for it, so reports are frequent.
   POLL_LOADING_MS = 25,
   POLL_BUSY_MS = 150,
   POLL_IDLE_MS = 300,
-  /// Reports missed in a row until the engine counts as down.
+  /// Consecutive failed reports until the engine counts as down.
   MAX_REPORT_FAILURES = 2,
-  /// Models fetched from the weight store by all engines together stay far
-  /// below its ceiling when each waits this long between two tries.
+  /// Keeps the model fetches of all engines together far below the rate limit
+  /// of the weight store.
   MODEL_RETRY_MS = 5000,
   MODEL_RETRY_CACHED_MS = 1000,
   IDENTIFY_RETRY_MS = 1000,
-  /// While requests wait, prompts that are read make room for more.
+  /// While requests wait, progress of the prefill makes room for more.
   QUEUE_RETRY_MS = 10,
 };
 
-static void order_done (void *arg, egn_order_outcome_t end);
+static void order_done (void *arg, egn_order_outcome_t outcome);
 
 static const char *
-order_outcome_name (egn_order_outcome_t end)
+order_outcome_name (egn_order_outcome_t outcome)
 {
   static const char *const names[]
       = { "accepted", "holds", "conflict", "refused", "not_sent", "unknown" };
-  return names[end];
+  return names[outcome];
 }
 
 static void
 log_order (const scr_sidecar_t *s, const adm_adapter_t *adapter,
-           egn_order_outcome_t end)
+           egn_order_outcome_t outcome)
 {
   log_event_t line;
-  if (!log_begin (&line, end <= EGN_ORDER_SATISFIED ? LOG_DEBUG : LOG_WARN,
+  if (!log_begin (&line, outcome <= EGN_ORDER_SATISFIED ? LOG_DEBUG : LOG_WARN,
                   "sidecar", "order"))
     return;
   log_text (&line, "operation",
             s->order_kind == ADM_DO_UNLOAD ? "unload" : "load");
   log_text (&line, "adapter", adapter == NULL ? "" : adapter->name);
   log_int (&line, "seq", (int64_t)s->seq);
-  log_text (&line, "outcome", order_outcome_name (end));
+  log_text (&line, "outcome", order_outcome_name (outcome));
   log_end (&line);
 }
 
-/// @return  Hash of the engine's id, or zero before it is known.
+/// @return  Hash of the engine's id; zero before it is known.
 static uint64_t
 engine_hash (const scr_sidecar_t *s)
 {
@@ -59,19 +59,19 @@
              : scr_name_id (kb_slice_str (s->engine_incarnation.id));
 }
 
-/// Learn how long answers take. An order whose answer is lost holds all later
-/// ones back until its timeout: with 400 ms always and a third of the answers
-/// lost, an engine brought one adapter a second instead of three.
+/// Update the order timeout. An order whose answer is lost blocks all later
+/// ones until its timeout: with a fixed 400 ms and a third of the answers
+/// lost, an engine loaded one adapter a second instead of three.
 static void
-record_order_time (scr_sidecar_t *s, egn_order_outcome_t end)
+record_order_time (scr_sidecar_t *s, egn_order_outcome_t outcome)
 {
-  if (end == EGN_ORDER_UNKNOWN)
+  if (outcome == EGN_ORDER_UNKNOWN)
     rto_unanswered (&s->order_timeout);
-  else if (end != EGN_ORDER_NOT_SENT)
+  else if (outcome != EGN_ORDER_NOT_SENT)
     rto_answered (&s->order_timeout, scr_now_ms (s) - s->ordered_ms);
 }
 
-/// Give an order; one at a time.
+/// Send an order; only one may be pending.
 static void
 send_order (scr_sidecar_t *s, egn_order_t *order)
 {
@@ -84,27 +84,28 @@
 }
 
 static void
-order_done (void *arg, egn_order_outcome_t end)
+order_done (void *arg, egn_order_outcome_t outcome)
 {
   scr_sidecar_t *s = arg;
   s->is_engine_call_pending = false;
-  record_order_time (s, end);
+  record_order_time (s, outcome);
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, s->order_adapter);
-  log_order (s, adapter, end);
+  log_order (s, adapter, outcome);
   bool is_fetch = s->order_kind == ADM_DO_LOAD && s->order_adapter != 0;
-  if (end == EGN_ORDER_UNKNOWN && is_fetch)
+  if (outcome == EGN_ORDER_UNKNOWN && is_fetch)
     lto_record (&s->late_orders, engine_hash (s), s->seq, s->ordered_ms);
-  bool is_done = end == EGN_ORDER_ACCEPTED || end == EGN_ORDER_SATISFIED;
+  bool is_done
+      = outcome == EGN_ORDER_ACCEPTED || outcome == EGN_ORDER_SATISFIED;
   if (is_done)
     s->seq++;
   bool is_unload = s->order_kind == ADM_DO_UNLOAD;
-  // An unload that is only accepted keeps its room until the last run with it
-  // ends, which the report tells. An engine that is ordered to hold more than
-  // it has room for crashes.
-  bool is_pending = !is_done || (is_unload && end == EGN_ORDER_ACCEPTED);
-  // The report that follows tells whether an order without an answer was
-  // accepted; if not, it is given again at once.
-  if (end == EGN_ORDER_UNKNOWN)
+  // An accepted unload frees its slot only after the last run with the adapter
+  // has ended, as shown by the report. An engine that is ordered to hold more
+  // adapters than it has room for crashes.
+  bool is_pending = !is_done || (is_unload && outcome == EGN_ORDER_ACCEPTED);
+  // The next report shows whether an order without an answer was accepted; if
+  // not, it is sent again at once.
+  if (outcome == EGN_ORDER_UNKNOWN)
     adapter = NULL;
   if (adapter != NULL && is_pending)
     adm_order_pending (adapter, scr_now_ms (s));
@@ -117,14 +118,14 @@
       scr_state_changed (s);
       scr_process_queue (s);
     }
-  // The report tells what holds: whether an order without an answer was
-  // accepted shows in the count of orders.
+  // The count of orders in the report shows whether an order without an answer
+  // was accepted.
   if (!s->is_engine_call_pending)
     tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_LOADING_MS : 0,
                scr_poll_engine, s);
 }
 
-/// Order the engine to fetch or drop an adapter.
+/// Order the engine to load or unload an adapter.
 static void
 order_adapter (scr_sidecar_t *s, adm_kind_t kind, const adm_adapter_t *adapter)
 {
@@ -153,7 +154,7 @@
   scr_process_queue (arg);
 }
 
-/// Do whatever can be done now: grant, scr_decline, order.
+/// Grant and decline places and order the engine, as far as possible now.
 void
 scr_process_queue (scr_sidecar_t *s)
 {
@@ -161,8 +162,8 @@
                                     scr_now_ms (s));
   for (;;)
     {
-      // Without the configuration the places for adapters are not known; an
-      // engine that is ordered to hold more than it can crashes.
+      // Without the configuration the adapter slots are unknown; an engine
+      // that is ordered to hold more adapters than it has room for crashes.
       bool may_order = !s->is_engine_call_pending && s->has_report
                        && !s->is_engine_busy && !s->host.is_stopping
                        && s->config != NULL;
@@ -205,23 +206,23 @@
   return false;
 }
 
-/// The model that the engine is to hold: the configuration's, or, before one
-/// is known, the only one whose weights the engine still has. After a loss of
-/// all power the configuration arrives here last, behind the store, the list
-/// of targets and a gateway: 2.0 s after the start on a day whose store was
-/// down as well, of which the engine spent none on its model.
-/// @return  NULL when it is not known.
+/// The model that the engine is to hold: the configured one or, before a
+/// configuration arrived, the only one whose weights the engine still has.
+/// After a power loss the configuration arrives last, after the store, the
+/// list of targets and a gateway are up: 2.0 s after the start when the store
+/// was down as well. Without this rule the engine idled during that time.
+/// @return  NULL if it is not known.
 static const char *
 wanted_model (const scr_sidecar_t *s, const egn_report_t *report)
 {
   const svc_service_t *service = scr_own_service (s);
   if (service != NULL)
     return service->model_count > 0 ? service->models[0].name : NULL;
-  bool is_alone = s->config == NULL && report->cached_model_count == 1;
-  return is_alone ? report->cached_models[0] : NULL;
+  bool is_only_cached = s->config == NULL && report->cached_model_count == 1;
+  return is_only_cached ? report->cached_models[0] : NULL;
 }
 
-/// An engine restarts without its model; only this process can bring it back.
+/// An engine restarts without its model; only the sidecar makes it load one.
 static void
 order_model (scr_sidecar_t *s, const egn_report_t *report)
 {
@@ -260,8 +261,9 @@
   scr_state_changed (s);
 }
 
-/// Requests and orders name the incarnation that they are for. The list tells
-/// it a second or more after a restart; the engine itself at once.
+/// Requests and orders carry the incarnation that they address. After a
+/// restart the engine reports it at once, the list of targets a second or more
+/// later.
 static void
 identify_engine (scr_sidecar_t *s)
 {
@@ -290,16 +292,16 @@
   s->identify_sent_ms = 0;
   lto_restarted (&s->late_orders);
   adm_engine_restarted (&s->table);
-  bkp_limit_t none = { .at_ms = tmr_boot_ms () };
-  bkp_meter_merge (&s->table.meter, &none, scr_now_ms (s));
+  bkp_limit_t no_limit = { .at_ms = tmr_boot_ms () };
+  bkp_meter_merge (&s->table.meter, &no_limit, scr_now_ms (s));
   scr_state_changed (s);
 }
 
-/// A restart clears the count of orders and everything that was held. The
-/// birth tells it also when the engine is as far again as it was. A report is
-/// the engine's own and fresh, so that any other birth is a restart here, also
-/// an earlier one, of a clock that was stepped back; a report without a birth
-/// is about the incarnation that is known.
+/// A restart resets the count of orders and unloads everything. The birth time
+/// shows it even after the count has reached its old value. Reports come
+/// directly from the engine and are fresh, so any other birth time means a
+/// restart, also an earlier one from a clock that was stepped back. A report
+/// without a birth time is about the known incarnation.
 static bool
 is_restarted (const scr_sidecar_t *s, const egn_report_t *report)
 {
@@ -355,7 +357,7 @@
     apply_report (s, report);
   else if (++s->report_failures >= MAX_REPORT_FAILURES)
     {
-      // A crashed engine comes back as another incarnation.
+      // A crashed engine restarts as another incarnation.
       if (s->has_report)
         engine_restarted (s);
       s->has_report = false;
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -1,6 +1,6 @@
 /// @file sidecar_links.c
-/// Messages of the gateways: configuration and versions that are passed on,
-/// and places that are asked for, granted, declined and released.
+/// Messages from gateways: forwarded configuration and adapter versions, and
+/// places that are requested, granted, declined and released.
 #include "relay/passing.h"
 #include "relay/turn.h"
 #include "sidecar/sidecar_defs.h"
@@ -9,10 +9,9 @@
 
 enum
 {
-  /// A gateway that reads the store itself has a new configuration by then:
-  /// what it takes on a free link, and the time of its bytes on one that is
-  /// slow or shared. Sent sooner, copies of a large one crowd out the
-  /// gateway's own.
+  /// A gateway that reads the store itself has a new configuration after this
+  /// time plus its transfer time on a slow or shared link. Copies sent earlier
+  /// would compete with the gateway's own read of a large configuration.
   SYNC_DELAY_MS = 300,
   SLOW_LINK_BYTES_PER_MS = 200,
   MILLI = 1000,
@@ -26,7 +25,7 @@
              : svc_service_find (s->config, s->host.settings.service);
 }
 
-/// Take over the figures of the configuration.
+/// Apply the service's settings from the configuration.
 static void
 apply_config (scr_sidecar_t *s)
 {
@@ -35,34 +34,35 @@
     return;
   s->table.options.slots = service->slots;
   s->table.options.kv_tokens = service->kv_tokens;
-  // An engine that is ordered to hold more than its slots or its memory
-  // crashes, and with it all that it runs.
+  // An engine that is ordered to hold more than fits its slots or its memory
+  // crashes, and all its runs fail.
   s->table.options.adapter_slots = svc_service_adapter_places (service);
   pce_set_max_gap (&s->table.reading.pace,
                    svc_service_gap_target_ms (s->config, service->name));
 }
 
 static void
-apply_document (scr_sidecar_t *s, const msg_document_t *given)
+apply_document (scr_sidecar_t *s, const msg_document_t *msg)
 {
-  uint64_t present = s->config == NULL ? 0 : s->config->revision;
-  if (!svc_revision_is_newer (present, given->revision))
+  uint64_t own_revision = s->config == NULL ? 0 : s->config->revision;
+  if (!svc_revision_is_newer (own_revision, msg->revision))
     return;
   kb_error_t error = { 0 };
-  svc_config_t *config = s->decode (given->data, &error);
+  svc_config_t *config = s->decode (msg->data, &error);
   if (config == NULL)
     {
-      log_write (LOG_ERROR, "config", "A passed on document is ignored: %s.",
+      log_write (LOG_ERROR, "config", "Ignored a forwarded configuration: %s.",
                  error.message);
       return;
     }
   svc_config_free (s->config);
   s->config = config;
   kb_buf_clear (&s->document);
-  kb_buf_append (&s->document, given->data.ptr, given->data.len_bytes);
+  kb_buf_append (&s->document, msg->data.ptr, msg->data.len_bytes);
   s->document_received_ms = scr_now_ms (s);
   apply_config (s);
-  // Two thousand routes take 0.8 MB, at each of hundreds of engines.
+  // Routes of callers are not needed here; 2,000 of them take 0.8 MB at each
+  // of hundreds of engines.
   svc_config_drop_callers (config);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
@@ -81,14 +81,15 @@
   return now_ms - s->document_received_ms >= after_ms;
 }
 
-/// Pass on what a gateway lacks: it may be cut off from the store. Most read
-/// it there themselves, a moment later than the first one.
+/// Send a gateway the configuration and versions that it lacks: it may have no
+/// connection to the store. Most gateways read the store themselves, slightly
+/// later than the first one, hence the delay.
 static void
 sync_gateway (scr_sidecar_t *s, const scr_gateway_t *gateway)
 {
   uint64_t now_ms = scr_now_ms (s);
-  uint64_t own = scr_name_id (kb_slice_str (s->host.settings.name));
-  if (!trn_is_mine (own, gateway->id, s->engine_count, now_ms))
+  uint64_t own_id = scr_name_id (kb_slice_str (s->host.settings.name));
+  if (!trn_is_mine (own_id, gateway->id, s->engine_count, now_ms))
     return;
   if (s->config != NULL && gateway->revision < s->config->revision
       && is_sync_due (s, now_ms))
@@ -99,10 +100,10 @@
 }
 
 static void
-apply_version (scr_sidecar_t *s, const msg_adapter_version_t *given)
+apply_version (scr_sidecar_t *s, const msg_adapter_version_t *msg)
 {
-  const ver_item_t *item = ver_learn (
-      &s->versions, given->model, given->adapter, (uint32_t)given->version);
+  const ver_item_t *item = ver_learn (&s->versions, msg->model, msg->adapter,
+                                      (uint32_t)msg->version);
   if (item == NULL)
     return;
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, item->key);
@@ -122,7 +123,8 @@
 {
   if (s->gateway_count == SCR_MAX_GATEWAYS)
     {
-      log_write (LOG_WARN, "sidecar", "More gateways than %d; one is ignored.",
+      log_write (LOG_WARN, "sidecar",
+                 "Ignored a gateway: more than %d are connected.",
                  SCR_MAX_GATEWAYS);
       return NULL;
     }
@@ -146,31 +148,33 @@
 }
 
 void
-scr_grant (scr_sidecar_t *s, const adm_ask_t *ask)
+scr_grant (scr_sidecar_t *s, const adm_ask_t *request)
 {
-  const scr_gateway_t *gateway = scr_gateway_find (s, ask->owner);
+  const scr_gateway_t *gateway = scr_gateway_find (s, request->owner);
   if (gateway == NULL)
     return;
-  uint64_t load_us = ask->load_from_ms == 0
-                         ? 0
-                         : (ask->granted_ms - ask->load_from_ms) * 1000;
-  msg_t msg
-      = { .type = MSG_PLACE_GRANT,
-          .place_grant
-          = { .id = ask->id,
-              .version = ask->adapter == NULL ? 0 : ask->adapter->version,
-              .load_us = load_us,
-              .instance = kb_slice_str (s->engine_incarnation.id),
-              .born_ms = s->engine_incarnation.born_ms,
-              .is_alone = ask->alone.is_alone } };
+  uint64_t load_us
+      = request->load_from_ms == 0
+            ? 0
+            : (request->granted_ms - request->load_from_ms) * 1000;
+  msg_t msg = { .type = MSG_PLACE_GRANT,
+                .place_grant
+                = { .id = request->id,
+                    .version
+                    = request->adapter == NULL ? 0 : request->adapter->version,
+                    .load_us = load_us,
+                    .instance = kb_slice_str (s->engine_incarnation.id),
+                    .born_ms = s->engine_incarnation.born_ms,
+                    .is_alone = request->alone.is_alone } };
   scr_send (s, gateway, &msg);
   MET_INC ("knapweedbay_places_granted_total", "");
 }
 
-/// A message that is lost with a connection must not keep a place taken, nor
-/// a request waiting. What a gateway says it has open is compared with what is
-/// known here; messages of one connection stay in order, so whatever it does
-/// not name was released, and whatever is not known here was never heard.
+/// Compare the places that a gateway has open with those known here, because a
+/// message lost with its connection must not leave a place occupied or a
+/// request waiting. Messages of a connection stay in order: a place that the
+/// gateway does not list was released, and a request that is not known here
+/// was never received.
 static void
 reconcile_places (scr_sidecar_t *s, kb_slice_t peer, kb_slice_t packed)
 {
@@ -182,13 +186,13 @@
     {
       msg_place_ref_t ref;
       memcpy (&ref, packed.ptr + at, sizeof ref);
-      adm_ask_t *ask = adm_ask_find (&s->table, owner, ref.id);
-      if (ask != NULL)
-        adm_compare_keep (&s->table, ask);
-      if (ref.is_granted || (ask != NULL && ask->granted_ms == 0))
+      adm_ask_t *request = adm_ask_find (&s->table, owner, ref.id);
+      if (request != NULL)
+        adm_compare_keep (&s->table, request);
+      if (ref.is_granted || (request != NULL && request->granted_ms == 0))
         continue;
-      if (ask != NULL)
-        scr_grant (s, ask);
+      if (request != NULL)
+        scr_grant (s, request);
       else
         scr_decline (s, peer, ref.id, "not_heard", 0);
       answered++;
@@ -204,23 +208,23 @@
   log_end (&line);
 }
 
-/// What the engine stated in an answer that this gateway passed on.
+/// Apply the limit that the engine stated in an answer to this gateway.
 static void
 apply_limit (scr_sidecar_t *s, const msg_gateway_state_t *state)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  bkp_limit_t told
+  bkp_limit_t limit
       = { .is_limited = state->limit_milli > 0,
           .per_s = (double)state->limit_milli / MILLI,
           .at_ms
           = now_ms > state->limit_age_ms ? now_ms - state->limit_age_ms : 0 };
-  if (!bkp_meter_merge (&s->table.meter, &told, scr_now_ms (s)))
+  if (!bkp_meter_merge (&s->table.meter, &limit, scr_now_ms (s)))
     return;
   scr_state_changed (s);
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "sidecar", "engine_limit"))
     return;
-  log_int (&line, "is_limited", told.is_limited);
+  log_int (&line, "is_limited", limit.is_limited);
   log_int (&line, "per_1000_s", (int64_t)state->limit_milli);
   log_int (&line, "waiting", s->table.waiting);
   log_end (&line);
@@ -254,7 +258,7 @@
   scr_process_queue (s);
 }
 
-/// Why a request got no place, with what decided it.
+/// Log why a request got no place, with the values behind the decision.
 static void
 log_decline (const scr_sidecar_t *s, kb_slice_t attempt, const char *reason,
              uint64_t wait_ms)
@@ -276,88 +280,88 @@
 
 static void
 handle_place_request (scr_sidecar_t *s, kb_slice_t peer,
-                      const msg_place_ask_t *given)
+                      const msg_place_ask_t *msg)
 {
   if (s->condition != MSG_ENGINE_READY || s->host.is_stopping)
     {
-      log_decline (s, given->attempt, "engine_closed", 0);
-      scr_decline (s, peer, given->id, "engine_closed", 0);
+      log_decline (s, msg->attempt, "engine_closed", 0);
+      scr_decline (s, peer, msg->id, "engine_closed", 0);
       return;
     }
   uint64_t now_ms = scr_now_ms (s);
-  adm_ask_t ask
-      = { .id = given->id,
+  adm_ask_t request
+      = { .id = msg->id,
           .owner = scr_name_id (peer),
-          .priority = (uint32_t)given->priority,
-          .declined = (uint32_t)given->declined,
-          .alone.is_alone = given->is_alone != 0,
-          .tokens = (uint32_t)(given->prompt_tokens + given->output_tokens),
-          .prompt_tokens = (uint32_t)given->prompt_tokens,
+          .priority = (uint32_t)msg->priority,
+          .declined = (uint32_t)msg->declined,
+          .alone.is_alone = msg->is_alone != 0,
+          .tokens = (uint32_t)(msg->prompt_tokens + msg->output_tokens),
+          .prompt_tokens = (uint32_t)msg->prompt_tokens,
           .arrived_ms = now_ms,
-          .due_ms = now_ms + given->left_ms,
-          .objective_ms = now_ms + given->objective_ms };
-  if (given->adapter.len_bytes > 0)
+          .due_ms = now_ms + msg->left_ms,
+          .objective_ms = now_ms + msg->objective_ms };
+  if (msg->adapter.len_bytes > 0)
     {
       char name[EGN_KEY_BYTES];
-      uint64_t key = ver_key (given->model, given->adapter, name, sizeof name);
-      ask.adapter = adm_adapter_need (&s->table, key, kb_slice_str (name));
-      adm_adapter_want (ask.adapter, ver_newest (&s->versions, key));
-      adm_adapter_want (ask.adapter, (uint32_t)given->version);
-      if (!adm_adapter_is_fit (ask.adapter))
-        ask.load_from_ms = now_ms;
+      uint64_t key = ver_key (msg->model, msg->adapter, name, sizeof name);
+      request.adapter = adm_adapter_need (&s->table, key, kb_slice_str (name));
+      adm_adapter_want (request.adapter, ver_newest (&s->versions, key));
+      adm_adapter_want (request.adapter, (uint32_t)msg->version);
+      if (!adm_adapter_is_fit (request.adapter))
+        request.load_from_ms = now_ms;
     }
-  adm_forecast_t forecast = adm_forecast (&s->table, &ask, now_ms);
-  const char *reason = adm_refusal (&s->table, &ask, &forecast, now_ms);
-  if (ask.adapter != NULL)
-    adm_adapter_asked (ask.adapter, now_ms);
+  adm_forecast_t forecast = adm_forecast (&s->table, &request, now_ms);
+  const char *reason = adm_refusal (&s->table, &request, &forecast, now_ms);
+  if (request.adapter != NULL)
+    adm_adapter_asked (request.adapter, now_ms);
   if (reason != NULL)
     {
-      log_decline (s, given->attempt, reason, forecast.first_ms);
-      scr_decline (s, peer, given->id, reason, forecast.first_ms);
+      log_decline (s, msg->attempt, reason, forecast.first_ms);
+      scr_decline (s, peer, msg->id, reason, forecast.first_ms);
       return;
     }
-  ask.forecast_ms = now_ms + forecast.first_ms;
-  if (adm_ask_add (&s->table, &ask) == NULL)
+  request.forecast_ms = now_ms + forecast.first_ms;
+  if (adm_ask_add (&s->table, &request) == NULL)
     return;
   scr_process_queue (s);
 }
 
 static void
 handle_place_release (scr_sidecar_t *s, kb_slice_t peer,
-                      const msg_place_release_t *given)
+                      const msg_place_release_t *msg)
 {
-  adm_ask_t *ask = adm_ask_find (&s->table, scr_name_id (peer), given->id);
-  if (ask == NULL)
+  adm_ask_t *request = adm_ask_find (&s->table, scr_name_id (peer), msg->id);
+  if (request == NULL)
     return;
-  pce_record_stream (&s->table.reading.pace, (uint32_t)given->gaps,
-                     given->gaps_ms, scr_now_ms (s));
-  adm_note_held (&s->table, ask, scr_now_ms (s));
-  adm_ask_remove (&s->table, ask);
+  pce_record_stream (&s->table.reading.pace, (uint32_t)msg->gaps, msg->gaps_ms,
+                     scr_now_ms (s));
+  adm_note_held (&s->table, request, scr_now_ms (s));
+  adm_ask_remove (&s->table, request);
   scr_process_queue (s);
 }
 
-/// How wrong the forecast was that let a request in.
+/// Record the error of the forecast by which a request was admitted.
 static void
-observe_forecast (const adm_ask_t *ask, uint64_t now_ms)
+observe_forecast (const adm_ask_t *request, uint64_t now_ms)
 {
   static const char name[] = "knapweedbay_forecast_error_ms";
-  if (now_ms >= ask->forecast_ms)
+  if (now_ms >= request->forecast_ms)
     met_observe (met_histogram (name, "came=\"later\""),
-                 now_ms - ask->forecast_ms);
+                 now_ms - request->forecast_ms);
   else
     met_observe (met_histogram (name, "came=\"earlier\""),
-                 ask->forecast_ms - now_ms);
+                 request->forecast_ms - now_ms);
 }
 
 static void
 handle_place_begun (scr_sidecar_t *s, kb_slice_t peer, uint64_t id)
 {
-  adm_ask_t *ask = adm_ask_find (&s->table, scr_name_id (peer), id);
-  if (ask == NULL)
+  adm_ask_t *request = adm_ask_find (&s->table, scr_name_id (peer), id);
+  if (request == NULL)
     return;
-  if (ask->is_reading)
-    observe_forecast (ask, scr_now_ms (s));
-  adm_ask_begun (&s->table, ask, scr_now_ms (s));
+  if (request->is_reading)
+    observe_forecast (request, scr_now_ms (s));
+  adm_ask_begun (&s->table, request, scr_now_ms (s));
   scr_process_queue (s);
 }
 
--- a/src/sidecar/sidecar_quarantine.c
+++ b/src/sidecar/sidecar_quarantine.c
@@ -1,6 +1,7 @@
 /// @file sidecar_quarantine.c
-/// What gateways know of requests under which targets ended, kept and passed
-/// on. Gateways have no links among each other, and forget when they restart.
+/// Keeps and forwards the gateways' records of requests during which targets
+/// terminated. Gateways are not connected to each other and lose their records
+/// when they restart.
 #include "relay/passing.h"
 #include "relay/turn.h"
 #include "sidecar/sidecar_defs.h"
@@ -9,44 +10,45 @@
 
 enum
 {
-  /// A gateway that knows nothing has just started, and its first requests may
-  /// come before anybody's turn: about this many give it what they know.
+  /// A gateway without records has just started, and its first requests may
+  /// arrive before any sidecar's turn to sync it. About this many sidecars
+  /// send their records at once.
   INITIAL_SYNC_SIDECARS = 16,
 };
 
-/// All gateways get what is new at once, also the one that told: joined with
-/// what others saw it may say more.
+/// Send new records to all gateways, including the sender: merged with those
+/// of other gateways they may contain more than it reported.
 static void
-send_to_gateways (scr_sidecar_t *s, const kb_buf_t *fresh)
+send_to_gateways (scr_sidecar_t *s, const kb_buf_t *new_records)
 {
   for (uint32_t i = 0; i < s->gateway_count; i++)
-    psn_give_quarantine (&s->host, s->gateways[i].name, fresh);
+    psn_give_quarantine (&s->host, s->gateways[i].name, new_records);
 }
 
 void
-scr_quarantine_receive (scr_sidecar_t *s, kb_slice_t words)
+scr_quarantine_receive (scr_sidecar_t *s, kb_slice_t records)
 {
-  kb_buf_t fresh = { 0 };
-  if (!qrt_take (&s->quarantine, words, scr_now_ms (s), &fresh))
+  kb_buf_t new_records = { 0 };
+  if (!qrt_take (&s->quarantine, records, scr_now_ms (s), &new_records))
     {
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
       log_write (LOG_WARN, "sidecar",
-                 "A word about requests that end targets is ignored.");
+                 "Ignored a malformed message with quarantine records.");
     }
-  send_to_gateways (s, &fresh);
-  kb_buf_finish (&fresh);
+  send_to_gateways (s, &new_records);
+  kb_buf_finish (&new_records);
 }
 
 static bool
 is_own_turn (const scr_sidecar_t *s, const scr_gateway_t *gateway,
              uint64_t stamp)
 {
-  uint64_t own = scr_name_id (kb_slice_str (s->host.settings.name));
+  uint64_t own_id = scr_name_id (kb_slice_str (s->host.settings.name));
   if (stamp != 0)
-    return trn_is_mine (own, gateway->id, s->engine_count, scr_now_ms (s));
-  uint64_t parts[2] = { own, gateway->id };
+    return trn_is_mine (own_id, gateway->id, s->engine_count, scr_now_ms (s));
+  uint64_t ids[2] = { own_id, gateway->id };
   return s->engine_count <= INITIAL_SYNC_SIDECARS
-         || kb_hash (parts, sizeof parts, 0) % s->engine_count
+         || kb_hash (ids, sizeof ids, 0) % s->engine_count
                 < INITIAL_SYNC_SIDECARS;
 }
 
@@ -56,8 +58,8 @@
 {
   if (qrt_stamp (&s->quarantine) == stamp || !is_own_turn (s, gateway, stamp))
     return;
-  kb_buf_t words = { 0 };
-  qrt_pack (&s->quarantine, scr_now_ms (s), &words);
-  psn_give_quarantine (&s->host, gateway->name, &words);
-  kb_buf_finish (&words);
+  kb_buf_t records = { 0 };
+  qrt_pack (&s->quarantine, scr_now_ms (s), &records);
+  psn_give_quarantine (&s->host, gateway->name, &records);
+  kb_buf_finish (&records);
 }
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -1,6 +1,6 @@
 /// @file sidecar_quota.c
-/// Credit that this sidecar lends to gateways: of workspaces' quotas, and of
-/// what plain targets take.
+/// Lends credit of workspaces' quotas and of plain targets' limits to
+/// gateways.
 #include "sidecar/sidecar_defs.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
@@ -36,78 +36,81 @@
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "sidecar",
-             "A list of workspaces that are lent elsewhere is ignored.");
+             "Ignored a malformed list of workspaces lent elsewhere.");
 }
 
 static void
-log_quota_refusal (kb_slice_t peer, const msg_quota_ask_t *given)
+log_quota_refusal (kb_slice_t peer, const msg_quota_ask_t *request)
 {
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"quota_ask\"");
   log_event_t line;
   if (!log_begin (&line, LOG_WARN, "sidecar", "quota_ask_refused"))
     return;
   log_str (&line, "gateway", peer);
-  log_int (&line, "subject", (int64_t)given->subject);
-  log_int (&line, "rate_milli", (int64_t)given->rate_milli);
-  log_int (&line, "least_milli", (int64_t)given->least_milli);
-  log_int (&line, "want_milli", (int64_t)given->want_milli);
+  log_int (&line, "subject", (int64_t)request->subject);
+  log_int (&line, "rate_milli", (int64_t)request->rate_milli);
+  log_int (&line, "least_milli", (int64_t)request->least_milli);
+  log_int (&line, "want_milli", (int64_t)request->want_milli);
   log_end (&line);
 }
 
-/// When a target's limit was known to hold, by the own clock.
+/// @return  Revision of a quota or, for a target, when its limit was known to
+///          hold by the local clock.
 static uint64_t
-revision_of (const msg_quota_ask_t *given, uint64_t now_ms)
+revision_of (const msg_quota_ask_t *request, uint64_t now_ms)
 {
-  if (!given->is_of_target)
-    return given->revision;
-  return now_ms > given->revision ? now_ms - given->revision : 0;
+  if (!request->is_of_target)
+    return request->revision;
+  return now_ms > request->revision ? now_ms - request->revision : 0;
 }
 
 static qln_ask_t
 request_from_msg (scr_sidecar_t *s, uint64_t gateway,
-                  const msg_quota_ask_t *given, uint64_t now_ms)
+                  const msg_quota_ask_t *request, uint64_t now_ms)
 {
-  qof_peak_take (&s->lender_role.peak, (uint32_t)given->gateway_peak,
-                 given->gateway_peak_age_ms, now_ms);
+  qof_peak_take (&s->lender_role.peak, (uint32_t)request->gateway_peak,
+                 request->gateway_peak_age_ms, now_ms);
   uint32_t asker = qof_hear (&s->lender_role, gateway, now_ms);
   return (qln_ask_t){
-    .workspace = given->subject,
-    .revision = revision_of (given, now_ms),
-    .limit = { .rate_per_s = (double)given->rate_milli / MILLI,
-               .burst = (double)given->burst_milli / MILLI },
-    .least = (double)given->least_milli / MILLI,
-    .want = (double)given->want_milli / MILLI,
-    .unspent = (double)given->unspent_milli / MILLI,
-    .life = given->life,
-    .since_ms = given->since_ms,
-    .past = (qln_past_t)given->past,
-    .ledger = given->ledger,
-    .ledger_age_ms = given->ledger_age_ms,
-    .uptime_ms = given->uptime_ms,
-    .reach = (double)given->reach_milli / MILLI,
+    .workspace = request->subject,
+    .revision = revision_of (request, now_ms),
+    .limit = { .rate_per_s = (double)request->rate_milli / MILLI,
+               .burst = (double)request->burst_milli / MILLI },
+    .least = (double)request->least_milli / MILLI,
+    .want = (double)request->want_milli / MILLI,
+    .unspent = (double)request->unspent_milli / MILLI,
+    .life = request->life,
+    .since_ms = request->since_ms,
+    .past = (qln_past_t)request->past,
+    .ledger = request->ledger,
+    .ledger_age_ms = request->ledger_age_ms,
+    .uptime_ms = request->uptime_ms,
+    .reach = (double)request->reach_milli / MILLI,
     .asker = asker,
-    .share = qof_share (&s->lender_role, given->subject, gateway, now_ms),
+    .share = qof_share (&s->lender_role, request->subject, gateway, now_ms),
   };
 }
 
 void
 scr_quota_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                          const msg_quota_ask_t *given)
+                          const msg_quota_ask_t *request)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  qln_ask_t ask = request_from_msg (s, scr_name_id (peer), given, now_ms);
-  if (!qln_ask_is_sound (&ask))
+  qln_ask_t credit_request
+      = request_from_msg (s, scr_name_id (peer), request, now_ms);
+  if (!qln_ask_is_sound (&credit_request))
     {
-      log_quota_refusal (peer, given);
+      log_quota_refusal (peer, request);
       return;
     }
   kb_buf_t ledger = { 0 };
-  qln_lender_t *lender = given->is_of_target ? &s->target_limits : &s->lender;
-  qln_grant_t grant = qln_lend (lender, &ask, &ledger, now_ms);
+  qln_lender_t *lender
+      = request->is_of_target ? &s->target_limits : &s->lender;
+  qln_grant_t grant = qln_lend (lender, &credit_request, &ledger, now_ms);
   msg_t msg
       = { .type = MSG_QUOTA_GRANT,
-          .quota_grant = { .id = given->id,
-                           .subject = given->subject,
+          .quota_grant = { .id = request->id,
+                           .subject = request->subject,
                            .granted_milli = (uint64_t)(grant.granted * MILLI),
                            .lasts_ms = grant.lasts_ms,
                            .wait_ms = grant.wait_ms,
--- a/src/sidecar/sidecar_share.c
+++ b/src/sidecar/sidecar_share.c
@@ -1,6 +1,6 @@
 /// @file sidecar_share.c
-/// Reads the store for gateways that ask (coordination/share.h). A sidecar
-/// that nobody asks reads nothing and keeps nothing.
+/// Reads the store for gateways that request its changes
+/// (coordination/share.h). Without requests nothing is read or cached.
 #include <stdlib.h>
 
 #include "relay/changes.h"
@@ -10,7 +10,7 @@
 
 enum
 {
-  /// The changes kept for gateways go after this long without a question.
+  /// The cache is freed after this time without a request.
   SHARE_IDLE_MS = 10000,
 };
 
@@ -23,9 +23,9 @@
 }
 
 static msg_changes_status_t
-status_of (shr_status_t verdict)
+status_of (shr_status_t status)
 {
-  switch (verdict)
+  switch (status)
     {
     case SHR_CHANGES_KNOWN:
       return MSG_CHANGES_KNOWN;
@@ -53,25 +53,28 @@
 }
 
 static void
-share_answer (scr_sidecar_t *s, const shr_request_t *ask, shr_status_t verdict)
+share_answer (scr_sidecar_t *s, const shr_request_t *request,
+              shr_status_t status)
 {
   const shr_cache_t *cache = s->share_cache;
-  bool is_known = verdict == SHR_CHANGES_KNOWN;
-  bool is_after = cache->read_began_ms > ask->arrived_ms;
+  bool is_known = status == SHR_CHANGES_KNOWN;
+  bool is_after = cache->read_began_ms > request->arrived_ms;
   kb_buf_t changes = { 0 };
   if (is_known)
-    pack_changes (cache, ask->after, &changes);
-  uint64_t before_ms = is_after ? 0 : ask->arrived_ms - cache->read_began_ms;
-  uint64_t after_ms = is_after ? cache->read_began_ms - ask->arrived_ms : 0;
+    pack_changes (cache, request->after, &changes);
+  uint64_t before_ms
+      = is_after ? 0 : request->arrived_ms - cache->read_began_ms;
+  uint64_t after_ms
+      = is_after ? cache->read_began_ms - request->arrived_ms : 0;
   msg_t msg = { .type = MSG_CHANGES,
-                .changes = { .id = ask->id,
-                             .status = status_of (verdict),
+                .changes = { .id = request->id,
+                             .status = status_of (status),
                              .as_of = is_known ? cache->as_of : 0,
                              .began_before_ms = is_known ? before_ms : 0,
                              .began_after_ms = is_known ? after_ms : 0,
                              .config_revision = cache->config_revision,
                              .changes = kb_buf_slice (&changes) } };
-  if (hst_send (&s->host, ask->gateway, &msg) != KB_OK)
+  if (hst_send (&s->host, request->gateway, &msg) != KB_OK)
     MET_INC ("knapweedbay_gateway_unreached_total", "");
   kb_buf_finish (&changes);
 }
@@ -104,16 +107,17 @@
   share_update (s);
 }
 
-/// Answer whom it can, read when it is time, and come back in time.
+/// Answer the requests that can be answered, send a read if one is due, and
+/// set the timer for the next one.
 static void
 share_update (scr_sidecar_t *s)
 {
   shr_cache_t *cache = s->share_cache;
   uint64_t now_ms = tmr_boot_ms ();
-  shr_request_t ask;
-  shr_status_t verdict;
-  while (shr_request_pop (cache, now_ms, &ask, &verdict))
-    share_answer (s, &ask, verdict);
+  shr_request_t request;
+  shr_status_t status;
+  while (shr_request_pop (cache, now_ms, &request, &status))
+    share_answer (s, &request, status);
   uint64_t after;
   if (shr_read_begin (cache, now_ms, &after))
     s->reader->vtable->read (s->reader, after, share_read_done, s);
@@ -148,35 +152,35 @@
     MET_INC ("knapweedbay_gateway_unreached_total", "");
 }
 
-/// A gateway of another deployment follows another store; its revisions say
-/// nothing here.
+/// A gateway of another deployment follows another store, whose revisions are
+/// not comparable.
 static bool
 is_same_store (const scr_sidecar_t *s, uint64_t store)
 {
-  const char *own = s->host.settings.store_address;
-  return kb_hash (own, strlen (own), 0) == store;
+  const char *own_address = s->host.settings.store_address;
+  return kb_hash (own_address, strlen (own_address), 0) == store;
 }
 
 void
 scr_share_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                          const msg_changes_ask_t *given)
+                          const msg_changes_ask_t *msg)
 {
-  shr_request_t ask = { .id = given->id,
-                        .after = given->after,
-                        .known_age_ms = given->known_age_ms,
-                        .pause_ms = given->pause_ms,
-                        .arrived_ms = tmr_boot_ms () };
-  kb_slice_copy (peer, ask.gateway, sizeof ask.gateway);
-  bool is_open = s->reader != NULL && !s->host.is_stopping && given->after > 0
-                 && is_same_store (s, given->store);
+  shr_request_t request = { .id = msg->id,
+                            .after = msg->after,
+                            .known_age_ms = msg->known_age_ms,
+                            .pause_ms = msg->pause_ms,
+                            .arrived_ms = tmr_boot_ms () };
+  kb_slice_copy (peer, request.gateway, sizeof request.gateway);
+  bool is_open = s->reader != NULL && !s->host.is_stopping && msg->after > 0
+                 && is_same_store (s, msg->store);
   if (is_open && s->share_cache == NULL)
     {
       s->share_cache = kb_alloc (sizeof *s->share_cache);
       shr_cache_init (s->share_cache);
     }
-  if (!is_open || !shr_request_add (s->share_cache, &ask))
+  if (!is_open || !shr_request_add (s->share_cache, &request))
     {
-      share_refuse (s, ask.gateway, ask.id);
+      share_refuse (s, request.gateway, request.id);
       return;
     }
   tmr_after (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
--- a/src/sidecar/sidecar_state.c
+++ b/src/sidecar/sidecar_state.c
@@ -1,5 +1,5 @@
 /// @file sidecar_state.c
-/// What a sidecar tells the gateways: condition, load, adapters.
+/// State sent to the gateways: condition, load and adapters of the engine.
 #include "relay/turn.h"
 #include "sidecar/sidecar_defs.h"
 #include "transport/log.h"
@@ -68,9 +68,9 @@
   scr_send (s, gateway, msg);
 }
 
-/// Time between two starts by the engine's limit; zero: it has none.
+/// @return  Interval between starts by the engine's limit; zero: no limit.
 static uint64_t
-start_every_ms (const scr_sidecar_t *s)
+start_interval_ms (const scr_sidecar_t *s)
 {
   const bkp_limit_t *limit = &s->table.meter.limit;
   return limit->is_limited
@@ -78,7 +78,7 @@
              : 0;
 }
 
-/// Tell one gateway, or all.
+/// Send the state to one gateway, or to all when `only` is NULL.
 void
 scr_send_state (scr_sidecar_t *s, scr_gateway_t *only)
 {
@@ -101,7 +101,7 @@
         .held_for_ms = (uint64_t)s->table.held_for_ms,
         .start_wait_ms = bkp_meter_wait_ms (&s->table.meter, s->table.waiting,
                                             scr_now_ms (s)),
-        .start_every_ms = start_every_ms (s),
+        .start_every_ms = start_interval_ms (s),
         .instance = kb_slice_str (s->engine_incarnation.id),
         .born_ms = s->engine_incarnation.born_ms,
         .quarantine_stamp = qrt_stamp (&s->quarantine),
@@ -126,7 +126,8 @@
   scr_send_state (arg, NULL);
 }
 
-/// Tell the gateways soon; changes close together go out as one.
+/// Schedule a state message to all gateways; changes in quick succession are
+/// sent as one.
 void
 scr_state_changed (scr_sidecar_t *s)
 {
--- a/test/relay/sidecar_test.cc
+++ b/test/relay/sidecar_test.cc
@@ -1,5 +1,5 @@
-// A real sidecar before a stand-in of link_arg engine, with this test as
-// link_arg gateway: what comes in an order that real gateways rarely produce.
+// A real sidecar with a fake engine and this test as its gateway: messages in
+// an order that real gateways rarely produce.
 #include <gtest/gtest.h>
 
 #include "site.h"
@@ -44,7 +44,7 @@
       return has_state;
     }));
   }
-  /// As a gateway that knows no configuration.
+  /// Send the state of a gateway without a configuration.
   void
   send_state ()
   {
@@ -82,7 +82,7 @@
         timeout_ms);
   }
   void
-  ask (uint64_t id, const std::string &adapter)
+  request_place (uint64_t id, const std::string &adapter)
   {
     msg_t msg = {};
     msg.type = MSG_PLACE_ASK;
@@ -107,20 +107,19 @@
   int documents = 0;
 };
 
-// A sidecar restarts while callers wait, and a gateway's question overtakes
-// the configuration. It does not know yet how many adapters link_arg engine
-// has room for; an engine that is ordered to hold more crashes, with all
-// link_arg streams.
-TEST_F (SidecarTest, OrdersNothingBeforeItKnowsTheLimits)
+// A sidecar restarts while requests wait, and a request for a place arrives
+// before the configuration. The sidecar does not know yet how many adapters
+// fit; an engine that is ordered to hold more crashes with all its streams.
+TEST_F (SidecarTest, LoadsNothingBeforeTheConfiguration)
 {
-  // Until the engine's first report every question is declined.
+  // Until the engine's first report every request is declined.
   ASSERT_TRUE (run_until ([&] {
     return !Site::log_lines (site.engines[0].sidecar,
                              { "engine_condition", "\"to\":\"ready\"" })
                 .empty ();
   }));
   for (uint64_t id = 1; id <= 8; id++)
-    ask (id, "a" + std::to_string (id));
+    request_place (id, "a" + std::to_string (id));
   run_until ([] { return false; }, 600);
   EXPECT_EQ (site.engines[0].target->loads (), 0);
   send_document (site.config);
@@ -128,8 +127,8 @@
   EXPECT_LE (site.engines[0].target->most_held (), 4u);
 }
 
-// Guards against copies that crowd out what a gateway is fetching itself.
-TEST_F (SidecarTest, ALargeConfigurationIsPassedOnAfterTheTimeOfItsBytes)
+// Guards against copies that compete with the gateway's own read.
+TEST_F (SidecarTest, LargeConfigurationIsForwardedAfterItsTransferTime)
 {
   std::string large = site.config;
   large.insert (large.rfind ('}'), std::string (400000, ' '));
--- a/test/unit/alone_test.cc
+++ b/test/unit/alone_test.cc
@@ -1,4 +1,4 @@
-// Requests that begin at a target while no other one does.
+// Requests that start at a target while no other one starts there.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -23,7 +23,7 @@
   aln_request_t other_ = {};
 };
 
-TEST_F (AloneTest, OthersNeverWaitForEachOther)
+TEST_F (AloneTest, OrdinaryRequestsStartTogether)
 {
   aln_request_t second = {};
   EXPECT_TRUE (aln_may_start (&gate_, &other_, 1000));
@@ -31,7 +31,7 @@
   EXPECT_TRUE (aln_may_start (&gate_, &second, 1000));
 }
 
-TEST_F (AloneTest, NobodyStartsWhileOneBeginsAlone)
+TEST_F (AloneTest, NothingStartsWhileARequestStartsAlone)
 {
   aln_request_t request = suspect ();
   ASSERT_TRUE (aln_may_start (&gate_, &request, 1000));
@@ -42,9 +42,9 @@
   EXPECT_TRUE (aln_may_start (&gate_, &other_, 1100 + ALN_STARTUP_MS));
 }
 
-// A stream goes on for seconds after its first event. What happens to it then
-// is nothing of the others'.
-TEST_F (AloneTest, TheRestOfARunKeepsNobodyBack)
+// A stream runs for seconds after its first event; that part must not block
+// other requests.
+TEST_F (AloneTest, RunBlocksNothingAfterItsStart)
 {
   aln_request_t request = suspect ();
   aln_started (&gate_, &request, 1000);
@@ -56,7 +56,7 @@
   EXPECT_TRUE (aln_may_start (&gate_, &other_, 1301));
 }
 
-TEST_F (AloneTest, TheTargetRestsForFourTimesAsLong)
+TEST_F (AloneTest, CooldownIsFourTimesTheBlock)
 {
   aln_request_t request = suspect ();
   aln_started (&gate_, &request, 1000);
@@ -69,9 +69,9 @@
   EXPECT_FALSE (aln_is_refused (&gate_, &other_, over_ms));
 }
 
-// One that hangs before its first byte keeps a suspect waiting; each new
-// suspect would keep the others back for half a second more.
-TEST_F (AloneTest, WaitingInVainIsFollowedByRest)
+// A request that hangs before its first byte keeps a suspect waiting. Without
+// a cooldown each new suspect would block the others for another 500 ms.
+TEST_F (AloneTest, UnsuccessfulWaitIsFollowedByCooldown)
 {
   aln_started (&gate_, &other_, 1000);
   aln_request_t request = suspect ();
--- a/test/unit/follow_test.cc
+++ b/test/unit/follow_test.cc
@@ -1,4 +1,4 @@
-// When the store is read, played against a store in simulated time.
+// Schedule of the reads of the store, run against a store in simulated time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 namespace
 {
 
-/// A store that answers in `delay_ms`, but for a time in which it takes reads
-/// and never answers them, nor those that waited then. For another time
-/// reads that wait hear nothing; after it they are cut, and the history up to
-/// then is gone.
+/// A store that answers in `delay_ms`. During an outage it accepts reads and
+/// never answers them, nor those already pending. During a stall long polls
+/// get no answer; at its end they are interrupted, and the history is
+/// compacted.
 class Timeline
 {
 public:
@@ -123,13 +123,13 @@
     r.is_dropped |= is_store_silent ();
     bool is_watch = r.read.after > 0;
     r.was_stalled |= is_watch && are_watches_stalled ();
-    bool is_cut = r.was_stalled && !are_watches_stalled ();
+    bool is_interrupted = r.was_stalled && !are_watches_stalled ();
     if (is_watch && are_watches_stalled ()
         && now_ms - r.sent_ms < r.read.timeout_ms)
       return;
     bool is_late = now_ms - r.sent_ms >= r.read.timeout_ms;
     bool is_due = !r.is_dropped && now_ms - r.sent_ms >= delay_ms;
-    if (is_late || is_cut || (is_refusing && is_due))
+    if (is_late || is_interrupted || (is_refusing && is_due))
       {
         r.is_open = false;
         flw_failed (&f, which, now_ms, FLW_NO_ANSWER, random_ ());
@@ -154,21 +154,21 @@
   }
 
   std::mt19937 random_;
-  uint64_t compacted_ = 0; ///< The history up to here is gone.
+  uint64_t compacted_ = 0; ///< The history up to this revision is gone.
   Read open_[FLW_READERS];
 };
 
-// Callers of a route that was just confirmed are refused for seconds. The
-// store takes a read and falls silent with it; after its return the reader
-// still waits for that read, as if nothing had changed. Evidence: lines
-// store_read_failed whose waited_ms ends seconds after the store's return.
-TEST (Follow, AChangeIsKnownSoonAfterASilence)
+// Guards against routes that are refused for seconds after they were
+// confirmed: a read sent before an outage gets no answer, and the reader still
+// waits for it after the store has recovered. In the log, store_read_failed
+// then has a waited_ms that ends seconds after the recovery.
+TEST (Follow, ChangesAreAppliedSoonAfterAnOutage)
 {
   enum
   {
-    BOUND_MS = 2300, ///< The platform allows 3 s after the store's return.
+    BOUND_MS = 2300, ///< The platform allows 3 s after the recovery.
   };
-  uint64_t worst_ms = 0;
+  uint64_t max_delay_ms = 0;
   for (uint32_t seed = 1; seed <= 400; seed++)
     {
       Timeline t (seed);
@@ -179,20 +179,21 @@
       uint64_t return_ms = t.now_ms;
       t.run_until (return_ms + 10000);
       ASSERT_EQ (t.known_config, t.config_revision) << "seed " << seed;
-      worst_ms = std::max (worst_ms, t.known_since_ms - return_ms);
+      max_delay_ms = std::max (max_delay_ms, t.known_since_ms - return_ms);
     }
-  EXPECT_LT (worst_ms, (uint64_t)BOUND_MS);
+  EXPECT_LT (max_delay_ms, (uint64_t)BOUND_MS);
 }
 
-// Guards against a change that two reads in a row miss after a silence.
-TEST (Follow, AChangeIsKnownThoughWatchesHearNothingAfterASilence)
+// Guards against a change that two reads in a row miss after an outage.
+TEST (Follow, ChangesAreAppliedWhileLongPollsStallAfterAnOutage)
 {
   enum
   {
-    RECOVERY_BOUND_MS = 3000, ///< From the store's return until changes bind.
+    RECOVERY_BOUND_MS
+    = 3000, ///< From the recovery until changes must be applied.
     STALL_MS = 1260,
   };
-  uint64_t worst_ms = 0;
+  uint64_t max_delay_ms = 0;
   for (uint32_t seed = 1; seed <= 400; seed++)
     {
       Timeline t (seed);
@@ -205,13 +206,13 @@
       t.stalled_to_ms = t.stalled_from_ms + STALL_MS;
       t.run_until (return_ms + 10000);
       ASSERT_EQ (t.known_config, t.config_revision) << "seed " << seed;
-      worst_ms = std::max (worst_ms, t.known_since_ms - return_ms);
+      max_delay_ms = std::max (max_delay_ms, t.known_since_ms - return_ms);
     }
-  EXPECT_LT (worst_ms, (uint64_t)RECOVERY_BOUND_MS);
+  EXPECT_LT (max_delay_ms, (uint64_t)RECOVERY_BOUND_MS);
 }
 
-// As above on a store without a single target, where nothing ever changes.
-TEST (Follow, ASilenceShowsAlsoWithoutHeartbeats)
+// As above, for a store without targets, where nothing ever changes.
+TEST (Follow, OutageIsDetectedWithoutHeartbeats)
 {
   Timeline t;
   t.heartbeat_ms = 0;
@@ -223,8 +224,8 @@
   EXPECT_EQ (t.known_config, t.config_revision);
 }
 
-// Guards against a silent store that is pressed by both readers.
-TEST (Follow, ASilenceCostsFewCalls)
+// Guards against both readers loading a store that does not respond.
+TEST (Follow, OutageCostsFewCalls)
 {
   Timeline t;
   t.outage_from_ms = 5000;
@@ -235,9 +236,9 @@
   EXPECT_LE (t.reads - before, 19 * 2);
 }
 
-// In calm times a change arrives with the direct reader, without the pause of
-// the batches.
-TEST (Follow, ACalmStoreBringsChangesAtOnce)
+// While the store is well the direct reader returns a change without the pause
+// between batches.
+TEST (Follow, DirectReaderReturnsChangesAtOnce)
 {
   Timeline t;
   t.run_until (8000);
@@ -251,9 +252,9 @@
     }
 }
 
-// Calls are priced: a calm minute costs about one call for each pause of the
-// batches, and a few of the direct reader.
-TEST (Follow, ACalmMinuteCostsFewCalls)
+// Calls cost money: a minute without failures takes about one call per pause
+// of the batch reader, and a few of the direct reader.
+TEST (Follow, ReachableStoreCostsFewCalls)
 {
   Timeline t;
   t.run_until (10000);
@@ -262,8 +263,8 @@
   EXPECT_LT (t.reads - before, 60000 / 700 + 6);
 }
 
-// A store that refuses is not pressed harder the longer it does.
-TEST (Follow, RefusalsAreAnsweredByABackoff)
+// The call rate must not grow while the store refuses.
+TEST (Follow, RefusalsAreFollowedByBackoff)
 {
   Timeline t;
   t.run_until (5000);
@@ -278,9 +279,8 @@
   EXPECT_TRUE (t.f.is_reachable);
 }
 
-// A store that needs more than a second for each answer is followed all the
-// same.
-TEST (Follow, ASlowStoreIsFollowed)
+// A store that needs more than a second for each answer is still followed.
+TEST (Follow, SlowStoreIsFollowed)
 {
   Timeline t;
   t.run_until (3000);
@@ -291,12 +291,12 @@
   EXPECT_EQ (t.known_config, t.config_revision);
 }
 
-// Live targets vanish from the list during a silence, because their leases
-// could not be renewed, and are back two seconds after it. The silence ends
-// just before the read that it swallowed reaches its timeout, so the next one
-// is answered at once: measured from that failure there was no gap, and the
-// targets were taken as gone. Measured from the start of the read there was.
-TEST (Follow, AGapIsMeasuredFromTheStartOfTheLostRead)
+// Guards against removing live targets after an outage: their leases expire
+// during it, and they are listed again two seconds later. If the outage ends
+// just before the dropped read times out, the next read is answered at once;
+// measured from the timeout there is no gap, measured from the start of the
+// read there is.
+TEST (Follow, GapIsMeasuredFromTheStartOfTheTimedOutRead)
 {
   Timeline t;
   t.run_until (4000);
@@ -312,14 +312,14 @@
   EXPECT_GE (flw_retain_until_ms (&t.f), t.outage_to_ms + 2000);
 }
 
-// Guards against a target that left in an outage and is used past its bound.
-TEST (Follow, WhatLapsedInASilenceIsGivenUpBeforeTheContactIsOver)
+// Guards against using a target that left during an outage beyond the bound.
+TEST (Follow, RetentionEndsWithinTheRecoveryBound)
 {
   enum
   {
     RECOVERY_BOUND_MS = 3000,
     REMOVAL_MARGIN_MS
-    = 100, ///< Of the removal, and of a request sent before it.
+    = 100, ///< For the removal, and a request sent just before.
   };
   uint64_t latest_ms = 0;
   for (uint32_t seed = 1; seed <= 400; seed++)
@@ -335,9 +335,9 @@
   EXPECT_LE (latest_ms, (uint64_t)(RECOVERY_BOUND_MS - REMOVAL_MARGIN_MS));
 }
 
-// The history is forgotten: everything is read again, and the direct reader
-// goes on from there.
-TEST (Follow, AForgottenHistoryIsReadAgain)
+// After the history was compacted everything is read again, and the direct
+// reader continues from there.
+TEST (Follow, CompactedHistoryIsReadAgain)
 {
   flw_follower_t f;
   flw_read_t read;
@@ -358,10 +358,10 @@
   EXPECT_EQ (read.after, 30u);
 }
 
-/// A follower that knows everything up to 10, read at 1,000 ms, and is past
-/// the time in which targets come back.
+/// @return  A follower that knows all changes up to revision 10, read at
+///          5,000 ms, after the recovery period of its start.
 flw_follower_t
-calm_follower (uint64_t *now_ms)
+synced_follower (uint64_t *now_ms)
 {
   flw_follower_t f;
   flw_read_t read;
@@ -375,17 +375,17 @@
   return f;
 }
 
-TEST (Follow, APeerIsAskedWhileTheStoreIsWell)
+TEST (Follow, PeerIsQueriedWhileTheStoreIsReachable)
 {
   uint64_t now_ms;
-  flw_follower_t f = calm_follower (&now_ms);
+  flw_follower_t f = synced_follower (&now_ms);
   flw_read_t read;
   EXPECT_FALSE (flw_begin (&f, FLW_BATCH, false, now_ms, &read));
   ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, now_ms, &read));
   EXPECT_TRUE (read.is_shared);
   EXPECT_EQ (read.after, 10u);
   EXPECT_EQ (read.known_age_ms, 4u);
-  // The answer may come a quarter of a pause after the next read was due.
+  // The answer may arrive a quarter of a pause after the next read was due.
   EXPECT_EQ (now_ms + read.timeout_ms, 5000u + 700 + 175);
   ASSERT_TRUE (flw_shared_answered (&f, 5706, 5700, 14, 0, 0));
   EXPECT_EQ (f.readers[FLW_BATCH].as_of, 14u);
@@ -393,13 +393,13 @@
   EXPECT_EQ (read.after, 14u);
 }
 
-// A sidecar freezes, or its link goes silent. The gateway goes to the store a
-// quarter of a pause after it would have read there anyway, and returns to
-// peers only after the store has answered.
-TEST (Follow, ASilentPeerCostsAPartOfAPause)
+// A sidecar hangs, or its link is dead. The gateway reads the store a quarter
+// of a pause later than it would have without a peer, and queries peers again
+// only after the store has answered.
+TEST (Follow, SilentPeerDelaysTheReadByAFractionOfAPause)
 {
   uint64_t now_ms;
-  flw_follower_t f = calm_follower (&now_ms);
+  flw_follower_t f = synced_follower (&now_ms);
   flw_read_t read;
   ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, now_ms, &read));
   flw_shared_failed (&f, 5875);
@@ -409,20 +409,21 @@
   ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, 7000, &read));
   EXPECT_FALSE (read.is_shared);
   flw_answered (&f, FLW_BATCH, 7004, 20, 0, 0);
-  // After a gap targets come back one by one: peers read in short pauses too.
+  // After a gap targets are listed again one by one: peers also use short
+  // pauses.
   ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, 7010, &read));
   EXPECT_TRUE (read.is_shared);
   EXPECT_EQ (read.pause_ms, 150u);
 }
 
-// A sidecar was frozen in front of an answer and tells it seconds later, or a
-// word is not fresher than what is known. Belief stays as it was.
-TEST (Follow, AStaleWordOfAPeerIsNotTaken)
+// A sidecar was suspended and sends an answer seconds late, or an answer is no
+// fresher than the local state. The state must not change.
+TEST (Follow, StaleAnswerOfAPeerIsIgnored)
 {
   for (uint64_t began_ms : { 4000u, 5000u, 9000u })
     {
       uint64_t now_ms;
-      flw_follower_t f = calm_follower (&now_ms);
+      flw_follower_t f = synced_follower (&now_ms);
       flw_read_t read;
       ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, now_ms, &read));
       EXPECT_FALSE (flw_shared_answered (&f, 5700, began_ms, 14, 0, 0));
@@ -433,12 +434,12 @@
     }
 }
 
-// The direct reader waits at the store for changes of the configuration. When
-// a peer knows of one that it has not brought, its read is taken for lost.
-TEST (Follow, APeersNewsRenewsTheDirectReader)
+// When a peer reports a change of the configuration that the direct reader's
+// long poll has not returned, that read is cancelled.
+TEST (Follow, ConfigChangeFromAPeerRestartsTheDirectReader)
 {
   uint64_t now_ms;
-  flw_follower_t f = calm_follower (&now_ms);
+  flw_follower_t f = synced_follower (&now_ms);
   flw_read_t read;
   ASSERT_TRUE (flw_begin (&f, FLW_DIRECT, false, now_ms, &read));
   ASSERT_TRUE (flw_begin (&f, FLW_BATCH, true, now_ms, &read));
@@ -448,11 +449,11 @@
   EXPECT_EQ (read.after, 14u);
 }
 
-// Guards against a direct reader that stands still while peers answer.
-TEST (Follow, APeersAnswerRenewsADirectReaderWhoseHistoryIsGone)
+// Guards against a direct reader that stays stopped while peers answer.
+TEST (Follow, PeerAnswerRestartsADirectReaderAfterCompaction)
 {
   uint64_t now_ms;
-  flw_follower_t f = calm_follower (&now_ms);
+  flw_follower_t f = synced_follower (&now_ms);
   flw_read_t read;
   ASSERT_TRUE (flw_begin (&f, FLW_DIRECT, false, now_ms, &read));
   flw_failed (&f, FLW_DIRECT, now_ms + 10, FLW_HISTORY_GONE, 0);
--- a/test/unit/lateorder_test.cc
+++ b/test/unit/lateorder_test.cc
@@ -1,4 +1,4 @@
-// Room for orders that may be carried out late, at another life of an engine.
+// Slots reserved for orders that a later incarnation of an engine may execute.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -11,14 +11,14 @@
 
 const uint64_t kEngine = 7;
 
-TEST (LateOrder, NothingIsKeptWithinOneLife)
+TEST (LateOrder, NothingIsReservedWithinOneIncarnation)
 {
   lto_orders_t orders = {};
   lto_record (&orders, kEngine, 5, 1000);
   EXPECT_EQ (lto_reserved (&orders, kEngine, 5, 1100), 0u);
 }
 
-TEST (LateOrder, APlaceIsKeptUntilTheCountHasPassed)
+TEST (LateOrder, SlotIsReservedUntilTheCountHasPassed)
 {
   lto_orders_t orders = {};
   lto_record (&orders, kEngine, 5, 1000);
@@ -31,7 +31,7 @@
   EXPECT_EQ (lto_reserved (&orders, kEngine, 7, 2000), 0u);
 }
 
-TEST (LateOrder, APlaceIsKeptForALimitedTime)
+TEST (LateOrder, SlotIsReservedForALimitedTime)
 {
   lto_orders_t orders = {};
   lto_record (&orders, kEngine, 5, 1000);
@@ -42,9 +42,9 @@
   EXPECT_EQ (lto_reserved (&orders, kEngine, 0, 1000 + LTO_MAX_DELAY_MS), 0u);
 }
 
-// An engine of another id turns the order away; a place kept for it would be
-// lost to callers for nothing.
-TEST (LateOrder, NothingIsKeptAtAnEngineOfAnotherId)
+// An engine with another id rejects the order, so a reserved slot would be
+// wasted.
+TEST (LateOrder, NothingIsReservedForAnotherEngine)
 {
   lto_orders_t orders = {};
   lto_record (&orders, kEngine, 5, 1000);
@@ -54,8 +54,8 @@
   EXPECT_EQ (lto_reserved (&orders, kEngine + 1, 0, 2000), 0u);
 }
 
-// An order that names no id is carried out at any engine.
-TEST (LateOrder, APlaceIsKeptForAnOrderWithoutAnId)
+// An order that addresses no id is executed by any engine.
+TEST (LateOrder, SlotIsReservedForAnOrderWithoutAnId)
 {
   lto_orders_t orders = {};
   lto_record (&orders, 0, 5, 1000);
@@ -63,7 +63,7 @@
   EXPECT_EQ (lto_reserved (&orders, kEngine, 0, 2000), 1u);
 }
 
-TEST (LateOrder, TheOldestMakeRoom)
+TEST (LateOrder, OldestOrdersAreReplaced)
 {
   lto_orders_t orders = {};
   for (uint64_t i = 0; i < 3 * LTO_MAX_ORDERS; i++)
--- a/test/unit/pace_test.cc
+++ b/test/unit/pace_test.cc
@@ -1,4 +1,4 @@
-// At which part of an engine's reading rate prompts are given out.
+// Fraction of an engine's prefill rate at which prompts are dispatched.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -9,22 +9,22 @@
 namespace
 {
 
-/// Streams of 20 gaps end ten times a second on an engine that spends a part
-/// of its time on reading: their gaps are that much longer.
+/// Simulate streams of 20 gaps that end ten times a second on an engine that
+/// spends a share of its time on prefill, which makes the gaps longer.
 uint64_t
-play_streams (pce_pace_t *pace, double event_ms, double busy, uint64_t from_ms,
-              uint64_t for_ms)
+simulate_streams (pce_pace_t *pace, double step_ms, double prefill_share,
+                  uint64_t from_ms, uint64_t for_ms)
 {
   for (uint64_t now_ms = from_ms; now_ms < from_ms + for_ms; now_ms += 100)
     {
-      pce_record_prefill (pace, busy * 100, now_ms);
-      double gap_ms = event_ms / (1 - busy);
+      pce_record_prefill (pace, prefill_share * 100, now_ms);
+      double gap_ms = step_ms / (1 - prefill_share);
       pce_record_stream (pace, 20, (uint64_t)(20 * gap_ms), now_ms);
     }
   return from_ms + for_ms;
 }
 
-TEST (Pace, ADefaultBeforeAnythingWasObserved)
+TEST (Pace, DefaultBeforeEnoughGaps)
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
@@ -33,49 +33,49 @@
   EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.65);
 }
 
-// One site's callers accept pauses of 400 ms and its engines make an event
-// every 28 ms; another's accept 300 ms of engines that need 40. With one pace
-// for both, requests of the first waited for an engine that had time (8 %
-// late), or streams of the second paused too long.
-TEST (Pace, EnginesThatMakeEventsQuicklyReadMore)
+// Callers of one site accept gaps of 400 ms from engines that emit an event
+// every 28 ms, those of another 300 ms from engines that need 40 ms. With the
+// same pace for both, either requests of the first waited for an idle engine
+// (8 % late) or streams of the second had too long gaps.
+TEST (Pace, FasterEnginesGetMorePrefill)
 {
-  pce_pace_t quick;
+  pce_pace_t fast;
   pce_pace_t slow;
-  pce_pace_init (&quick);
+  pce_pace_init (&fast);
   pce_pace_init (&slow);
-  pce_set_max_gap (&quick, 400);
+  pce_set_max_gap (&fast, 400);
   pce_set_max_gap (&slow, 300);
-  play_streams (&quick, 28, 0, 0, 20000);
-  play_streams (&slow, 40, 0, 0, 20000);
-  EXPECT_NEAR (pce_fraction (&quick), 0.81, 0.01);
+  simulate_streams (&fast, 28, 0, 0, 20000);
+  simulate_streams (&slow, 40, 0, 0, 20000);
+  EXPECT_NEAR (pce_fraction (&fast), 0.81, 0.01);
   EXPECT_NEAR (pce_fraction (&slow), 0.64, 0.01);
 }
 
-// What the pace lets in makes gaps longer, and longer gaps must not by
-// themselves lower the pace further: it would close for good under load.
-TEST (Pace, ReadingDoesNotLowerThePaceByItself)
+// Dispatched prompts make gaps longer. These gaps must not lower the pace
+// further, or it would drop to its minimum under load and stay there.
+TEST (Pace, PrefillDoesNotLowerThePace)
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
   pce_set_max_gap (&pace, 400);
-  uint64_t now_ms = play_streams (&pace, 28, 0, 0, 20000);
+  uint64_t now_ms = simulate_streams (&pace, 28, 0, 0, 20000);
   double idle = pce_fraction (&pace);
-  play_streams (&pace, 28, 0.7, now_ms, 40000);
+  simulate_streams (&pace, 28, 0.7, now_ms, 40000);
   EXPECT_NEAR (pce_fraction (&pace), idle, 0.04);
 }
 
-// A load that changes the engine's own speed: batches become full, each token
-// takes longer. The pace follows within seconds and settles.
+// Load changes the engine's own speed: with full batches each token takes
+// longer. The pace adapts within seconds and becomes stable.
 TEST (Pace, FollowsASlowerEngineAndSettles)
 {
   pce_pace_t pace;
   pce_pace_init (&pace);
   pce_set_max_gap (&pace, 400);
-  uint64_t now_ms = play_streams (&pace, 28, 0.5, 0, 20000);
-  now_ms = play_streams (&pace, 56, 0.5, now_ms, 30000);
+  uint64_t now_ms = simulate_streams (&pace, 28, 0.5, 0, 20000);
+  now_ms = simulate_streams (&pace, 56, 0.5, now_ms, 30000);
   double settled = pce_fraction (&pace);
   EXPECT_NEAR (settled, 0.63, 0.03);
-  play_streams (&pace, 56, 0.5, now_ms, 10000);
+  simulate_streams (&pace, 56, 0.5, now_ms, 10000);
   EXPECT_NEAR (pce_fraction (&pace), settled, 0.01);
 }
 
@@ -84,9 +84,9 @@
   pce_pace_t pace;
   pce_pace_init (&pace);
   pce_set_max_gap (&pace, 400);
-  play_streams (&pace, 1000, 0, 0, 20000);
+  simulate_streams (&pace, 1000, 0, 0, 20000);
   EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.6);
-  play_streams (&pace, 0.5, 0, 20000, 400000);
+  simulate_streams (&pace, 0.5, 0, 20000, 400000);
   EXPECT_DOUBLE_EQ (pce_fraction (&pace), 0.9);
 }
 
--- a/test/unit/prefill_test.cc
+++ b/test/unit/prefill_test.cc
@@ -1,4 +1,4 @@
-// The pace of prompts, and the reading rate as it is learnt.
+// Dispatch of prompts, and the measured prefill rate.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -15,9 +15,9 @@
   void
   SetUp () override
   {
-    pfl_prefill_init (&reading);
+    pfl_prefill_init (&prefill);
   }
-  pfl_prefill_t reading;
+  pfl_prefill_t prefill;
 };
 
 TEST_F (ReadingTest, LongPromptsCostMoreThanTheirTokens)
@@ -26,33 +26,33 @@
   EXPECT_GT (pfl_cost_tokens (8000), 10000);
 }
 
-// However long a prompt is, it is read once the engine has read all others.
-TEST_F (ReadingTest, AnyPromptFitsWhenNothingIsLeft)
+// A prompt of any length is dispatched once all others are processed.
+TEST_F (ReadingTest, AnyPromptIsDispatchedToAnIdleEngine)
 {
-  EXPECT_TRUE (pfl_can_dispatch (&reading, 50000, 0));
-  pfl_dispatch (&reading, 50000, 0);
-  EXPECT_FALSE (pfl_can_dispatch (&reading, 10, 100));
-  EXPECT_TRUE (pfl_can_dispatch (&reading, 50000, 10000));
+  EXPECT_TRUE (pfl_can_dispatch (&prefill, 50000, 0));
+  pfl_dispatch (&prefill, 50000, 0);
+  EXPECT_FALSE (pfl_can_dispatch (&prefill, 10, 100));
+  EXPECT_TRUE (pfl_can_dispatch (&prefill, 50000, 10000));
 }
 
-TEST_F (ReadingTest, WhatIsTakenBackMakesRoom)
+TEST_F (ReadingTest, CancelledPromptMakesRoom)
 {
-  pfl_dispatch (&reading, 1500, 0);
-  EXPECT_FALSE (pfl_can_dispatch (&reading, 1500, 0));
-  pfl_cancel (&reading, 1500);
-  EXPECT_TRUE (pfl_can_dispatch (&reading, 1500, 0));
+  pfl_dispatch (&prefill, 1500, 0);
+  EXPECT_FALSE (pfl_can_dispatch (&prefill, 1500, 0));
+  pfl_cancel (&prefill, 1500);
+  EXPECT_TRUE (pfl_can_dispatch (&prefill, 1500, 0));
 }
 
-// Engines of one site add 40 ms to every first event. Taken as a ratio of
-// tokens and time, the rate was half too low there.
-TEST_F (ReadingTest, AFixedPartOfFirstEventsIsNotTakenForReading)
+// Some engines add 40 ms to every first event. A plain ratio of tokens and
+// time then gives a rate that is too low by half.
+TEST_F (ReadingTest, InterceptIsNotCountedAsPrefill)
 {
   for (int i = 0; i < 400; i++)
     {
       double tokens = 200 + i % 10 * 300;
-      pfl_record_first_event (&reading, tokens, 40 + tokens / 20);
+      pfl_record_first_event (&prefill, tokens, 40 + tokens / 20);
     }
-  EXPECT_NEAR (reading.tokens_per_ms, 20, 1);
+  EXPECT_NEAR (prefill.tokens_per_ms, 20, 1);
 }
 
 } // namespace
--- a/test/unit/rto_test.cc
+++ b/test/unit/rto_test.cc
@@ -1,4 +1,4 @@
-// How long an answer may take before the call is made again.
+// Timeout after which a call is repeated.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -9,17 +9,17 @@
 namespace
 {
 
-TEST (Rto, TheLongestBeforeAnyAnswer)
+TEST (Rto, MaximumBeforeTheFirstAnswer)
 {
   rto_timeout_t t;
   rto_init (&t, 30, 400);
   EXPECT_EQ (rto_ms (&t), 400u);
 }
 
-// Callers wait for an adapter while a third of the orders to fetch one gets no
-// answer. Each lost answer held all orders of its engine back for 400 ms,
-// though an answer takes a millisecond.
-TEST (Rto, ShortOnceAnswersAreKnownToBeFast)
+// Guards against requests that wait for an adapter because a third of the load
+// orders gets no answer: each lost answer blocked all orders of its engine for
+// 400 ms, although an answer takes a millisecond.
+TEST (Rto, ShortAfterFastAnswers)
 {
   rto_timeout_t t;
   rto_init (&t, 30, 400);
@@ -30,7 +30,7 @@
   EXPECT_EQ (rto_ms (&t), 30u);
 }
 
-TEST (Rto, ASlowPeerIsGivenTime)
+TEST (Rto, AdaptsToASlowPeer)
 {
   rto_timeout_t t;
   rto_init (&t, 30, 400);
@@ -42,9 +42,9 @@
   EXPECT_LT (rto_ms (&t), 200u);
 }
 
-// A peer that became slower than the timeout at once would never be learned
-// from its answers, for none comes in time.
-TEST (Rto, SilenceMakesItLongerUpToTheMost)
+// A peer that suddenly becomes slower than the timeout never answers in time,
+// so its answers cannot raise the timeout.
+TEST (Rto, BacksOffUpToTheMaximum)
 {
   rto_timeout_t t;
   rto_init (&t, 30, 400);
--- a/test/unit/share_test.cc
+++ b/test/unit/share_test.cc
@@ -1,5 +1,5 @@
-// Reads of the store that several gateways share: who is answered, when the
-// store is read, and what an answer says of its age.
+// Reads of the store that several gateways share: which requests are answered,
+// when the store is read, and the age of an answer.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -17,17 +17,17 @@
 constexpr uint64_t kPauseMs = 800;
 
 shr_request_t
-ask_of (const char *gateway, uint64_t after, uint64_t known_age_ms,
-        uint64_t now_ms)
+request_of (const char *gateway, uint64_t after, uint64_t known_age_ms,
+            uint64_t now_ms)
 {
-  shr_request_t ask = {};
-  snprintf (ask.gateway, sizeof ask.gateway, "%s", gateway);
-  ask.id = 7;
-  ask.after = after;
-  ask.known_age_ms = known_age_ms;
-  ask.pause_ms = kPauseMs;
-  ask.arrived_ms = now_ms;
-  return ask;
+  shr_request_t request = {};
+  snprintf (request.gateway, sizeof request.gateway, "%s", gateway);
+  request.id = 7;
+  request.after = after;
+  request.known_age_ms = known_age_ms;
+  request.pause_ms = kPauseMs;
+  request.arrived_ms = now_ms;
+  return request;
 }
 
 shr_change_t
@@ -50,10 +50,10 @@
   ~Share () override { shr_cache_finish (&cache); }
 
   bool
-  ask (const char *gateway, uint64_t after, uint64_t known_age_ms,
-       uint64_t now_ms)
+  request (const char *gateway, uint64_t after, uint64_t known_age_ms,
+           uint64_t now_ms)
   {
-    shr_request_t a = ask_of (gateway, after, known_age_ms, now_ms);
+    shr_request_t a = request_of (gateway, after, known_age_ms, now_ms);
     return shr_request_add (&cache, &a);
   }
 
@@ -66,9 +66,9 @@
                        as_of, 0);
   }
 
-  /// Revisions of what a gateway that knows `after` is told.
+  /// Revisions of the changes sent to a gateway that knows `after`.
   std::vector<uint64_t>
-  told (uint64_t after)
+  changes_after (uint64_t after)
   {
     std::vector<uint64_t> revisions;
     uint32_t at = 0;
@@ -80,129 +80,129 @@
 
   shr_cache_t cache;
   shr_request_t out;
-  shr_status_t verdict;
+  shr_status_t status;
 };
 
-TEST_F (Share, NobodyAsksNothingIsRead)
+TEST_F (Share, NothingIsReadWithoutRequests)
 {
   EXPECT_EQ (shr_due_ms (&cache), UINT64_MAX);
   uint64_t after;
   EXPECT_FALSE (shr_read_begin (&cache, 100000, &after));
 }
 
-TEST_F (Share, OneReadServesAllWhoWait)
+TEST_F (Share, OneReadServesAllPendingRequests)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
-  ASSERT_TRUE (ask ("b", 12, 700, 1000));
-  EXPECT_FALSE (shr_request_pop (&cache, 1000, &out, &verdict));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("b", 12, 700, 1000));
+  EXPECT_FALSE (shr_request_pop (&cache, 1000, &out, &status));
   read (1000,
         { change_of ("servers/i", 11, "x"), change_of ("servers/j", 13, "y") },
         14);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_CHANGES_KNOWN);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_CHANGES_KNOWN);
-  EXPECT_EQ (told (10).size (), 2u);
-  EXPECT_EQ (told (12), std::vector<uint64_t> ({ 13 }));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  EXPECT_EQ (status, SHR_CHANGES_KNOWN);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  EXPECT_EQ (status, SHR_CHANGES_KNOWN);
+  EXPECT_EQ (changes_after (10).size (), 2u);
+  EXPECT_EQ (changes_after (12), std::vector<uint64_t> ({ 13 }));
   EXPECT_EQ (shr_due_ms (&cache), UINT64_MAX);
 }
 
-// Two daemons that answer each other at once with what both know would send
-// words as fast as the link carries them.
-TEST_F (Share, WhoKnowsAsMuchWaitsForTheNextRead)
+// Guards against a busy loop of requests and answers between a gateway and a
+// sidecar that know the same changes.
+TEST_F (Share, UpToDateGatewayWaitsForTheNextRead)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
   read (1000, {}, 14);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  ASSERT_TRUE (ask ("a", 14, 5, 1005));
-  EXPECT_FALSE (shr_request_pop (&cache, 1005, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  ASSERT_TRUE (request ("a", 14, 5, 1005));
+  EXPECT_FALSE (shr_request_pop (&cache, 1005, &out, &status));
   EXPECT_EQ (shr_due_ms (&cache), 1000 + kPauseMs);
   read (1000 + kPauseMs, {}, 20);
-  EXPECT_TRUE (shr_request_pop (&cache, 1804, &out, &verdict));
+  EXPECT_TRUE (shr_request_pop (&cache, 1804, &out, &status));
 }
 
-TEST_F (Share, WhoKnowsLessIsToldAtOnce)
+TEST_F (Share, OutdatedGatewayIsAnsweredAtOnce)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
   read (1000, { change_of ("servers/i", 11, "x") }, 14);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  ASSERT_TRUE (ask ("b", 10, 700, 1100));
-  ASSERT_TRUE (shr_request_pop (&cache, 1100, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_CHANGES_KNOWN);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  ASSERT_TRUE (request ("b", 10, 700, 1100));
+  ASSERT_TRUE (shr_request_pop (&cache, 1100, &out, &status));
+  EXPECT_EQ (status, SHR_CHANGES_KNOWN);
   EXPECT_EQ (out.arrived_ms - cache.read_began_ms, 100u);
 }
 
-// A gateway that lacks what was read before the first question would take
-// silence about it for "nothing changed".
-TEST_F (Share, WhoLacksMoreThanIsKeptHearsSo)
+// Guards against a gateway that misses changes from before the cache was
+// filled and is answered as if nothing had changed.
+TEST_F (Share, RequestBeforeTheCacheIsTooOld)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
   read (1000, {}, 14);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  ASSERT_TRUE (ask ("b", 9, 700, 1100));
-  ASSERT_TRUE (shr_request_pop (&cache, 1100, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_TOO_OLD);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  ASSERT_TRUE (request ("b", 9, 700, 1100));
+  ASSERT_TRUE (shr_request_pop (&cache, 1100, &out, &status));
+  EXPECT_EQ (status, SHR_TOO_OLD);
 }
 
-// The store forgets its history while the cache is behind it. What is read
-// after that begins behind another revision; a gateway that lacks the changes
-// between must not be told that it knows all.
-TEST_F (Share, AForgottenHistoryLeavesNoHole)
+// The store compacts its history beyond the cache's revision. The cache
+// restarts at a later revision; a gateway that lacks the changes in between
+// must not be answered as if it knew all.
+TEST_F (Share, CompactionLeavesNoGapInTheChanges)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
   read (1000, {}, 14);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  ASSERT_TRUE (ask ("a", 14, 700, 1800));
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  ASSERT_TRUE (request ("a", 14, 700, 1800));
   uint64_t after;
   ASSERT_TRUE (shr_read_begin (&cache, 1800, &after));
   shr_read_failed (&cache, true);
-  ASSERT_TRUE (shr_request_pop (&cache, 1810, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_READ_FAILED);
-  ASSERT_TRUE (ask ("a", 30, 5, 1900));
-  ASSERT_TRUE (ask ("b", 14, 820, 1900));
-  ASSERT_TRUE (shr_request_pop (&cache, 1900, &out, &verdict));
+  ASSERT_TRUE (shr_request_pop (&cache, 1810, &out, &status));
+  EXPECT_EQ (status, SHR_READ_FAILED);
+  ASSERT_TRUE (request ("a", 30, 5, 1900));
+  ASSERT_TRUE (request ("b", 14, 820, 1900));
+  ASSERT_TRUE (shr_request_pop (&cache, 1900, &out, &status));
   EXPECT_STREQ (out.gateway, "b");
-  EXPECT_EQ (verdict, SHR_TOO_OLD);
-  EXPECT_FALSE (shr_request_pop (&cache, 1900, &out, &verdict));
+  EXPECT_EQ (status, SHR_TOO_OLD);
+  EXPECT_FALSE (shr_request_pop (&cache, 1900, &out, &status));
 }
 
-TEST_F (Share, AReadWithoutAnswerIsSaidToAllWhoWait)
+TEST_F (Share, FailedReadIsReportedToAllPendingRequests)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
-  ASSERT_TRUE (ask ("b", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("b", 10, 800, 1000));
   uint64_t after;
   ASSERT_TRUE (shr_read_begin (&cache, 1000, &after));
   shr_read_failed (&cache, false);
   for (int i = 0; i < 2; i++)
     {
-      ASSERT_TRUE (shr_request_pop (&cache, 1600, &out, &verdict));
-      EXPECT_EQ (verdict, SHR_READ_FAILED);
+      ASSERT_TRUE (shr_request_pop (&cache, 1600, &out, &status));
+      EXPECT_EQ (status, SHR_READ_FAILED);
     }
 }
 
-// Heartbeats write every target each 1.2 s. Passed on to all gateways they are
-// most of the bytes; left out from the first one on, an older birth that must
-// be told three times would never be believed.
-TEST_F (Share, HeartbeatsAreNoNewsAfterAWhile)
+// Heartbeats rewrite every target's entry each 1.2 s; forwarded to all
+// gateways they would be most of the traffic. Some must be forwarded, since an
+// older birth time is accepted only after three equal reports.
+TEST_F (Share, RepeatedHeartbeatsAreNotForwarded)
 {
   uint64_t now_ms = 1000;
   uint64_t revision = 10;
   for (int i = 0; i < 20; i++, now_ms += kPauseMs)
     {
       uint64_t known = revision;
-      ASSERT_TRUE (ask ("a", known, kPauseMs, now_ms));
+      ASSERT_TRUE (request ("a", known, kPauseMs, now_ms));
       read (now_ms, { change_of ("servers/i", ++revision, "x") }, revision);
-      ASSERT_TRUE (shr_request_pop (&cache, now_ms, &out, &verdict));
-      EXPECT_EQ (told (known).size (), i < 8 ? 1u : 0u) << i;
+      ASSERT_TRUE (shr_request_pop (&cache, now_ms, &out, &status));
+      EXPECT_EQ (changes_after (known).size (), i < 8 ? 1u : 0u) << i;
     }
-  ASSERT_TRUE (ask ("a", revision, kPauseMs, now_ms));
+  ASSERT_TRUE (request ("a", revision, kPauseMs, now_ms));
   read (now_ms, { change_of ("servers/i", ++revision, "", true) }, revision);
-  EXPECT_EQ (told (revision - 1).size (), 1u) << "it is gone";
+  EXPECT_EQ (changes_after (revision - 1).size (), 1u) << "it is gone";
 }
 
-TEST_F (Share, TooManyChangesAreNotKept)
+TEST_F (Share, TooManyChangesClearTheCache)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
   std::vector<std::string> keys;
   std::vector<shr_change_t> changes;
   for (int i = 0; i <= SHR_MAX_ITEMS; i++)
@@ -210,22 +210,22 @@
   for (const std::string &key : keys)
     changes.push_back (change_of (key.c_str (), 11, "x"));
   read (1000, changes, 11);
-  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &verdict));
-  EXPECT_EQ (verdict, SHR_TOO_OLD);
+  ASSERT_TRUE (shr_request_pop (&cache, 1004, &out, &status));
+  EXPECT_EQ (status, SHR_TOO_OLD);
   EXPECT_EQ (cache.items.len, 0u);
 }
 
-TEST_F (Share, ANewAskTakesThePlaceOfTheOldOne)
+TEST_F (Share, NewRequestReplacesTheOldOne)
 {
-  ASSERT_TRUE (ask ("a", 10, 800, 1000));
-  ASSERT_TRUE (ask ("a", 12, 800, 1001));
+  ASSERT_TRUE (request ("a", 10, 800, 1000));
+  ASSERT_TRUE (request ("a", 12, 800, 1001));
   EXPECT_EQ (cache.request_count, 1u);
   for (int i = 1; i < SHR_MAX_REQUESTS; i++)
-    ASSERT_TRUE (ask (("g" + std::to_string (i)).c_str (), 12, 0, 1002));
-  EXPECT_FALSE (ask ("one too many", 12, 0, 1002));
+    ASSERT_TRUE (request (("g" + std::to_string (i)).c_str (), 12, 0, 1002));
+  EXPECT_FALSE (request ("one too many", 12, 0, 1002));
 }
 
-TEST (Changes, ComeBackAsTheyWerePacked)
+TEST (Changes, UnpackAsTheyWerePacked)
 {
   kb_buf_t packed = {};
   src_change_t first
@@ -245,9 +245,9 @@
   kb_buf_finish (&packed);
 }
 
-// Bytes that are cut anywhere, or name lengths beyond their end, are refused
-// and never read past.
-TEST (Changes, CutBytesAreRefused)
+// Bytes truncated anywhere, or lengths of names beyond the end, are rejected,
+// and nothing beyond the end is read.
+TEST (Changes, TruncatedBytesAreRejected)
 {
   kb_buf_t packed = {};
   src_change_t change
