--- a/src/coordination/alone.c
+++ b/src/coordination/alone.c
@@ -23,11 +23,11 @@
 
 /// @return  Whether no request is starting.
 static bool
-has_no_starting (const aln_gate_t *gate, uint64_t now_ms)
+is_none_starting (const aln_gate_t *gate, uint64_t now_ms)
 {
-  bool has_started_up = gate->first_byte_ms == 0
-                        || now_ms - gate->first_byte_ms >= ALN_STARTUP_MS;
-  return gate->starting == 0 && has_started_up;
+  bool is_last_start_over = gate->first_byte_ms == 0
+                            || now_ms - gate->first_byte_ms >= ALN_STARTUP_MS;
+  return gate->starting == 0 && is_last_start_over;
 }
 
 bool
@@ -35,7 +35,7 @@
 {
   if (aln_is_exclusive (gate, now_ms))
     return false;
-  if (!request->is_alone || has_no_starting (gate, now_ms))
+  if (!request->is_alone || is_none_starting (gate, now_ms))
     return true;
   if (request->waiting_since_ms == 0)
     request->waiting_since_ms = now_ms;
--- a/src/coordination/prefill.c
+++ b/src/coordination/prefill.c
@@ -50,10 +50,11 @@
 double
 pfl_outstanding_tokens (const pfl_prefill_t *prefill, uint64_t now_ms)
 {
-  double read = pce_fraction (&prefill->pace) * prefill->tokens_per_ms
-                * (double)(now_ms - prefill->dispatched_ms);
-  return read < prefill->dispatched_tokens ? prefill->dispatched_tokens - read
-                                           : 0;
+  double processed = pce_fraction (&prefill->pace) * prefill->tokens_per_ms
+                     * (double)(now_ms - prefill->dispatched_ms);
+  return processed < prefill->dispatched_tokens
+             ? prefill->dispatched_tokens - processed
+             : 0;
 }
 
 bool
@@ -83,19 +84,22 @@
 void
 pfl_record_first_event (pfl_prefill_t *prefill, double tokens, double took_ms)
 {
-  pfl_regression_t *line = &prefill->regression;
-  double tokens_deviation = tokens - line->mean_tokens;
-  double ms_deviation = took_ms - line->mean_ms;
-  line->mean_tokens += SAMPLE_WEIGHT * tokens_deviation;
-  line->mean_ms += SAMPLE_WEIGHT * ms_deviation;
-  line->variance = (1 - SAMPLE_WEIGHT)
-                   * (line->variance
-                      + SAMPLE_WEIGHT * tokens_deviation * tokens_deviation);
-  line->covariance
+  pfl_regression_t *regression = &prefill->regression;
+  double tokens_deviation = tokens - regression->mean_tokens;
+  double ms_deviation = took_ms - regression->mean_ms;
+  regression->mean_tokens += SAMPLE_WEIGHT * tokens_deviation;
+  regression->mean_ms += SAMPLE_WEIGHT * ms_deviation;
+  regression->variance
       = (1 - SAMPLE_WEIGHT)
-        * (line->covariance + SAMPLE_WEIGHT * tokens_deviation * ms_deviation);
-  double rate
-      = line->covariance > 0 ? line->variance / line->covariance : MAX_RATE;
+        * (regression->variance
+           + SAMPLE_WEIGHT * tokens_deviation * tokens_deviation);
+  regression->covariance
+      = (1 - SAMPLE_WEIGHT)
+        * (regression->covariance
+           + SAMPLE_WEIGHT * tokens_deviation * ms_deviation);
+  double rate = regression->covariance > 0
+                    ? regression->variance / regression->covariance
+                    : MAX_RATE;
   if (rate < MIN_RATE)
     rate = MIN_RATE;
   if (rate > MAX_RATE)
--- a/src/coordination/share.h
+++ b/src/coordination/share.h
@@ -36,7 +36,7 @@
   kb_slice_t value;
   uint64_t revision;
   uint64_t digest; ///< Of the meaning; a heartbeat does not change it.
-  bool is_gone;
+  bool is_gone;    ///< The key was deleted.
 } shr_change_t;
 
 /// The last change of a key.
@@ -47,7 +47,7 @@
   uint64_t revision; ///< Of the last change that is forwarded.
   uint64_t digest;
   uint32_t repeat_count; ///< In a row with this digest.
-  bool is_gone;
+  bool is_gone;          ///< The key was deleted.
 } shr_item_t;
 
 /// A request of a gateway for changes.
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -144,7 +144,7 @@
       || plk_link_bind (&s->host.link, settings->listen_address, &port, error)
              != KB_OK)
     return NULL;
-  tmr_every (&s->host.timers, &s->watch_timer, TRN_HEARTBEAT_MS,
+  tmr_every (&s->host.timers, &s->heartbeat_timer, TRN_HEARTBEAT_MS,
              check_gateways, s);
   tmr_after (&s->host.timers, &s->poll_timer, 0, scr_poll_engine, s);
   return s;
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -25,9 +25,9 @@
   char name[48];
   uint64_t id; ///< Hash of its name.
   uint64_t incarnation;
-  uint64_t revision;
-  uint64_t versions_known;
-  uint64_t list_stamp; ///< Of the last adapter list sent to it.
+  uint64_t revision;       ///< Of its configuration.
+  uint64_t versions_known; ///< Change count of its adapter versions.
+  uint64_t list_stamp;     ///< Of the last adapter list sent to it.
   uint64_t last_contact_ms;
 } scr_gateway_t;
 
@@ -36,12 +36,12 @@
   hst_host_t host; ///< Must be first: cast from hst_host_t.
   egn_engine_t *engine;
   src_decode_t decode;
-  adm_table_t table;
+  adm_table_t table; ///< Requests, places and adapters.
   ver_table_t versions;
   qrt_table_t quarantine;     ///< Kept for gateways that restart.
   qln_lender_t lender;        ///< Lends workspaces' quotas.
   qln_lender_t target_limits; ///< Lends the limits of plain targets.
-  qof_office_t lender_role;
+  qof_office_t lender_role;   ///< Part of the quotas that it may lend.
   svc_config_t *config;
   kb_buf_t document;
   uint64_t document_received_ms; ///< When the configuration arrived.
@@ -75,8 +75,8 @@
   uint64_t state_sent_ms;
   tmr_sub_t poll_timer;
   tmr_sub_t state_timer;
-  tmr_sub_t watch_timer;
-  tmr_sub_t pace_timer;
+  tmr_sub_t heartbeat_timer;
+  tmr_sub_t queue_timer;
   tmr_sub_t exit_timer;
 };
 
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -172,7 +172,7 @@
         {
         case ADM_DO_NOTHING:
           if (s->table.waiting > 0)
-            tmr_after (&s->host.timers, &s->pace_timer, QUEUE_RETRY_MS,
+            tmr_after (&s->host.timers, &s->queue_timer, QUEUE_RETRY_MS,
                        process_queue_on_timer, s);
           return;
         case ADM_DO_GRANT:
