--- a/src/coordination/claim_owner.c
+++ b/src/coordination/claim_owner.c
@@ -127,8 +127,8 @@
 }
 
 void
-clm_owner_note (clm_owner_t *owner, uint64_t key, uint64_t attempt,
-                clm_state_t state, uint64_t now_ms)
+clm_owner_record_outcome (clm_owner_t *owner, uint64_t key, uint64_t attempt,
+                          clm_state_t state, uint64_t now_ms)
 {
   clm_record_t *record = kb_map_get (&owner->records, key);
   // A late note about an attempt that was voided and replaced must not touch
@@ -164,7 +164,7 @@
 
 /// How much a state tells; a merge keeps the most certain one.
 static int
-state_rank (clm_state_t state)
+state_certainty (clm_state_t state)
 {
   switch (state)
     {
@@ -191,19 +191,19 @@
       known = kb_alloc (sizeof *known);
       kb_map_put (&owner->records, record->key, known);
     }
-  else if (state_rank (known->state) >= state_rank (record->state))
+  else if (state_certainty (known->state) >= state_certainty (record->state))
     return;
   *known = *record;
   known->changed_ms = now_ms;
 }
 
 void
-clm_owner_end_rebuild (clm_owner_t *owner, uint32_t shard, bool is_whole,
+clm_owner_end_rebuild (clm_owner_t *owner, uint32_t shard, bool is_complete,
                        uint64_t now_ms)
 {
   clm_shard_t *s = &owner->shards[shard];
   s->state = CLM_SHARD_READY;
-  s->uncertain_until_ms = is_whole ? 0 : now_ms + owner->window_ms;
+  s->uncertain_until_ms = is_complete ? 0 : now_ms + owner->window_ms;
 }
 
 static clm_record_t *
@@ -233,7 +233,7 @@
 /// A granted claim may still run until its deadline, which is at most one
 /// window, and is then remembered for one more.
 static uint64_t
-record_life_ms (const clm_owner_t *owner, const clm_record_t *record)
+record_ttl_ms (const clm_owner_t *owner, const clm_record_t *record)
 {
   return record->state == CLM_GRANTED ? 2 * owner->window_ms
                                       : owner->window_ms;
@@ -247,7 +247,7 @@
   uint32_t at = 0;
   clm_record_t *record;
   while ((record = kb_map_next (&owner->records, &at)) != NULL)
-    if (now_ms - record->changed_ms > record_life_ms (owner, record))
+    if (now_ms - record->changed_ms > record_ttl_ms (owner, record))
       {
         if ((count & 255) == 0)
           old = kb_realloc (old, (count + 256) * sizeof *old);
--- a/src/coordination/claim_owner.h
+++ b/src/coordination/claim_owner.h
@@ -54,8 +54,9 @@
 clm_answer_t clm_owner_claim (clm_owner_t *owner, const clm_claim_t *claim,
                               uint64_t now_ms);
 /// An attempt ended, or its runner was lost (CLM_UNKNOWN).
-void clm_owner_note (clm_owner_t *owner, uint64_t key, uint64_t attempt,
-                     clm_state_t state, uint64_t now_ms);
+void clm_owner_record_outcome (clm_owner_t *owner, uint64_t key,
+                               uint64_t attempt, clm_state_t state,
+                               uint64_t now_ms);
 /// Every granted claim at a lost runner becomes unknown.
 void clm_owner_runner_lost (clm_owner_t *owner, uint64_t runner,
                             uint64_t incarnation, uint64_t now_ms);
@@ -66,9 +67,9 @@
 void clm_owner_merge (clm_owner_t *owner, const clm_record_t *record,
                       uint64_t now_ms);
 /// All records are in.
-/// @param is_whole  Whether every memory of the window took part.
-void clm_owner_end_rebuild (clm_owner_t *owner, uint32_t shard, bool is_whole,
-                            uint64_t now_ms);
+/// @param is_complete  Whether every memory of the window took part.
+void clm_owner_end_rebuild (clm_owner_t *owner, uint32_t shard,
+                            bool is_complete, uint64_t now_ms);
 /// Give a shard up: it stops answering, and its records are appended.
 void clm_owner_release_shard (clm_owner_t *owner, uint32_t shard,
                               kb_buf_t *records);
--- a/src/coordination/claim_runner.c
+++ b/src/coordination/claim_runner.c
@@ -100,8 +100,8 @@
 }
 
 void
-clm_runner_note (clm_runner_t *runner, uint64_t attempt, clm_run_state_t state,
-                 uint64_t now_ms)
+clm_runner_set_state (clm_runner_t *runner, uint64_t attempt,
+                      clm_run_state_t state, uint64_t now_ms)
 {
   clm_run_t *run = clm_runner_find (runner, attempt);
   if (run == NULL)
--- a/src/coordination/claim_runner.h
+++ b/src/coordination/claim_runner.h
@@ -64,8 +64,8 @@
 /// An admitted attempt changes its state. Every attempt is remembered for the
 /// window after its end, keyed or not: forgetting a finished one would let a
 /// later revocation call it void, and it would run again elsewhere.
-void clm_runner_note (clm_runner_t *runner, uint64_t attempt,
-                      clm_run_state_t state, uint64_t now_ms);
+void clm_runner_set_state (clm_runner_t *runner, uint64_t attempt,
+                           clm_run_state_t state, uint64_t now_ms);
 /// Revoke an attempt. One that is unknown becomes void: it can not start any
 /// more, even when its message arrives later. One that waits here is left to
 /// wait: two senders of one key would otherwise void each other in turn.
--- a/src/coordination/member.c
+++ b/src/coordination/member.c
@@ -4,26 +4,26 @@
 mem_vm_state (const mem_vm_t *vm, const mem_options_t *options,
               uint64_t now_ms)
 {
-  bool is_silent = vm->says == MEM_SAYS_NOTHING
+  bool is_silent = vm->reported == MEM_REPORTED_NONE
                    || (vm->pinged_ms != 0
                        && now_ms - vm->pinged_ms > options->silence_ms);
   if (is_silent)
     {
       bool is_gone = vm->listed == MEM_LISTED_ABSENT && vm->absent_ms != 0
                      && now_ms - vm->absent_ms > options->gone_after_ms
-                     && now_ms - vm->heard_ms > options->gone_after_ms;
+                     && now_ms - vm->last_message_ms > options->gone_after_ms;
       return is_gone ? MEM_GONE : MEM_DOWN;
     }
   // The list lags in both directions. A VM that it calls leaving gets no new
   // work even while it answers; one that it lacks but that answers is used,
   // since its own word is newer than the list.
-  if (vm->listed == MEM_LISTED_LEAVING || vm->says == MEM_SAYS_LEAVING)
+  if (vm->listed == MEM_LISTED_LEAVING || vm->reported == MEM_REPORTED_LEAVING)
     return MEM_LEAVING;
   return MEM_UP;
 }
 
 void
-mem_vm_note_listed (mem_vm_t *vm, mem_listed_t listed, uint64_t now_ms)
+mem_vm_set_listed (mem_vm_t *vm, mem_listed_t listed, uint64_t now_ms)
 {
   vm->listed = listed;
   if (listed != MEM_LISTED_ABSENT)
@@ -33,27 +33,27 @@
 }
 
 void
-mem_vm_note_heard (mem_vm_t *vm, mem_says_t says, uint64_t now_ms)
+mem_vm_record_message (mem_vm_t *vm, mem_reported_t reported, uint64_t now_ms)
 {
-  vm->heard_ms = now_ms;
+  vm->last_message_ms = now_ms;
   vm->pinged_ms = 0;
-  if (says != MEM_SAYS_NOTHING)
-    vm->says = says;
+  if (reported != MEM_REPORTED_NONE)
+    vm->reported = reported;
 }
 
 bool
-mem_vm_note_hello (mem_vm_t *vm, uint64_t incarnation, mem_says_t says,
-                   uint64_t now_ms)
+mem_vm_record_hello (mem_vm_t *vm, uint64_t incarnation,
+                     mem_reported_t reported, uint64_t now_ms)
 {
-  mem_vm_note_heard (vm, says, now_ms);
+  mem_vm_record_message (vm, reported, now_ms);
   bool is_new = vm->incarnation != incarnation;
   vm->incarnation = incarnation;
   return is_new;
 }
 
 void
-mem_vm_note_disconnect (mem_vm_t *vm)
+mem_vm_record_disconnect (mem_vm_t *vm)
 {
-  vm->says = MEM_SAYS_NOTHING;
+  vm->reported = MEM_REPORTED_NONE;
   vm->pinged_ms = 0;
 }
--- a/src/coordination/member.h
+++ b/src/coordination/member.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/// What the platform's list says.
+/// What the platform's list reported.
 typedef enum
 {
   MEM_LISTED_ABSENT,
@@ -15,13 +15,13 @@
   MEM_LISTED_LEAVING,
 } mem_listed_t;
 
-/// What the daemon itself says on its messages.
+/// What the daemon itself reported on its messages.
 typedef enum
 {
-  MEM_SAYS_NOTHING, ///< Never heard, or disconnected since.
-  MEM_SAYS_LIVE,
-  MEM_SAYS_LEAVING,
-} mem_says_t;
+  MEM_REPORTED_NONE, ///< Never heard, or disconnected since.
+  MEM_REPORTED_LIVE,
+  MEM_REPORTED_LEAVING,
+} mem_reported_t;
 
 /// The conclusion.
 typedef enum
@@ -35,11 +35,11 @@
 typedef struct
 {
   mem_listed_t listed;
-  mem_says_t says;
-  uint64_t incarnation; ///< Zero before the first hello.
-  uint64_t heard_ms;    ///< Last message.
-  uint64_t pinged_ms;   ///< Oldest ping without an answer; zero: none.
-  uint64_t absent_ms;   ///< Since when the list lacks it; zero: listed.
+  mem_reported_t reported;
+  uint64_t incarnation;     ///< Zero before the first hello.
+  uint64_t last_message_ms; ///< Last message.
+  uint64_t pinged_ms;       ///< Oldest ping without an answer; zero: none.
+  uint64_t absent_ms;       ///< Since when the list lacks it; zero: listed.
 } mem_vm_t;
 
 typedef struct
@@ -51,11 +51,12 @@
 /// Conclude from all evidence.
 mem_state_t mem_vm_state (const mem_vm_t *vm, const mem_options_t *options,
                           uint64_t now_ms);
-void mem_vm_note_listed (mem_vm_t *vm, mem_listed_t listed, uint64_t now_ms);
+void mem_vm_set_listed (mem_vm_t *vm, mem_listed_t listed, uint64_t now_ms);
 /// @return  True when the incarnation is another one than before.
-bool mem_vm_note_hello (mem_vm_t *vm, uint64_t incarnation, mem_says_t says,
-                        uint64_t now_ms);
-void mem_vm_note_heard (mem_vm_t *vm, mem_says_t says, uint64_t now_ms);
-void mem_vm_note_disconnect (mem_vm_t *vm);
+bool mem_vm_record_hello (mem_vm_t *vm, uint64_t incarnation,
+                          mem_reported_t reported, uint64_t now_ms);
+void mem_vm_record_message (mem_vm_t *vm, mem_reported_t reported,
+                            uint64_t now_ms);
+void mem_vm_record_disconnect (mem_vm_t *vm);
 
 #endif
--- a/src/coordination/quarantine.h
+++ b/src/coordination/quarantine.h
@@ -38,10 +38,10 @@
   QRT_ENDS_HELD = 3,
   /// Ends kept for one request; more than are needed to hold it make the hold
   /// longer.
-  QRT_ENDS_MOST = 6,
-  QRT_ENTRIES_MOST = 256,
+  QRT_MAX_ENDS = 6,
+  QRT_MAX_ENTRIES = 256,
   /// Entries that begin with an end under one caller's send.
-  QRT_ENTRIES_PER_CALLER = 32,
+  QRT_MAX_ENTRIES_PER_CALLER = 32,
   /// Hold after QRT_ENDS_HELD ends, doubled with each further one. Requests
   /// that are not held are forgotten after as long without another end.
   QRT_HOLD_MS = 600000,
@@ -58,18 +58,18 @@
 /// What is known of one request; also the form in which it is passed on.
 typedef struct
 {
-  uint64_t request; ///< Its fingerprint; not zero.
-  uint64_t owner;   ///< Caller of the first end.
-  uint64_t age_ms;  ///< Since the last end, or since it was cleared.
+  uint64_t request;      ///< Its fingerprint; not zero.
+  uint64_t first_caller; ///< Caller of the first end.
+  uint64_t age_ms;       ///< Since the last end, or since it was cleared.
   uint32_t generation;
   uint32_t end_count;
-  qrt_end_t ends[QRT_ENDS_MOST]; ///< Those alone first, then by target.
-} qrt_word_t;
+  qrt_end_t ends[QRT_MAX_ENDS]; ///< Those alone first, then by target.
+} qrt_record_t;
 
 typedef struct
 {
-  qrt_word_t word;
-  uint64_t since_ms; ///< Moment of word.age_ms zero.
+  qrt_record_t record;
+  uint64_t since_ms; ///< Moment of record.age_ms zero.
 } qrt_entry_t;
 
 typedef struct
@@ -90,38 +90,38 @@
 qrt_verdict_t qrt_judge (const qrt_table_t *table, uint64_t request,
                          uint64_t caller, uint64_t now_ms, uint64_t *hold_ms);
 /// @return  Ends that are known of a request.
-uint32_t qrt_ends (const qrt_table_t *table, uint64_t request);
+uint32_t qrt_count_ends (const qrt_table_t *table, uint64_t request);
 /// @return  How much longer it is remembered.
-uint64_t qrt_lasts_ms (const qrt_table_t *table, uint64_t request,
-                       uint64_t now_ms);
+uint64_t qrt_remaining_ms (const qrt_table_t *table, uint64_t request,
+                           uint64_t now_ms);
 /// @return  Whether anything was new.
-bool qrt_note_end (qrt_table_t *table, uint64_t request, const qrt_end_t *end,
-                   uint64_t now_ms);
+bool qrt_add_end (qrt_table_t *table, uint64_t request, const qrt_end_t *end,
+                  uint64_t now_ms);
 /// It was answered whole: the ends before were not its doing, or are over. A
 /// request that is sent all the time is beginning at most targets that end,
 /// and is served between two ends.
 /// @return  Whether others are to know of it.
-bool qrt_note_served (qrt_table_t *table, uint64_t request, uint64_t now_ms);
+bool qrt_mark_served (qrt_table_t *table, uint64_t request, uint64_t now_ms);
 /// Take what another daemon knows.
-/// @param fresh  What was new and all daemons are to know is appended as
+/// @param changed  What was new and all daemons are to know is appended as
 /// words;
 ///               NULL: not wanted.
 /// @return       False: the bytes are no words, and nothing was taken.
-bool qrt_take (qrt_table_t *table, kb_slice_t words, uint64_t now_ms,
-               kb_buf_t *fresh);
+bool qrt_merge (qrt_table_t *table, kb_slice_t words, uint64_t now_ms,
+                kb_buf_t *changed);
 /// Append as words what all daemons are to know: requests with two ends or
 /// more, and what became of them.
 void qrt_pack (const qrt_table_t *table, uint64_t now_ms, kb_buf_t *out);
 /// Append everything as words, for those who join what several know.
 void qrt_pack_all (const qrt_table_t *table, uint64_t now_ms, kb_buf_t *out);
-/// Append the word of one request, if anything is known of it.
+/// Append the record of one request, if anything is known of it.
 void qrt_pack_one (const qrt_table_t *table, uint64_t request, uint64_t now_ms,
                    kb_buf_t *out);
 /// @return  A digest of what all daemons are to know, without ages; zero:
 ///          nothing.
-uint64_t qrt_stamp (const qrt_table_t *table);
+uint64_t qrt_digest (const qrt_table_t *table);
 /// Forget what has lapsed.
-void qrt_lapse (qrt_table_t *table, uint64_t now_ms);
+void qrt_expire (qrt_table_t *table, uint64_t now_ms);
 /// @return  How many requests are held, for one caller or for all.
 uint32_t qrt_count_held (const qrt_table_t *table, uint64_t now_ms);
 
--- a/src/coordination/quota.c
+++ b/src/coordination/quota.c
@@ -7,20 +7,21 @@
 
 /// Part of the tolerance that is lent. The rest is for the moments in which
 /// gateways change from one lender to another, and for those without one.
-static const double LENT_PART = 0.6;
+static const double LENDABLE_FRACTION = 0.6;
 
 double
-quo_allowed (const quo_tolerance_t *tolerance, const quo_limit_t *limit)
+quo_window_allowance (const quo_tolerance_t *tolerance,
+                      const quo_limit_t *limit)
 {
   return limit->rate_per_s * tolerance->window_s + limit->burst;
 }
 
 double
-quo_lent_most (const quo_tolerance_t *tolerance, const quo_limit_t *limit)
+quo_max_lent (const quo_tolerance_t *tolerance, const quo_limit_t *limit)
 {
-  double allowed = quo_allowed (tolerance, limit);
-  return allowed * (1 + LENT_PART * tolerance->overshoot)
-         + LENT_PART * tolerance->slack;
+  double allowed = quo_window_allowance (tolerance, limit);
+  return allowed * (1 + LENDABLE_FRACTION * tolerance->overshoot)
+         + LENDABLE_FRACTION * tolerance->slack;
 }
 
 uint64_t
@@ -36,9 +37,10 @@
 }
 
 double
-quo_beyond_rate (const quo_tolerance_t *tolerance, const quo_limit_t *limit)
+quo_bucket_capacity (const quo_tolerance_t *tolerance,
+                     const quo_limit_t *limit)
 {
-  return quo_lent_most (tolerance, limit)
+  return quo_max_lent (tolerance, limit)
          - limit->rate_per_s * tolerance->window_s;
 }
 
--- a/src/coordination/quota.h
+++ b/src/coordination/quota.h
@@ -25,10 +25,10 @@
 {
   QUO_QUARTERS = 4, ///< Of a window, in which ledgers tell what was lent.
   /// Credit lasts this long at most; longer while a quota is little used.
-  QUO_CREDIT_SHORT_MS = 150,
-  QUO_CREDIT_LONG_MS = 1500,
+  QUO_CREDIT_TTL_MS = 150,
+  QUO_LOW_USE_CREDIT_TTL_MS = 1500,
   /// Below this part of a quota it is little used, and credit lasts long.
-  QUO_LITTLE_PERCENT = 50,
+  QUO_LOW_USE_PERCENT = 50,
   QUO_PERCENT = 100,
 };
 
@@ -54,15 +54,15 @@
 } quo_history_t;
 
 /// @return  What a quota allows in a window.
-double quo_allowed (const quo_tolerance_t *tolerance,
-                    const quo_limit_t *limit);
+double quo_window_allowance (const quo_tolerance_t *tolerance,
+                             const quo_limit_t *limit);
 /// @return  What is lent in a window: a part of the tolerance makes good that
 ///          some credit lapses unspent.
-double quo_lent_most (const quo_tolerance_t *tolerance,
-                      const quo_limit_t *limit);
+double quo_max_lent (const quo_tolerance_t *tolerance,
+                     const quo_limit_t *limit);
 /// @return  What of that may be lent beyond the rate at one time.
-double quo_beyond_rate (const quo_tolerance_t *tolerance,
-                        const quo_limit_t *limit);
+double quo_bucket_capacity (const quo_tolerance_t *tolerance,
+                            const quo_limit_t *limit);
 uint64_t quo_window_ms (const quo_tolerance_t *tolerance);
 uint64_t quo_quarter_ms (const quo_tolerance_t *tolerance);
 double quo_history_sum (const quo_history_t *history);
--- a/src/coordination/quota_level.c
+++ b/src/coordination/quota_level.c
@@ -8,8 +8,8 @@
 double
 qlv_now (const qlv_level_t *level, double rate_per_s, uint64_t now_ms)
 {
-  double fallen = rate_per_s * (double)(now_ms - level->at_ms) / MS_PER_S;
-  return level->level > fallen ? level->level - fallen : 0;
+  double drained = rate_per_s * (double)(now_ms - level->at_ms) / MS_PER_S;
+  return level->level > drained ? level->level - drained : 0;
 }
 
 void
@@ -20,8 +20,8 @@
 }
 
 uint64_t
-qlv_time_to (const qlv_level_t *level, double value, double rate_per_s,
-             uint64_t now_ms)
+qlv_time_to_ms (const qlv_level_t *level, double value, double rate_per_s,
+                uint64_t now_ms)
 {
   double above = qlv_now (level, rate_per_s, now_ms) - value;
   return above > 0 ? (uint64_t)(above * MS_PER_S / rate_per_s) + 1 : 0;
--- a/src/coordination/quota_level.h
+++ b/src/coordination/quota_level.h
@@ -18,7 +18,7 @@
 void qlv_add (qlv_level_t *level, double amount, double rate_per_s,
               uint64_t now_ms);
 /// @return  How long until it has fallen to a value.
-uint64_t qlv_time_to (const qlv_level_t *level, double value,
-                      double rate_per_s, uint64_t now_ms);
+uint64_t qlv_time_to_ms (const qlv_level_t *level, double value,
+                         double rate_per_s, uint64_t now_ms);
 
 #endif
--- a/src/coordination/quota_rank.c
+++ b/src/coordination/quota_rank.c
@@ -1,36 +1,38 @@
 #include "coordination/quota_rank.h"
 
 void
-qrk_init (qrk_rank_t *rank, uint64_t left_ms)
+qrk_init (qrk_ranking_t *rank, uint64_t removed_ms)
 {
-  *rank = (qrk_rank_t){ .changed_ms = left_ms };
+  *rank = (qrk_ranking_t){ .better_seen_ms = removed_ms };
 }
 
 void
-qrk_add (qrk_rank_t *rank, const qrk_place_t *heard, uint64_t now_ms)
+qrk_add (qrk_ranking_t *rank, const qrk_candidate_t *candidate,
+         uint64_t now_ms)
 {
-  if (rank->first.link != 0 && heard->rank <= rank->first.rank)
+  if (rank->first.link != 0 && candidate->rank <= rank->first.rank)
     {
-      if (rank->second.link == 0 || heard->rank > rank->second.rank)
-        rank->second = *heard;
+      if (rank->second.link == 0 || candidate->rank > rank->second.rank)
+        rank->second = *candidate;
       return;
     }
   rank->second = rank->first;
-  rank->first = *heard;
-  if (heard->heard_since_ms == 0)
-    rank->first.heard_since_ms = now_ms;
+  rank->first = *candidate;
+  if (candidate->contact_since_ms == 0)
+    rank->first.contact_since_ms = now_ms;
 }
 
 void
-qrk_note_silent (qrk_rank_t *rank, const qrk_place_t *silent)
+qrk_add_silent (qrk_ranking_t *rank, const qrk_candidate_t *lost)
 {
-  if (silent->rank > rank->first.rank && silent->silent_ms > rank->changed_ms)
-    rank->changed_ms = silent->silent_ms;
+  if (lost->rank > rank->first.rank
+      && lost->contact_lost_ms > rank->better_seen_ms)
+    rank->better_seen_ms = lost->contact_lost_ms;
 }
 
 uint64_t
-qrk_first_since_ms (const qrk_rank_t *rank)
+qrk_first_since_ms (const qrk_ranking_t *rank)
 {
-  uint64_t heard_ms = rank->first.heard_since_ms;
-  return heard_ms > rank->changed_ms ? heard_ms : rank->changed_ms;
+  uint64_t contact_ms = rank->first.contact_since_ms;
+  return contact_ms > rank->better_seen_ms ? contact_ms : rank->better_seen_ms;
 }
--- a/src/coordination/quota_spend.c
+++ b/src/coordination/quota_spend.c
@@ -7,427 +7,443 @@
 {
   MS_PER_S = 1000,
   /// An answer takes some milliseconds, and 200 ms more when a packet is lost.
-  /// Then another ask is sent; the first may still be granted.
-  ASK_AGAIN_MS = 200,
+  /// Then another request is sent; the first may still be granted.
+  RESEND_MS = 200,
   /// Without a lender requests wait this long for one.
-  WAIT_MOST_MS = 600,
+  MAX_WAIT_MS = 600,
   /// A lender that had nothing is not asked again sooner, however little is
-  /// missing: others ask it as well.
-  DRY_LEAST_MS = 60,
+  /// missing: others request it as well.
+  MIN_EXHAUSTED_MS = 60,
   /// However much is missing, others may give it back.
-  DRY_MOST_MS = 400,
-  DEMAND_MS = 1000, ///< Time constant of the demand.
-  /// Asked ahead is what this many requests need at least; fewer ask when they
-  /// come, and little credit lapses unspent.
-  AHEAD_REQUESTS = 3,
+  MAX_EXHAUSTED_MS = 400,
+  DEMAND_DECAY_MS = 1000, ///< Time constant of the demand.
+  /// Asked prefetch_amount is what this many requests need at min_amount;
+  /// fewer request when they come, and little credit lapses unspent.
+  MIN_PREFETCH_REQUESTS = 3,
   IDLE_MS = 60000,
 };
 
-/// Asked ahead is for this part of the time that credit lasts: what callers do
-/// not ask for lapses, and is lost to the others.
-static const double AHEAD_PART = 0.7;
+/// Asked prefetch_amount is for this part of the time that credit lasts: what
+/// callers do not request for lapses, and is lost to the others.
+static const double PREFETCH_FRACTION = 0.7;
 /// Credit is asked for when less than this part of what is wanted is left.
-static const double LOW_PART = 0.35;
+static const double LOW_CREDIT_FRACTION = 0.35;
 /// Part of the overshoot that gateways without a lender may use, if all are.
-static const double RESERVE_OVERSHOOT = 0.25;
-static const double RESERVE_SLACK = 0.5;
+static const double RESERVE_OVERSHOOT_FRACTION = 0.25;
+static const double RESERVE_SLACK_FRACTION = 0.5;
 static const double MEAN_WEIGHT = 0.1;
 
 void
-qsp_init (qsp_purse_t *purse, const qsp_events_t *events, void *owner,
-          const qsp_options_t *options, uint64_t now_ms)
+qsp_init (qsp_spender_t *spender, const qsp_callbacks_t *callbacks,
+          void *owner, const qsp_options_t *options, uint64_t now_ms)
 {
-  *purse = (qsp_purse_t){ .events = events,
-                          .owner = owner,
-                          .workspace = options->workspace,
-                          .tolerance = options->tolerance,
-                          .last_id = options->first_id,
-                          .ledger = { .past = options->past },
-                          .born_ms = options->born_ms,
-                          .credit_ms = QUO_CREDIT_SHORT_MS,
-                          .demand_ms = now_ms,
-                          .reserve_ms = now_ms };
+  *spender = (qsp_spender_t){ .callbacks = callbacks,
+                              .owner = owner,
+                              .workspace = options->workspace,
+                              .tolerance = options->tolerance,
+                              .last_id = options->first_id,
+                              .ledger = { .prior = options->prior },
+                              .started_ms = options->started_ms,
+                              .credit_ms = QUO_CREDIT_TTL_MS,
+                              .demand_ms = now_ms,
+                              .reserve_ms = now_ms };
 }
 
 void
-qsp_set_limit (qsp_purse_t *purse, const quo_limit_t *limit, uint64_t revision)
+qsp_set_limit (qsp_spender_t *spender, const quo_limit_t *limit,
+               uint64_t revision)
 {
-  if (revision <= purse->revision)
+  if (revision <= spender->revision)
     return;
-  purse->revision = revision;
-  purse->limit = *limit;
+  spender->revision = revision;
+  spender->limit = *limit;
 }
 
 void
-qsp_set_reach (qsp_purse_t *purse, double reach)
+qsp_set_reach (qsp_spender_t *spender, double reach)
 {
-  purse->reach = reach;
+  spender->reach = reach;
 }
 
 /// What is left of the demand that was noted last.
 static double
-demand_at (const qsp_purse_t *purse, uint64_t now_ms)
+current_demand (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  double passed_ms = (double)(now_ms - purse->demand_ms);
-  double kept = passed_ms < DEMAND_MS ? 1 - passed_ms / DEMAND_MS : 0;
-  return purse->demand_per_s * kept;
+  double passed_ms = (double)(now_ms - spender->demand_ms);
+  double kept
+      = passed_ms < DEMAND_DECAY_MS ? 1 - passed_ms / DEMAND_DECAY_MS : 0;
+  return spender->demand_per_s * kept;
 }
 
 static void
-note_demand (qsp_purse_t *purse, double amount, uint64_t now_ms)
+record_demand (qsp_spender_t *spender, double amount, uint64_t now_ms)
 {
-  purse->demand_per_s
-      = demand_at (purse, now_ms) + amount * MS_PER_S / DEMAND_MS;
-  purse->demand_ms = now_ms;
-  if (purse->mean_request == 0)
-    purse->mean_request = amount;
-  purse->mean_request += MEAN_WEIGHT * (amount - purse->mean_request);
+  spender->demand_per_s
+      = current_demand (spender, now_ms) + amount * MS_PER_S / DEMAND_DECAY_MS;
+  spender->demand_ms = now_ms;
+  if (spender->mean_request == 0)
+    spender->mean_request = amount;
+  spender->mean_request += MEAN_WEIGHT * (amount - spender->mean_request);
 }
 
 static void
-drop_lapsed (qsp_purse_t *purse, uint64_t now_ms)
+drop_expired (qsp_spender_t *spender, uint64_t now_ms)
 {
   uint32_t kept = 0;
-  for (uint32_t i = 0; i < purse->lot_count; i++)
+  for (uint32_t i = 0; i < spender->credit_count; i++)
     {
-      const qsp_lot_t *lot = &purse->lots[i];
-      if (lot->until_ms > now_ms)
-        purse->lots[kept++] = *lot;
+      const qsp_credit_t *credit = &spender->credits[i];
+      if (credit->until_ms > now_ms)
+        spender->credits[kept++] = *credit;
       else
-        purse->unspent += lot->amount;
+        spender->unspent += credit->amount;
     }
-  purse->lot_count = kept;
+  spender->credit_count = kept;
 }
 
 double
-qsp_credit (const qsp_purse_t *purse, uint64_t now_ms)
+qsp_credit_left (const qsp_spender_t *spender, uint64_t now_ms)
 {
   double sum = 0;
-  for (uint32_t i = 0; i < purse->lot_count; i++)
-    if (purse->lots[i].until_ms > now_ms)
-      sum += purse->lots[i].amount;
+  for (uint32_t i = 0; i < spender->credit_count; i++)
+    if (spender->credits[i].until_ms > now_ms)
+      sum += spender->credits[i].amount;
   return sum;
 }
 
 static void
-spend (qsp_purse_t *purse, double amount)
+spend (qsp_spender_t *spender, double amount)
 {
-  for (uint32_t i = 0; i < purse->lot_count && amount > 0; i++)
+  for (uint32_t i = 0; i < spender->credit_count && amount > 0; i++)
     {
-      qsp_lot_t *lot = &purse->lots[i];
-      double part = lot->amount < amount ? lot->amount : amount;
-      lot->amount -= part;
+      qsp_credit_t *credit = &spender->credits[i];
+      double part = credit->amount < amount ? credit->amount : amount;
+      credit->amount -= part;
       amount -= part;
     }
 }
 
-/// Add credit; with no lot free it lapses with the newest one.
+/// Add credit; with no credit free it lapses with the newest one.
 static void
-add_lot (qsp_purse_t *purse, double amount, uint64_t until_ms)
+add_credit (qsp_spender_t *spender, double amount, uint64_t until_ms)
 {
-  if (purse->lot_count == QSP_LOTS)
+  if (spender->credit_count == QSP_MAX_CREDITS)
     {
-      qsp_lot_t *last = &purse->lots[QSP_LOTS - 1];
+      qsp_credit_t *last = &spender->credits[QSP_MAX_CREDITS - 1];
       last->amount += amount;
       if (until_ms < last->until_ms)
         last->until_ms = until_ms;
       return;
     }
-  purse->lots[purse->lot_count++] = (qsp_lot_t){ amount, until_ms };
+  spender->credits[spender->credit_count++]
+      = (qsp_credit_t){ amount, until_ms };
 }
 
 static bool
-take_reserve (qsp_purse_t *purse, double amount, uint64_t now_ms)
+spend_reserve (qsp_spender_t *spender, double amount, uint64_t now_ms)
 {
-  double share = purse->gateways > 0 ? purse->gateways : 1;
-  double rate_per_s = purse->limit.rate_per_s * purse->tolerance.overshoot
-                      * RESERVE_OVERSHOOT / share;
-  double most = purse->tolerance.slack * RESERVE_SLACK / share;
+  double share = spender->gateways > 0 ? spender->gateways : 1;
+  double rate_per_s = spender->limit.rate_per_s * spender->tolerance.overshoot
+                      * RESERVE_OVERSHOOT_FRACTION / share;
+  double most = spender->tolerance.slack * RESERVE_SLACK_FRACTION / share;
   if (most < rate_per_s)
     most = rate_per_s;
-  purse->reserve
-      += rate_per_s * (double)(now_ms - purse->reserve_ms) / MS_PER_S;
-  if (purse->reserve > most)
-    purse->reserve = most;
-  purse->reserve_ms = now_ms;
-  if (purse->reserve < amount)
+  spender->reserve
+      += rate_per_s * (double)(now_ms - spender->reserve_ms) / MS_PER_S;
+  if (spender->reserve > most)
+    spender->reserve = most;
+  spender->reserve_ms = now_ms;
+  if (spender->reserve < amount)
     return false;
-  purse->reserve -= amount;
+  spender->reserve -= amount;
   return true;
 }
 
 static qsp_verdict_t
-take (qsp_purse_t *purse, double amount, uint64_t now_ms)
+try_spend (qsp_spender_t *spender, double amount, uint64_t now_ms)
 {
-  drop_lapsed (purse, now_ms);
-  if (qsp_credit (purse, now_ms) >= amount)
+  drop_expired (spender, now_ms);
+  if (qsp_credit_left (spender, now_ms) >= amount)
     {
-      spend (purse, amount);
-      return QSP_SPENT;
+      spend (spender, amount);
+      return QSP_ADMITTED;
     }
-  if (purse->lender.id == 0)
-    return take_reserve (purse, amount, now_ms) ? QSP_SPENT : QSP_WAITS;
-  return now_ms < purse->dry_until_ms ? QSP_OVER : QSP_WAITS;
+  if (spender->lender.id == 0)
+    return spend_reserve (spender, amount, now_ms) ? QSP_ADMITTED
+                                                   : QSP_WAITING;
+  return now_ms < spender->exhausted_until_ms ? QSP_OVER_QUOTA : QSP_WAITING;
 }
 
 /// What the requests of the time need for which credit lasts.
 static double
-ahead (const qsp_purse_t *purse, uint64_t now_ms)
+prefetch_amount (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  double amount = demand_at (purse, now_ms) * (double)purse->credit_ms
-                  * AHEAD_PART / MS_PER_S;
-  return amount < AHEAD_REQUESTS * purse->mean_request ? 0 : amount;
+  double amount = current_demand (spender, now_ms) * (double)spender->credit_ms
+                  * PREFETCH_FRACTION / MS_PER_S;
+  return amount < MIN_PREFETCH_REQUESTS * spender->mean_request ? 0 : amount;
 }
 
 /// Tell a new lender what the ones before it have lent.
 static void
-introduce (const qsp_purse_t *purse, uint64_t now_ms, qln_ask_t *ask)
+attach_ledger (const qsp_spender_t *spender, uint64_t now_ms,
+               qln_request_t *request)
 {
-  const qsp_ledger_t *ledger = &purse->ledger;
-  ask->past = ledger->past;
-  ask->ledger = (kb_slice_t){ ledger->lines, ledger->len_bytes };
-  ask->ledger_age_ms = now_ms - ledger->at_ms;
+  const qsp_ledger_t *ledger = &spender->ledger;
+  request->prior = ledger->prior;
+  request->ledger = (kb_slice_t){ ledger->lines, ledger->len_bytes };
+  request->ledger_age_ms = now_ms - ledger->at_ms;
 }
 
-/// Ask for what the first waiter lacks, what the others need, and ahead.
+/// Ask for what the first waiter lacks, what the others need, and
+/// prefetch_amount.
 static void
-send_ask (qsp_purse_t *purse, uint64_t now_ms)
-{
-  double credit = qsp_credit (purse, now_ms);
-  double least = purse->first == NULL ? 0 : purse->first->amount - credit;
-  double want = purse->waiting + ahead (purse, now_ms) - credit;
-  if (least < 0)
-    least = 0;
-  if (want < least)
-    want = least;
-  for (int i = QSP_ASKS - 1; i > 0; i--)
-    purse->asks[i] = purse->asks[i - 1];
-  purse->asks[0] = (qsp_ask_t){ ++purse->last_id, now_ms };
-  qln_ask_t ask = { .workspace = purse->workspace,
-                    .revision = purse->revision,
-                    .limit = purse->limit,
-                    .least = least,
-                    .want = want,
-                    .unspent = purse->unspent,
-                    .life = purse->lender.life,
-                    .uptime_ms = now_ms - purse->born_ms,
-                    .reach = purse->reach,
-                    .since_ms = now_ms - purse->lender_since_ms };
-  purse->unspent = 0;
-  if (!purse->is_introduced)
-    introduce (purse, now_ms, &ask);
-  purse->events->ask (purse, purse->asks[0].id, &ask);
+send_request (qsp_spender_t *spender, uint64_t now_ms)
+{
+  double credit = qsp_credit_left (spender, now_ms);
+  double min_amount
+      = spender->first == NULL ? 0 : spender->first->amount - credit;
+  double wanted_amount
+      = spender->waiting_amount + prefetch_amount (spender, now_ms) - credit;
+  if (min_amount < 0)
+    min_amount = 0;
+  if (wanted_amount < min_amount)
+    wanted_amount = min_amount;
+  for (int i = QSP_MAX_REQUESTS - 1; i > 0; i--)
+    spender->sent_requests[i] = spender->sent_requests[i - 1];
+  spender->sent_requests[0] = (qsp_request_t){ ++spender->last_id, now_ms };
+  qln_request_t request
+      = { .workspace = spender->workspace,
+          .revision = spender->revision,
+          .limit = spender->limit,
+          .min_amount = min_amount,
+          .wanted_amount = wanted_amount,
+          .unspent = spender->unspent,
+          .lender_incarnation = spender->lender.incarnation,
+          .uptime_ms = now_ms - spender->started_ms,
+          .reach = spender->reach,
+          .lender_age_ms = now_ms - spender->lender_since_ms };
+  spender->unspent = 0;
+  if (!spender->has_sent_ledger)
+    attach_ledger (spender, now_ms, &request);
+  spender->callbacks->send_request (spender, spender->sent_requests[0].id,
+                                    &request);
 }
 
 static bool
-is_low (const qsp_purse_t *purse, uint64_t now_ms)
+is_low (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  double wanted = ahead (purse, now_ms);
-  return wanted > 0 && qsp_credit (purse, now_ms) < LOW_PART * wanted;
+  double wanted = prefetch_amount (spender, now_ms);
+  return wanted > 0
+         && qsp_credit_left (spender, now_ms) < LOW_CREDIT_FRACTION * wanted;
 }
 
-/// Whether an answer to the newest ask may be on its way.
+/// Whether an answer to the newest request may be on its way.
 static bool
-is_answer_due (const qsp_purse_t *purse, uint64_t now_ms)
+is_grant_pending (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  return purse->asks[0].id != 0
-         && now_ms - purse->asks[0].sent_ms < ASK_AGAIN_MS;
+  return spender->sent_requests[0].id != 0
+         && now_ms - spender->sent_requests[0].sent_ms < RESEND_MS;
 }
 
 static void
-ask_if_due (qsp_purse_t *purse, uint64_t now_ms)
+request_if_due (qsp_spender_t *spender, uint64_t now_ms)
 {
-  if (purse->lender.id == 0 || now_ms < purse->dry_until_ms
-      || now_ms < purse->ask_from_ms || is_answer_due (purse, now_ms))
+  if (spender->lender.id == 0 || now_ms < spender->exhausted_until_ms
+      || now_ms < spender->next_request_ms
+      || is_grant_pending (spender, now_ms))
     return;
-  if (purse->first != NULL || is_low (purse, now_ms))
-    send_ask (purse, now_ms);
+  if (spender->first != NULL || is_low (spender, now_ms))
+    send_request (spender, now_ms);
 }
 
 static void
-waiter_add (qsp_purse_t *purse, qsp_waiter_t *waiter)
+waiter_add (qsp_spender_t *spender, qsp_waiter_t *waiter)
 {
-  qsp_waiter_t **at = &purse->first;
+  qsp_waiter_t **at = &spender->first;
   while (*at != NULL)
     at = &(*at)->next;
   waiter->next = NULL;
   waiter->is_waiting = true;
-  purse->waiting += waiter->amount;
+  spender->waiting_amount += waiter->amount;
   *at = waiter;
 }
 
 void
-qsp_leave (qsp_purse_t *purse, qsp_waiter_t *waiter)
+qsp_cancel (qsp_spender_t *spender, qsp_waiter_t *waiter)
 {
   if (!waiter->is_waiting)
     return;
-  qsp_waiter_t **at = &purse->first;
+  qsp_waiter_t **at = &spender->first;
   while (*at != waiter)
     at = &(*at)->next;
   *at = waiter->next;
   waiter->is_waiting = false;
-  purse->waiting = purse->first == NULL ? 0 : purse->waiting - waiter->amount;
+  spender->waiting_amount
+      = spender->first == NULL ? 0 : spender->waiting_amount - waiter->amount;
 }
 
 static void
-decide (qsp_purse_t *purse, qsp_verdict_t verdict)
+decide (qsp_spender_t *spender, qsp_verdict_t verdict)
 {
-  qsp_waiter_t *waiter = purse->first;
-  qsp_leave (purse, waiter);
-  purse->events->decided (purse, waiter, verdict);
+  qsp_waiter_t *waiter = spender->first;
+  qsp_cancel (spender, waiter);
+  spender->callbacks->decided (spender, waiter, verdict);
 }
 
 static void
-serve (qsp_purse_t *purse, uint64_t now_ms)
+serve_waiters (qsp_spender_t *spender, uint64_t now_ms)
 {
-  while (purse->first != NULL)
+  while (spender->first != NULL)
     {
-      qsp_verdict_t verdict = take (purse, purse->first->amount, now_ms);
-      if (verdict == QSP_WAITS)
+      qsp_verdict_t verdict
+          = try_spend (spender, spender->first->amount, now_ms);
+      if (verdict == QSP_WAITING)
         break;
-      decide (purse, verdict);
+      decide (spender, verdict);
     }
-  ask_if_due (purse, now_ms);
+  request_if_due (spender, now_ms);
 }
 
 static bool
 is_same_lender (const qsp_lender_t *a, const qsp_lender_t *b)
 {
-  return a->id == b->id && a->life == b->life;
+  return a->id == b->id && a->incarnation == b->incarnation;
 }
 
 /// Credit of the lender before is given up: it counts as spent.
 static void
-leave_lender (qsp_purse_t *purse)
+drop_lender_credit (qsp_spender_t *spender)
 {
-  purse->lot_count = 0;
-  purse->unspent = 0;
-  for (int i = 0; i < QSP_ASKS; i++)
-    purse->asks[i].id = 0;
+  spender->credit_count = 0;
+  spender->unspent = 0;
+  for (int i = 0; i < QSP_MAX_REQUESTS; i++)
+    spender->sent_requests[i].id = 0;
 }
 
 static bool
-has_told_ledger (const qsp_purse_t *purse, uint64_t now_ms)
+has_current_ledger (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  return purse->ledger.past == QLN_PAST_TOLD
-         && now_ms - purse->ledger.at_ms < quo_window_ms (&purse->tolerance);
+  return spender->ledger.prior == QLN_PRIOR_LEDGER
+         && now_ms - spender->ledger.at_ms
+                < quo_window_ms (&spender->tolerance);
 }
 
 void
-qsp_set_lender (qsp_purse_t *purse, const qsp_lender_t *lender,
+qsp_set_lender (qsp_spender_t *spender, const qsp_lender_t *lender,
                 uint64_t since_ms, uint32_t gateways, uint64_t now_ms)
 {
-  purse->gateways = gateways;
-  if (is_same_lender (lender, &purse->lender))
+  spender->gateways = gateways;
+  if (is_same_lender (lender, &spender->lender))
     return;
-  leave_lender (purse);
-  purse->lender = *lender;
-  purse->lender_since_ms = since_ms;
-  purse->dry_until_ms = 0;
-  purse->ask_from_ms = 0;
-  purse->is_introduced = false;
+  drop_lender_credit (spender);
+  spender->lender = *lender;
+  spender->lender_since_ms = since_ms;
+  spender->exhausted_until_ms = 0;
+  spender->next_request_ms = 0;
+  spender->has_sent_ledger = false;
   // A lender is to know at once what was lent, also if nothing more will be.
-  if (lender->id != 0 && has_told_ledger (purse, now_ms))
-    send_ask (purse, now_ms);
+  if (lender->id != 0 && has_current_ledger (spender, now_ms))
+    send_request (spender, now_ms);
 }
 
 qsp_verdict_t
-qsp_enter (qsp_purse_t *purse, qsp_waiter_t *waiter, double amount,
+qsp_admit (qsp_spender_t *spender, qsp_waiter_t *waiter, double amount,
            uint64_t now_ms)
 {
-  if (amount > quo_lent_most (&purse->tolerance, &purse->limit))
-    return QSP_OVER; // Never lent; an ask would hold others up.
-  note_demand (purse, amount, now_ms);
+  if (amount > quo_max_lent (&spender->tolerance, &spender->limit))
+    return QSP_OVER_QUOTA; // Never lent; an request would hold others up.
+  record_demand (spender, amount, now_ms);
   // Those that wait were first.
-  qsp_verdict_t verdict
-      = purse->first == NULL ? take (purse, amount, now_ms) : QSP_WAITS;
-  if (verdict == QSP_WAITS)
+  qsp_verdict_t verdict = spender->first == NULL
+                              ? try_spend (spender, amount, now_ms)
+                              : QSP_WAITING;
+  if (verdict == QSP_WAITING)
     {
       waiter->amount = amount;
       waiter->since_ms = now_ms;
-      waiter_add (purse, waiter);
+      waiter_add (spender, waiter);
     }
-  ask_if_due (purse, now_ms);
+  request_if_due (spender, now_ms);
   return verdict;
 }
 
 void
-qsp_give_back (qsp_purse_t *purse, double amount, uint64_t taken_ms)
+qsp_return_credit (qsp_spender_t *spender, double amount, uint64_t admitted_ms)
 {
   // Another lender does not know of it.
-  if (taken_ms >= purse->lender_since_ms)
-    purse->unspent += amount;
+  if (admitted_ms >= spender->lender_since_ms)
+    spender->unspent += amount;
 }
 
 static void
-note_dry (qsp_purse_t *purse, uint64_t wait_ms, uint64_t now_ms)
+set_exhausted (qsp_spender_t *spender, uint64_t wait_ms, uint64_t now_ms)
 {
-  purse->fits_ms = now_ms + wait_ms;
-  if (wait_ms < DRY_LEAST_MS)
-    wait_ms = DRY_LEAST_MS;
-  if (wait_ms > DRY_MOST_MS)
-    wait_ms = DRY_MOST_MS;
-  purse->dry_until_ms = now_ms + wait_ms;
+  spender->available_ms = now_ms + wait_ms;
+  if (wait_ms < MIN_EXHAUSTED_MS)
+    wait_ms = MIN_EXHAUSTED_MS;
+  if (wait_ms > MAX_EXHAUSTED_MS)
+    wait_ms = MAX_EXHAUSTED_MS;
+  spender->exhausted_until_ms = now_ms + wait_ms;
 }
 
 static void
-keep_ledger (qsp_purse_t *purse, kb_slice_t lines, uint64_t now_ms)
+store_ledger (qsp_spender_t *spender, kb_slice_t lines, uint64_t now_ms)
 {
-  if (!qlg_is_sound (lines))
+  if (!qlg_is_valid (lines))
     return;
-  qsp_ledger_t *ledger = &purse->ledger;
-  ledger->past = QLN_PAST_TOLD;
+  qsp_ledger_t *ledger = &spender->ledger;
+  ledger->prior = QLN_PRIOR_LEDGER;
   ledger->at_ms = now_ms;
   ledger->len_bytes = lines.len_bytes;
   memcpy (ledger->lines, lines.ptr, lines.len_bytes);
 }
 
 void
-qsp_take_grant (qsp_purse_t *purse, uint64_t id, const qln_grant_t *grant,
-                kb_slice_t ledger, uint64_t now_ms)
+qsp_apply_grant (qsp_spender_t *spender, uint64_t id, const qln_grant_t *grant,
+                 kb_slice_t ledger, uint64_t now_ms)
 {
   int at = 0;
-  while (at < QSP_ASKS && purse->asks[at].id != id)
+  while (at < QSP_MAX_REQUESTS && spender->sent_requests[at].id != id)
     at++;
-  if (id == 0 || at == QSP_ASKS)
+  if (id == 0 || at == QSP_MAX_REQUESTS)
     return;
-  purse->asks[at].id = 0;
+  spender->sent_requests[at].id = 0;
   if (!grant->is_refused)
     {
-      purse->is_introduced = true;
-      keep_ledger (purse, ledger, now_ms);
+      spender->has_sent_ledger = true;
+      store_ledger (spender, ledger, now_ms);
     }
-  purse->credit_ms = grant->lasts_ms;
-  drop_lapsed (purse, now_ms);
-  uint64_t until_ms = purse->asks[at].sent_ms + grant->lasts_ms;
+  spender->credit_ms = grant->lasts_ms;
+  drop_expired (spender, now_ms);
+  uint64_t until_ms = spender->sent_requests[at].sent_ms + grant->lasts_ms;
   if (until_ms <= now_ms)
-    purse->unspent += grant->granted;
+    spender->unspent += grant->granted;
   else if (grant->granted > 0)
-    add_lot (purse, grant->granted, until_ms);
+    add_credit (spender, grant->granted, until_ms);
   if (grant->is_pause)
-    purse->ask_from_ms = now_ms + grant->wait_ms;
+    spender->next_request_ms = now_ms + grant->wait_ms;
   else if (grant->wait_ms > 0)
-    note_dry (purse, grant->wait_ms, now_ms);
-  serve (purse, now_ms);
+    set_exhausted (spender, grant->wait_ms, now_ms);
+  serve_waiters (spender, now_ms);
 }
 
 void
-qsp_tick (qsp_purse_t *purse, uint64_t now_ms)
+qsp_tick (qsp_spender_t *spender, uint64_t now_ms)
 {
-  while (purse->first != NULL
-         && now_ms - purse->first->since_ms >= WAIT_MOST_MS)
-    decide (purse, QSP_UNKNOWN);
-  serve (purse, now_ms);
+  while (spender->first != NULL
+         && now_ms - spender->first->since_ms >= MAX_WAIT_MS)
+    decide (spender, QSP_NO_LENDER);
+  serve_waiters (spender, now_ms);
 }
 
 uint64_t
-qsp_wait_ms (const qsp_purse_t *purse, uint64_t now_ms)
+qsp_wait_ms (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  return purse->fits_ms > now_ms ? purse->fits_ms - now_ms : 0;
+  return spender->available_ms > now_ms ? spender->available_ms - now_ms : 0;
 }
 
 bool
-qsp_is_idle (const qsp_purse_t *purse, uint64_t now_ms)
+qsp_is_idle (const qsp_spender_t *spender, uint64_t now_ms)
 {
-  return purse->first == NULL && now_ms - purse->demand_ms > IDLE_MS;
+  return spender->first == NULL && now_ms - spender->demand_ms > IDLE_MS;
 }
--- a/src/coordination/quota_window.c
+++ b/src/coordination/quota_window.c
@@ -13,7 +13,7 @@
 
 /// Number of the oldest slot that counts at a moment.
 static uint64_t
-oldest_of (const qwn_window_t *window, uint64_t now_ms)
+oldest_counted_slot (const qwn_window_t *window, uint64_t now_ms)
 {
   uint64_t now = slot_of (window, now_ms);
   return now > QWN_WINDOW_SLOTS ? now - QWN_WINDOW_SLOTS : 0;
@@ -40,7 +40,7 @@
 }
 
 static void
-keep_up (qwn_window_t *window, uint64_t now_ms)
+advance_to_now (qwn_window_t *window, uint64_t now_ms)
 {
   uint64_t now = slot_of (window, now_ms);
   if (now > window->newest)
@@ -49,7 +49,7 @@
 
 /// The oldest slot that is kept at all.
 static uint64_t
-kept_from (const qwn_window_t *window)
+oldest_kept_slot (const qwn_window_t *window)
 {
   return window->newest >= QWN_SLOTS ? window->newest - QWN_SLOTS + 1 : 0;
 }
@@ -57,24 +57,24 @@
 void
 qwn_add (qwn_window_t *window, double amount, uint64_t at_ms, uint64_t now_ms)
 {
-  keep_up (window, now_ms);
+  advance_to_now (window, now_ms);
   uint64_t slot = slot_of (window, at_ms);
-  uint64_t furthest
+  uint64_t latest
       = slot_of (window, now_ms) + QWN_SLOTS - QWN_WINDOW_SLOTS - 2;
-  if (slot > furthest)
-    slot = furthest;
+  if (slot > latest)
+    slot = latest;
   if (slot > window->newest)
     advance (window, slot);
-  if (slot < kept_from (window))
+  if (slot < oldest_kept_slot (window))
     return;
   window->slots[slot % QWN_SLOTS] += amount;
 }
 
 void
-qwn_scale (qwn_window_t *window, double part)
+qwn_scale (qwn_window_t *window, double factor)
 {
   for (int i = 0; i < QWN_SLOTS; i++)
-    window->slots[i] *= part;
+    window->slots[i] *= factor;
 }
 
 void
@@ -88,25 +88,25 @@
 
 /// The first slot to be looked at.
 static uint64_t
-first_of (const qwn_window_t *window, uint64_t now_ms)
+first_counted_slot (const qwn_window_t *window, uint64_t now_ms)
 {
-  uint64_t oldest = oldest_of (window, now_ms);
-  uint64_t kept = kept_from (window);
+  uint64_t oldest = oldest_counted_slot (window, now_ms);
+  uint64_t kept = oldest_kept_slot (window);
   return oldest > kept ? oldest : kept;
 }
 
 double
 qwn_sum (qwn_window_t *window, uint64_t now_ms)
 {
-  keep_up (window, now_ms);
+  advance_to_now (window, now_ms);
   return qwn_sum_at (window, now_ms);
 }
 
 void
-qwn_take_back (qwn_window_t *window, double amount, uint64_t now_ms)
+qwn_subtract (qwn_window_t *window, double amount, uint64_t now_ms)
 {
-  keep_up (window, now_ms);
-  uint64_t first = first_of (window, now_ms);
+  advance_to_now (window, now_ms);
+  uint64_t first = first_counted_slot (window, now_ms);
   for (uint64_t slot = window->newest; amount > 0; slot--)
     {
       double *used = &window->slots[slot % QWN_SLOTS];
@@ -122,8 +122,8 @@
 qwn_sum_at (const qwn_window_t *window, uint64_t at_ms)
 {
   double sum = 0;
-  for (uint64_t slot = first_of (window, at_ms); slot <= window->newest;
-       slot++)
+  for (uint64_t slot = first_counted_slot (window, at_ms);
+       slot <= window->newest; slot++)
     sum += window->slots[slot % QWN_SLOTS];
   return sum;
 }
@@ -131,10 +131,10 @@
 double
 qwn_sum_before (qwn_window_t *window, uint64_t before_ms, uint64_t now_ms)
 {
-  keep_up (window, now_ms);
+  advance_to_now (window, now_ms);
   uint64_t end = slot_of (window, before_ms);
   double sum = 0;
-  for (uint64_t slot = first_of (window, now_ms);
+  for (uint64_t slot = first_counted_slot (window, now_ms);
        slot <= window->newest && slot < end; slot++)
     sum += window->slots[slot % QWN_SLOTS];
   return sum;
@@ -145,8 +145,8 @@
 {
   *out = (quo_history_t){ 0 };
   uint64_t at = slot_of (window, at_ms);
-  for (uint64_t slot = first_of (window, at_ms); slot <= window->newest;
-       slot++)
+  for (uint64_t slot = first_counted_slot (window, at_ms);
+       slot <= window->newest; slot++)
     {
       uint64_t age = slot < at ? at - slot : 0;
       uint64_t quarter = age * QUO_QUARTERS / QWN_WINDOW_SLOTS;
--- a/src/coordination/quota_window.h
+++ b/src/coordination/quota_window.h
@@ -27,9 +27,9 @@
 /// Count a steady use in all of the window up to now.
 void qwn_add_evenly (qwn_window_t *window, double rate_per_s, uint64_t now_ms);
 /// Count all of it as a part of what it is.
-void qwn_scale (qwn_window_t *window, double part);
+void qwn_scale (qwn_window_t *window, double factor);
 /// Take back what was counted last, as far as it still counts.
-void qwn_take_back (qwn_window_t *window, double amount, uint64_t now_ms);
+void qwn_subtract (qwn_window_t *window, double amount, uint64_t now_ms);
 /// @return  Use that counts now.
 double qwn_sum (qwn_window_t *window, uint64_t now_ms);
 /// @return  What of it would count at another moment, now or later.
--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -43,7 +43,7 @@
 agt_quarantine_tell (agt_agent_t *agent, const agt_peer_t *peer)
 {
   kb_buf_t words = { 0 };
-  qrt_lapse (&agent->quarantine, tmr_now_ms ());
+  qrt_expire (&agent->quarantine, tmr_now_ms ());
   qrt_pack_all (&agent->quarantine, tmr_now_ms (), &words);
   msg_t msg = { .type = MSG_QUARANTINE };
   msg.quarantine.words = kb_buf_slice (&words);
@@ -59,8 +59,8 @@
   qrt_end_t end = { .target = life_hash (agent),
                     .caller = broken->caller,
                     .is_alone = broken->is_alone };
-  return qrt_note_end (&agent->quarantine, broken->request, &end,
-                       tmr_now_ms ());
+  return qrt_add_end (&agent->quarantine, broken->request, &end,
+                      tmr_now_ms ());
 }
 
 void
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -156,8 +156,8 @@
   uint64_t now_us = tmr_now_us ();
   static const clm_run_state_t run_states[]
       = { 0, CLM_RUN_DONE, CLM_RUN_VOIDED, CLM_RUN_FAILED, CLM_RUN_FAILED };
-  clm_runner_note (&agent->claims, r->attempt, run_states[outcome],
-                   tmr_now_ms ());
+  clm_runner_set_state (&agent->claims, r->attempt, run_states[outcome],
+                        tmr_now_ms ());
   msg_t msg = { .type = MSG_END };
   msg.end = (msg_end_t){ .attempt = r->attempt,
                          .seq = r->seq,
@@ -414,7 +414,8 @@
   request_stop_stall (r, now_us);
   sch_note_run (&agent->queue, &r->item, now_us);
   bkp_meter_start (&agent->meter, now_us / 1000);
-  clm_runner_note (&agent->claims, r->attempt, CLM_RUN_STARTED, tmr_now_ms ());
+  clm_runner_set_state (&agent->claims, r->attempt, CLM_RUN_STARTED,
+                        tmr_now_ms ());
   r->started_us = now_us;
   r->begun_ms = 0;
   aln_started (&agent->alone, &r->alone, now_us / 1000);
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -98,7 +98,7 @@
   ent_entry_t *entry = ((dmn_daemon_t *)link->owner)->role_state;
   ent_vm_t *vm = ent_vm_find (entry, from);
   if (vm != NULL)
-    mem_vm_note_heard (&vm->mem, MEM_SAYS_NOTHING, tmr_now_ms ());
+    mem_vm_record_message (&vm->mem, MEM_REPORTED_NONE, tmr_now_ms ());
   switch (msg->type)
     {
     case MSG_HELLO:
@@ -147,7 +147,7 @@
   ent_vm_t *vm = kb_map_get (&entry->vm_of_address, key);
   if (vm == NULL)
     return;
-  mem_vm_note_disconnect (&vm->mem);
+  mem_vm_record_disconnect (&vm->mem);
   ent_vm_update (entry, vm);
   gat_drop_agent (&entry->gate, vm->id);
 }
@@ -185,7 +185,7 @@
   uint64_t now = tmr_now_ms ();
   entry->ticks++;
   ent_members_tick (entry, now);
-  qrt_lapse (&entry->quarantine, now);
+  qrt_expire (&entry->quarantine, now);
   ent_config_tick (entry, now);
   ent_claims_tick (entry, now);
   gate_pump (entry); // Grants whose holders died expire here.
--- a/src/daemon/entry_claims.c
+++ b/src/daemon/entry_claims.c
@@ -56,8 +56,8 @@
   uint64_t attempt = r->attempt != 0 ? r->attempt : r->voided_attempt;
   if (entry->owner.shards[s].state != CLM_SHARD_FOREIGN)
     {
-      clm_owner_note (&entry->owner, r->claim_key, attempt, state,
-                      tmr_now_ms ());
+      clm_owner_record_outcome (&entry->owner, r->claim_key, attempt, state,
+                                tmr_now_ms ());
       return;
     }
   // A lost note costs a question to the runner later, no promise.
@@ -108,8 +108,8 @@
 void
 ent_claims_on_note (ent_entry_t *entry, const msg_claim_note_t *note)
 {
-  clm_owner_note (&entry->owner, note->claim_key, note->attempt,
-                  state_of_outcome (note->outcome), tmr_now_ms ());
+  clm_owner_record_outcome (&entry->owner, note->claim_key, note->attempt,
+                            state_of_outcome (note->outcome), tmr_now_ms ());
 }
 
 void
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -108,10 +108,11 @@
   ent_vm_t *vm = vm_get (entry, from);
   uint64_t now = tmr_now_ms ();
   uint64_t former = vm->mem.incarnation;
-  bool was_silent = vm->mem.says == MEM_SAYS_NOTHING;
-  mem_says_t says
-      = hello->state == MSG_STATE_LEAVING ? MEM_SAYS_LEAVING : MEM_SAYS_LIVE;
-  bool is_new = mem_vm_note_hello (&vm->mem, hello->incarnation, says, now);
+  bool was_silent = vm->mem.reported == MEM_REPORTED_NONE;
+  mem_reported_t says = hello->state == MSG_STATE_LEAVING
+                            ? MEM_REPORTED_LEAVING
+                            : MEM_REPORTED_LIVE;
+  bool is_new = mem_vm_record_hello (&vm->mem, hello->incarnation, says, now);
   vm->is_entry = hello->role == SET_ROLE_ENTRY;
   vm->revision = hello->revision;
   vm->memory_since_wall_ms = hello->memory_since_wall_ms;
@@ -161,10 +162,10 @@
                   (uint32_t)pong->running, (uint32_t)pong->expected_wait_ms,
                   tmr_now_ms ());
   if (pong->state == MSG_STATE_LEAVING)
-    vm->mem.says = MEM_SAYS_LEAVING;
+    vm->mem.reported = MEM_REPORTED_LEAVING;
   // Its target was leaving, and goes on in another life.
-  else if (vm->mem.says == MEM_SAYS_LEAVING)
-    vm->mem.says = MEM_SAYS_LIVE;
+  else if (vm->mem.reported == MEM_REPORTED_LEAVING)
+    vm->mem.reported = MEM_REPORTED_LIVE;
   ent_vm_update (entry, vm);
   ent_config_heard (entry, pong->revision,
                     vm->is_entry ? kb_slice_str (vm->name)
@@ -215,9 +216,9 @@
   vm->is_entry = is_entry;
   if (vm->domain[0] == '\0')
     snprintf (vm->domain, sizeof vm->domain, "%s", listed->failure_domain);
-  mem_vm_note_listed (
-      &vm->mem, listed->is_leaving ? MEM_LISTED_LEAVING : MEM_LISTED_LIVE,
-      tmr_now_ms ());
+  mem_vm_set_listed (&vm->mem,
+                     listed->is_leaving ? MEM_LISTED_LEAVING : MEM_LISTED_LIVE,
+                     tmr_now_ms ());
   if (connects_to (entry, listed, is_entry))
     vm_connect (entry, vm, listed);
   ent_vm_update (entry, vm);
@@ -250,7 +251,7 @@
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
     if (!list_has (vms, count, vm->name))
       {
-        mem_vm_note_listed (&vm->mem, MEM_LISTED_ABSENT, tmr_now_ms ());
+        mem_vm_set_listed (&vm->mem, MEM_LISTED_ABSENT, tmr_now_ms ());
         ent_vm_update (entry, vm);
       }
 }
@@ -287,7 +288,7 @@
   bool is_doubtful = vm->mem.listed == MEM_LISTED_ABSENT;
   uint64_t period
       = vm->inflight > 0 || is_doubtful ? PING_BUSY_MS : PING_IDLE_MS;
-  uint64_t since_heard = now - vm->mem.heard_ms;
+  uint64_t since_heard = now - vm->mem.last_message_ms;
   bool is_due = now - vm->ping_ms >= period
                 && (since_heard >= period || vm->mem.pinged_ms != 0);
   if (!is_due)
@@ -306,9 +307,9 @@
 vm_tick (ent_entry_t *entry, ent_vm_t *vm, uint64_t now)
 {
   ent_vm_update (entry, vm);
-  if (vm->mem.says == MEM_SAYS_NOTHING && vm->is_connecting)
+  if (vm->mem.reported == MEM_REPORTED_NONE && vm->is_connecting)
     vm_say_hello (entry, vm);
-  else if (vm->mem.says != MEM_SAYS_NOTHING)
+  else if (vm->mem.reported != MEM_REPORTED_NONE)
     vm_ping (entry, vm, now);
   if (vm->down_ms == 0 || vm->is_entry || vm->inflight == 0)
     return;
--- a/src/daemon/entry_quarantine.c
+++ b/src/daemon/entry_quarantine.c
@@ -31,7 +31,7 @@
 void
 ent_quarantine_take (ent_entry_t *entry, kb_slice_t words)
 {
-  if (qrt_take (&entry->quarantine, words, tmr_now_ms (), NULL))
+  if (qrt_merge (&entry->quarantine, words, tmr_now_ms (), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "entry",
@@ -41,5 +41,5 @@
 void
 ent_quarantine_note_served (ent_request_t *r)
 {
-  qrt_note_served (&r->entry->quarantine, fingerprint_of (r), tmr_now_ms ());
+  qrt_mark_served (&r->entry->quarantine, fingerprint_of (r), tmr_now_ms ());
 }
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -278,7 +278,7 @@
     r->stage = ENT_SENT;
   if (dmn_send (entry->daemon, r->vm->name, &msg) != KB_OK)
     {
-      mem_vm_note_disconnect (&r->vm->mem);
+      mem_vm_record_disconnect (&r->vm->mem);
       ent_vm_update (entry, r->vm);
       if (r->stage == ENT_FETCHING)
         ent_request_fail (r, HTTP_GATEWAY_TIMEOUT, "unknown",
@@ -472,7 +472,7 @@
                  end->is_resident != 0, (uint32_t)end->demand_permille, now);
   if (end->state == MSG_STATE_LEAVING)
     {
-      vm->mem.says = MEM_SAYS_LEAVING;
+      vm->mem.reported = MEM_REPORTED_LEAVING;
       ent_vm_update (entry, vm);
     }
 }
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -101,7 +101,7 @@
 {
   gtw_gateway_t *gateway = arg;
   gtw_clients_check (gateway);
-  qrt_lapse (&gateway->quarantine, gtw_now_ms (gateway));
+  qrt_expire (&gateway->quarantine, gtw_now_ms (gateway));
   gtw_targets_tick (gateway);
   gtw_quotas_tick (gateway);
   gtw_requests_retry (gateway);
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -175,16 +175,16 @@
 gtw_backpressure_take (gtw_request_t *r)
 {
   if (r->permit.quota == NULL && !r->target->stated.limit.is_limited)
-    return QSP_SPENT;
+    return QSP_ADMITTED;
   if (r->permit.quota == NULL)
     use_quota (r);
   qsp_verdict_t verdict = gtw_quota_take (&r->permit);
   // Another target may take it sooner than a lender is there.
-  if (verdict == QSP_WAITS && !gtw_quota_has_lender (&r->permit))
-    verdict = QSP_UNKNOWN;
+  if (verdict == QSP_WAITING && !gtw_quota_has_lender (&r->permit))
+    verdict = QSP_NO_LENDER;
   uint64_t wait_ms = gtw_quota_wait_ms (&r->permit);
   bool is_sooner = r->limit_wait_ms == 0 || wait_ms < r->limit_wait_ms;
-  if (verdict == QSP_OVER && is_sooner)
+  if (verdict == QSP_OVER_QUOTA && is_sooner)
     r->limit_wait_ms = wait_ms > 0 ? wait_ms : 1;
   return verdict;
 }
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -309,7 +309,7 @@
   uint64_t alone_ms;    ///< When no sidecar was heard last, by the boot clock.
   uint64_t born_ms;     ///< By the boot clock.
   double reach;         ///< Part of the listed sidecars that is heard.
-  qof_peak_t peak;      ///< Of gateways, as sidecars tell it.
+  qgw_peak_t peak;      ///< Of gateways, as sidecars tell it.
   kb_map_t places;      ///< Requests by place id.
   uint64_t next_place;
   gtw_budget_t budgets[GTW_MAX_BUDGETS];
--- a/src/gateway/gateway_keep.c
+++ b/src/gateway/gateway_keep.c
@@ -26,7 +26,7 @@
 {
   uint64_t format;   ///< FORMAT.
   uint64_t ended_ms; ///< Unix time of the last end.
-  qrt_word_t word;
+  qrt_record_t word;
 } record_t;
 
 static void keep_next (gtw_keeps_t *keeps);
@@ -105,10 +105,11 @@
               .value = { (const char *)&value, sizeof value } };
       keeps->writing = request;
       MET_INC ("knapweedbay_records_written_total", "");
-      gateway->source->vtable->keep (
-          gateway->source, &record,
-          qrt_lasts_ms (&gateway->quarantine, request, gtw_now_ms (gateway)),
-          keep_done, keeps);
+      gateway->source->vtable->keep (gateway->source, &record,
+                                     qrt_remaining_ms (&gateway->quarantine,
+                                                       request,
+                                                       gtw_now_ms (gateway)),
+                                     keep_done, keeps);
     }
 }
 
@@ -145,7 +146,7 @@
   kb_slice_t word = { (const char *)&record.word, sizeof record.word };
   is_good
       = is_good && record.format == FORMAT
-        && qrt_take (&gateway->quarantine, word, gtw_now_ms (gateway), NULL);
+        && qrt_merge (&gateway->quarantine, word, gtw_now_ms (gateway), NULL);
   if (is_good)
     return;
   MET_INC ("knapweedbay_entries_ignored_total", "reason=\"record\"");
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -67,7 +67,7 @@
               .engine_count
               = gtw_targets_count (gateway, target->told.service),
               .list_stamp = target->list_stamp,
-              .quarantine_stamp = qrt_stamp (&gateway->quarantine),
+              .quarantine_stamp = qrt_digest (&gateway->quarantine),
               .gateway_peak = gateway->peak.count,
               .gateway_peak_age_ms = tmr_boot_ms () - gateway->peak.seen_ms,
               .limit_milli = limit_milli (limit),
@@ -327,8 +327,8 @@
   target->sidecar_revision = state->revision;
   target->sidecar_versions = state->versions_known;
   target->quarantine_stamp = state->quarantine_stamp;
-  qof_peak_take (&gateway->peak, (uint32_t)state->gateway_peak,
-                 state->gateway_peak_age_ms, tmr_boot_ms ());
+  qgw_peak_merge (&gateway->peak, (uint32_t)state->gateway_peak,
+                  state->gateway_peak_age_ms, tmr_boot_ms ());
   target->condition = (msg_engine_condition_t)state->condition;
   target->slots = (uint32_t)state->slots;
   target->granted = (uint32_t)state->granted;
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -57,7 +57,7 @@
   if (gateway->quarantine.entries.len == 0 && gateway->break_count == 0)
     return false;
   uint64_t request = gtw_request_fingerprint (r, GTW_WIDE);
-  if (qrt_ends (&gateway->quarantine, request) > 0)
+  if (qrt_count_ends (&gateway->quarantine, request) > 0)
     return true;
   for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
     if (gateway->breaks[i].target != 0
@@ -86,7 +86,7 @@
 void
 gtw_quarantine_help (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
-  if (target->quarantine_stamp != qrt_stamp (&gateway->quarantine))
+  if (target->quarantine_stamp != qrt_digest (&gateway->quarantine))
     give_all (gateway, target);
 }
 
@@ -147,7 +147,7 @@
 void
 gtw_quarantine_take (gtw_gateway_t *gateway, kb_slice_t words)
 {
-  if (qrt_take (&gateway->quarantine, words, gtw_now_ms (gateway), NULL))
+  if (qrt_merge (&gateway->quarantine, words, gtw_now_ms (gateway), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "gateway",
@@ -198,11 +198,11 @@
   for (int width = 0; width < GTW_WIDTHS; width++)
     {
       uint64_t request = broken->requests[width];
-      if (!qrt_note_end (&gateway->quarantine, request, &end,
-                         gtw_now_ms (gateway)))
+      if (!qrt_add_end (&gateway->quarantine, request, &end,
+                        gtw_now_ms (gateway)))
         continue;
       is_new = true;
-      uint32_t ends = qrt_ends (&gateway->quarantine, request);
+      uint32_t ends = qrt_count_ends (&gateway->quarantine, request);
       spread (gateway, request, ends >= QRT_ENDS_ALONE);
     }
   if (is_new)
@@ -341,8 +341,8 @@
   for (int width = 0; width < GTW_WIDTHS; width++)
     {
       uint64_t request = gtw_request_fingerprint (r, width);
-      uint32_t ends = qrt_ends (&gateway->quarantine, request);
-      if (qrt_note_served (&gateway->quarantine, request,
+      uint32_t ends = qrt_count_ends (&gateway->quarantine, request);
+      if (qrt_mark_served (&gateway->quarantine, request,
                            gtw_now_ms (gateway)))
         spread (gateway, request, ends >= QRT_ENDS_ALONE);
     }
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -28,13 +28,13 @@
 /// Clocks of two VMs tell nothing to each other: of a target, the age of the
 /// limit is sent.
 static uint64_t
-revision_to_send (const gtw_quota_t *quota, const qln_ask_t *ask)
+revision_to_send (const gtw_quota_t *quota, const qln_request_t *ask)
 {
   return quota->is_of_target ? tmr_boot_ms () - ask->revision : ask->revision;
 }
 
 static void
-send_ask (qsp_purse_t *purse, uint64_t id, const qln_ask_t *ask)
+send_ask (qsp_spender_t *purse, uint64_t id, const qln_request_t *ask)
 {
   gtw_quota_t *quota = (gtw_quota_t *)purse;
   gtw_gateway_t *gateway = quota->gateway;
@@ -47,14 +47,14 @@
                     .revision = revision_to_send (quota, ask),
                     .rate_milli = (uint64_t)(ask->limit.rate_per_s * MILLI),
                     .burst_milli = (uint64_t)(ask->limit.burst * MILLI),
-                    .least_milli = (uint64_t)(ask->least * MILLI),
-                    .want_milli = (uint64_t)(ask->want * MILLI) + 1,
+                    .least_milli = (uint64_t)(ask->min_amount * MILLI),
+                    .want_milli = (uint64_t)(ask->wanted_amount * MILLI) + 1,
                     .unspent_milli = (uint64_t)(ask->unspent * MILLI),
-                    .since_ms = ask->since_ms,
-                    .life = ask->life,
+                    .since_ms = ask->lender_age_ms,
+                    .life = ask->lender_incarnation,
                     .uptime_ms = ask->uptime_ms,
                     .reach_milli = (uint64_t)(ask->reach * MILLI),
-                    .past = ask->past,
+                    .past = ask->prior,
                     .ledger_age_ms = ask->ledger_age_ms,
                     .ledger = ask->ledger,
                     .gateway_peak = gateway->peak.count,
@@ -67,7 +67,8 @@
 }
 
 static void
-note_decided (qsp_purse_t *purse, qsp_waiter_t *waiter, qsp_verdict_t verdict)
+note_decided (qsp_spender_t *purse, qsp_waiter_t *waiter,
+              qsp_verdict_t verdict)
 {
   gtw_gateway_t *gateway = ((gtw_quota_t *)purse)->gateway;
   gtw_charge_t *charge = charge_of (waiter);
@@ -83,7 +84,7 @@
              gateway->on_decided, gateway);
 }
 
-static const qsp_events_t purse_events = { send_ask, note_decided };
+static const qsp_callbacks_t purse_events = { send_ask, note_decided };
 
 gtw_request_t *
 gtw_quota_next_decided (gtw_gateway_t *gateway)
@@ -139,39 +140,39 @@
                            ? bkp_limit_tolerance
                            : tolerance_of (&gateway->host.settings),
           .first_id = gateway->host.incarnation >> 32,
-          .born_ms = gateway->born_ms };
-  options.past
-      = is_young (gateway, &options.tolerance) ? QLN_PAST_LOST : QLN_PAST_NONE;
+          .started_ms = gateway->born_ms };
+  options.prior = is_young (gateway, &options.tolerance) ? QLN_PRIOR_LOST
+                                                         : QLN_PRIOR_NONE;
   qsp_init (&quota->purse, &purse_events, gateway, &options, tmr_boot_ms ());
   kb_map_put (&gateway->quotas, subject->key, quota);
   return quota;
 }
 
-static qrk_place_t
+static qrk_candidate_t
 place_of (const gtw_gateway_t *gateway, const gtw_target_t *target,
           uint64_t workspace)
 {
-  return (qrk_place_t){
+  return (qrk_candidate_t){
     .link = gtw_link_key (kb_slice_str (target->link)),
     .rank = kb_hash (&target->place_key, sizeof target->place_key, workspace),
-    .life = target->incarnation,
-    .heard_since_ms = target->heard_since_ms,
-    .silent_ms = target->unheard_ms,
+    .incarnation = target->incarnation,
+    .contact_since_ms = target->heard_since_ms,
+    .contact_lost_ms = target->unheard_ms,
   };
 }
 
 /// Find who lends and who would be next, of those that are heard.
-static qrk_rank_t
+static qrk_ranking_t
 find_lenders (const gtw_gateway_t *gateway, uint64_t workspace,
               uint64_t now_ms)
 {
-  qrk_rank_t rank;
+  qrk_ranking_t rank;
   qrk_init (&rank, gateway->unlinked_ms);
   uint32_t at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      qrk_place_t place = place_of (gateway, t, workspace);
+      qrk_candidate_t place = place_of (gateway, t, workspace);
       if (t->is_linked && gtw_target_is_heard (gateway, t))
         qrk_add (&rank, &place, now_ms);
     }
@@ -179,10 +180,10 @@
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      if (!t->is_linked || t->unheard_ms <= rank.changed_ms)
+      if (!t->is_linked || t->unheard_ms <= rank.better_seen_ms)
         continue;
-      qrk_place_t place = place_of (gateway, t, workspace);
-      qrk_note_silent (&rank, &place);
+      qrk_candidate_t place = place_of (gateway, t, workspace);
+      qrk_add_silent (&rank, &place);
     }
   return rank;
 }
@@ -200,13 +201,13 @@
 follow_lender (gtw_quota_t *quota, uint64_t now_ms)
 {
   gtw_gateway_t *gateway = quota->gateway;
-  qrk_rank_t rank = find_lenders (gateway, quota->purse.workspace, now_ms);
-  qrk_place_t first = rank.first;
+  qrk_ranking_t rank = find_lenders (gateway, quota->purse.workspace, now_ms);
+  qrk_candidate_t first = rank.first;
   if (now_ms - gateway->alone_ms < SETTLE_MS)
-    first = (qrk_place_t){ 0 };
+    first = (qrk_candidate_t){ 0 };
   uint64_t before = quota->purse.lender.id;
   quota->next = rank.second.link;
-  qsp_lender_t taken = { first.link, first.life };
+  qsp_lender_t taken = { first.link, first.incarnation };
   qsp_set_reach (&quota->purse, gateway->reach);
   qsp_set_lender (&quota->purse, &taken, qrk_first_since_ms (&rank),
                   gateway->peak.count, now_ms);
@@ -239,7 +240,7 @@
     follow_lender (quota, tmr_boot_ms ());
   quota->users++;
   *charge = (gtw_charge_t){
-    .quota = quota, .request = r, .amount = amount, .verdict = QSP_WAITS
+    .quota = quota, .request = r, .amount = amount, .verdict = QSP_WAITING
   };
 }
 
@@ -263,12 +264,12 @@
 gtw_quota_take (gtw_charge_t *charge)
 {
   if (charge->quota == NULL)
-    return QSP_SPENT;
+    return QSP_ADMITTED;
   if (charge->is_asked)
     return charge->verdict;
   charge->is_asked = true;
   charge->taken_ms = tmr_boot_ms ();
-  charge->verdict = qsp_enter (&charge->quota->purse, &charge->waiter,
+  charge->verdict = qsp_admit (&charge->quota->purse, &charge->waiter,
                                charge->amount, charge->taken_ms);
   return charge->verdict;
 }
@@ -298,12 +299,12 @@
   gtw_quota_t *quota = charge->quota;
   if (quota == NULL)
     return;
-  qsp_leave (&quota->purse, &charge->waiter);
+  qsp_cancel (&quota->purse, &charge->waiter);
   if (charge->is_decided)
     forget_decided (quota->gateway, charge);
-  bool is_spent = charge->is_asked && charge->verdict == QSP_SPENT;
+  bool is_spent = charge->is_asked && charge->verdict == QSP_ADMITTED;
   if (is_spent && has_not_run)
-    qsp_give_back (&quota->purse, charge->amount, charge->taken_ms);
+    qsp_return_credit (&quota->purse, charge->amount, charge->taken_ms);
   quota->users--;
   charge->quota = NULL;
 }
@@ -319,8 +320,8 @@
                         .wait_ms = given->wait_ms,
                         .is_pause = given->is_pause != 0,
                         .is_refused = given->is_refused != 0 };
-  qsp_take_grant (&quota->purse, given->id, &grant, given->ledger,
-                  tmr_boot_ms ());
+  qsp_apply_grant (&quota->purse, given->id, &grant, given->ledger,
+                   tmr_boot_ms ());
 }
 
 static void
@@ -398,11 +399,11 @@
   for (const gtw_quota_t *q = kb_map_next (&gateway->quotas, &at); q != NULL;
        q = kb_map_next (&gateway->quotas, &at))
     {
-      const qsp_purse_t *purse = &q->purse;
+      const qsp_spender_t *purse = &q->purse;
       bool is_in_use
           = purse->lender.id != 0 && now_ms - purse->demand_ms < IN_USE_MS;
       if (is_in_use && (is_silent || q->next == link)
-          && out->len_bytes < QOF_WORKSPACES_MOST * sizeof purse->workspace)
+          && out->len_bytes < QGW_MAX_WORKSPACES * sizeof purse->workspace)
         kb_buf_append (out, &purse->workspace, sizeof purse->workspace);
     }
 }
--- a/src/gateway/gateway_quota.h
+++ b/src/gateway/gateway_quota.h
@@ -30,7 +30,7 @@
 /// One quota. Sidecars are named by the keys of their links.
 typedef struct
 {
-  qsp_purse_t purse; ///< First.
+  qsp_spender_t purse; ///< First.
   gtw_gateway_t *gateway;
   char name[GTW_QUOTA_NAME_BYTES];
   bool is_of_target;
@@ -46,7 +46,7 @@
   gtw_request_t *request;
   double amount;
   qsp_waiter_t waiter;
-  qsp_verdict_t verdict; ///< Once it was asked for; QSP_WAITS: not yet.
+  qsp_verdict_t verdict; ///< Once it was asked for; QSP_WAITING: not yet.
   bool is_asked;
   bool is_decided; ///< In the list of requests that wait no longer.
   uint64_t taken_ms;
--- a/src/gateway/gateway_request.c
+++ b/src/gateway/gateway_request.c
@@ -420,15 +420,15 @@
 {
   switch (gtw_quota_take (&r->charge))
     {
-    case QSP_SPENT:
+    case QSP_ADMITTED:
       return true;
-    case QSP_WAITS:
+    case QSP_WAITING:
       r->stage = GTW_BORROWING;
       return false;
-    case QSP_OVER:
+    case QSP_OVER_QUOTA:
       request_refuse_over (r);
       return false;
-    case QSP_UNKNOWN:
+    case QSP_NO_LENDER:
       gtw_request_refuse (r, "quota_unknown", 0);
       return false;
     }
@@ -470,14 +470,14 @@
 {
   switch (gtw_backpressure_take (r))
     {
-    case QSP_SPENT:
+    case QSP_ADMITTED:
       request_begin_plain (r);
       return;
-    case QSP_WAITS:
+    case QSP_WAITING:
       r->stage = GTW_BORROWING;
       return;
-    case QSP_OVER:
-    case QSP_UNKNOWN:
+    case QSP_OVER_QUOTA:
+    case QSP_NO_LENDER:
       break;
     }
   r->reason = "target_limit";
--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -483,7 +483,7 @@
   uint64_t life;          ///< Of the sidecar, as the gateway knows it.
   uint64_t uptime_ms;     ///< Of the gateway.
   uint64_t reach_milli;   ///< Of all sidecars, those that it hears.
-  uint64_t past;          ///< qln_past_t
+  uint64_t past;          ///< qln_prior_t
   uint64_t ledger_age_ms;
   kb_slice_t ledger; ///< Packed, see coordination/quota_ledger.h.
   uint64_t gateway_peak;
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -48,7 +48,7 @@
       adm_owner_gone (&s->table, gateway->id);
       *gateway = s->gateways[--s->gateway_count];
     }
-  qrt_lapse (&s->quarantine, now_ms);
+  qrt_expire (&s->quarantine, now_ms);
   if (now_ms - s->told_ms >= TRN_HEARTBEAT_MS)
     scr_tell_state (s, NULL);
   scr_pump (s);
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -41,7 +41,7 @@
   qrt_table_t quarantine; ///< Kept for gateways that start again.
   qln_lender_t lender;    ///< Of workspaces' quotas.
   qln_lender_t limits;    ///< Lends what plain targets take.
-  qof_office_t office;
+  qgw_table_t office;
   svc_config_t *config;
   kb_buf_t document;
   uint64_t document_ms; ///< When it came.
--- a/src/sidecar/sidecar_quarantine.c
+++ b/src/sidecar/sidecar_quarantine.c
@@ -27,7 +27,7 @@
 scr_quarantine_take (scr_sidecar_t *s, kb_slice_t words)
 {
   kb_buf_t fresh = { 0 };
-  if (!qrt_take (&s->quarantine, words, scr_now_ms (s), &fresh))
+  if (!qrt_merge (&s->quarantine, words, scr_now_ms (s), &fresh))
     {
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
       log_write (LOG_WARN, "sidecar",
@@ -54,7 +54,7 @@
 scr_quarantine_help (scr_sidecar_t *s, const scr_gateway_t *gateway,
                      uint64_t stamp)
 {
-  if (qrt_stamp (&s->quarantine) == stamp || !is_my_turn (s, gateway, stamp))
+  if (qrt_digest (&s->quarantine) == stamp || !is_my_turn (s, gateway, stamp))
     return;
   kb_buf_t words = { 0 };
   qrt_pack (&s->quarantine, scr_now_ms (s), &words);
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -20,8 +20,8 @@
   qln_init (&s->lender, &tolerance, s->host.incarnation, tmr_boot_ms ());
   qln_init (&s->limits, &bkp_limit_tolerance, s->host.incarnation,
             tmr_boot_ms ());
-  s->limits.keeps_to_reach = true;
-  qof_init (&s->office, tmr_boot_ms ());
+  s->limits.is_capped_by_reach = true;
+  qgw_init (&s->office, tmr_boot_ms ());
 }
 
 void
@@ -29,9 +29,10 @@
                       const msg_gateway_state_t *state)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  qof_peak_take (&s->office.peak, (uint32_t)state->gateway_peak,
-                 state->gateway_peak_age_ms, now_ms);
-  if (qof_note_elsewhere (&s->office, gateway, state->lent_elsewhere, now_ms))
+  qgw_peak_merge (&s->office.peak, (uint32_t)state->gateway_peak,
+                  state->gateway_peak_age_ms, now_ms);
+  if (qgw_record_elsewhere (&s->office, gateway, state->lent_elsewhere,
+                            now_ms))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "sidecar",
@@ -62,30 +63,30 @@
   return now_ms > given->revision ? now_ms - given->revision : 0;
 }
 
-static qln_ask_t
+static qln_request_t
 ask_of (scr_sidecar_t *s, uint64_t gateway, const msg_quota_ask_t *given,
         uint64_t now_ms)
 {
-  qof_peak_take (&s->office.peak, (uint32_t)given->gateway_peak,
-                 given->gateway_peak_age_ms, now_ms);
-  uint32_t asker = qof_hear (&s->office, gateway, now_ms);
-  return (qln_ask_t){
+  qgw_peak_merge (&s->office.peak, (uint32_t)given->gateway_peak,
+                  given->gateway_peak_age_ms, now_ms);
+  uint32_t asker = qgw_record_contact (&s->office, gateway, now_ms);
+  return (qln_request_t){
     .workspace = given->subject,
     .revision = revision_of (given, now_ms),
     .limit = { .rate_per_s = (double)given->rate_milli / MILLI,
                .burst = (double)given->burst_milli / MILLI },
-    .least = (double)given->least_milli / MILLI,
-    .want = (double)given->want_milli / MILLI,
+    .min_amount = (double)given->least_milli / MILLI,
+    .wanted_amount = (double)given->want_milli / MILLI,
     .unspent = (double)given->unspent_milli / MILLI,
-    .life = given->life,
-    .since_ms = given->since_ms,
-    .past = (qln_past_t)given->past,
+    .lender_incarnation = given->life,
+    .lender_age_ms = given->since_ms,
+    .prior = (qln_prior_t)given->past,
     .ledger = given->ledger,
     .ledger_age_ms = given->ledger_age_ms,
     .uptime_ms = given->uptime_ms,
     .reach = (double)given->reach_milli / MILLI,
-    .asker = asker,
-    .share = qof_share (&s->office, given->subject, gateway, now_ms),
+    .gateway_number = asker,
+    .share = qgw_share (&s->office, given->subject, gateway, now_ms),
   };
 }
 
@@ -93,8 +94,8 @@
 scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_quota_ask_t *given)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  qln_ask_t ask = ask_of (s, scr_name_id (peer), given, now_ms);
-  if (!qln_ask_is_sound (&ask))
+  qln_request_t ask = ask_of (s, scr_name_id (peer), given, now_ms);
+  if (!qln_request_is_valid (&ask))
     {
       log_refusal (peer, given);
       return;
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_tell.c
@@ -103,7 +103,7 @@
         .start_every_ms = start_every_ms (s),
         .instance = kb_slice_str (s->who.id),
         .born_ms = s->who.born_ms,
-        .quarantine_stamp = qrt_stamp (&s->quarantine),
+        .quarantine_stamp = qrt_digest (&s->quarantine),
         .gateway_peak = s->office.peak.count,
         .gateway_peak_age_ms = tmr_boot_ms () - s->office.peak.seen_ms,
         .list_stamp = kb_hash (adapters.ptr, adapters.len_bytes, 1) | 1 }
--- a/test/model/quota_model_test.cc
+++ b/test/model/quota_model_test.cc
@@ -44,17 +44,17 @@
 }
 
 std::string
-story_of (const QuotaOptions &o)
+describe (const QuotaOptions &o)
 {
-  std::string story = "seed " + std::to_string (o.seed) + "\n";
+  std::string text = "seed " + std::to_string (o.seed) + "\n";
   for (const QuotaEvent &e : o.events)
-    story += std::to_string (e.at_ms) + " " + name_of (e.fault) + " for "
-             + std::to_string (e.for_ms) + " at " + std::to_string (e.which)
-             + "\n";
-  return story;
+    text += std::to_string (e.at_ms) + " " + name_of (e.fault) + " for "
+            + std::to_string (e.for_ms) + " at " + std::to_string (e.which)
+            + "\n";
+  return text;
 }
 
-TEST (QuotaModel, NoWindowHoldsMoreThanTheQuotaAllows)
+TEST (QuotaModel, UseInAnyWindowStaysWithinTheQuota)
 {
   const char *range = getenv ("KB_MODEL_SCHEDULES");
   uint64_t schedules = SCHEDULES;
@@ -66,16 +66,16 @@
       QuotaOptions o = pressed (seed);
       QuotaOutcome out = play_quota (o);
       worst = std::max (worst, out.worst_window);
-      ASSERT_EQ (out.broken, "") << story_of (o);
+      ASSERT_EQ (out.broken, "") << describe (o);
       // It is a quota, not a ban.
-      ASSERT_GT (out.admitted, 0.3 * out.ideal) << story_of (o);
+      ASSERT_GT (out.admitted, 0.3 * out.ideal) << describe (o);
     }
   printf ("worst window %.3f of what is allowed\n", worst);
 }
 
 /// What lies within the quota is let in while nothing is disturbed, and most
 /// of it under faults.
-TEST (QuotaModel, WhatLiesWithinTheQuotaIsLetIn)
+TEST (QuotaModel, DemandWithinTheQuotaIsAdmitted)
 {
   for (uint32_t gateways : { 1u, 20u, 70u })
     for (double load : { 0.2, 0.55, 0.9 })
@@ -89,7 +89,7 @@
 }
 
 /// Each kind of fault, for half of the time.
-TEST (QuotaModel, MostOfWhatLiesWithinTheQuotaIsLetInUnderFaults)
+TEST (QuotaModel, MostDemandWithinTheQuotaIsAdmittedUnderFaults)
 {
   for (int fault = 0; fault < (int)QuotaFault::FAULTS; fault++)
     {
@@ -105,7 +105,7 @@
           QuotaOutcome out = play_quota (o);
           admitted += out.admitted;
           ideal += out.ideal;
-          EXPECT_EQ (out.broken, "") << story_of (o);
+          EXPECT_EQ (out.broken, "") << describe (o);
         }
       EXPECT_GE (admitted, 0.95 * ideal) << name_of ((QuotaFault)fault);
     }
@@ -144,13 +144,13 @@
   QuotaOptions o = pressed (seed);
   o.limit = { per_s, 0 };
   o.tolerance = bkp_limit_tolerance;
-  o.keeps_to_reach = true;
+  o.is_capped_by_reach = true;
   // Each request counts one.
   o.mean_request = 0.25;
   return o;
 }
 
-TEST (QuotaModel, ATargetGetsNoMoreThanItTakesWhateverFails)
+TEST (QuotaModel, ATargetLimitHoldsUnderFaults)
 {
   for (double per_s : { 0.1, 4.0, 40.0 })
     {
@@ -160,14 +160,14 @@
           QuotaOutcome out = play_quota (limited_target (per_s, seed));
           worst = std::max (worst, out.worst_window);
           ASSERT_EQ (out.broken, "")
-              << per_s << " " << story_of (limited_target (per_s, seed));
+              << per_s << " " << describe (limited_target (per_s, seed));
         }
       printf ("%.1f a second: worst window %.3f of what is allowed\n", per_s,
               worst);
     }
 }
 
-TEST (QuotaModel, ATargetGetsMostOfWhatItTakes)
+TEST (QuotaModel, MostOfATargetsLimitIsUsed)
 {
   for (auto [gateways, part] :
        { std::pair (1u, 0.85), { 8u, 0.85 }, { 70u, 0.7 } })
@@ -202,14 +202,14 @@
 }
 
 // A gateway that was stopped wakes and spends what it was lent before.
-TEST (QuotaModel, FindsCreditThatNeverLapses)
+TEST (QuotaModel, FindsCreditThatNeverExpires)
 {
   expect_found (QuotaPlanted::CREDIT_NEVER_LAPSES, 24);
 }
 
 // A lender that restarts, or takes another one's place, lends a whole burst
 // anew.
-TEST (QuotaModel, FindsALenderThatIsToldNothing)
+TEST (QuotaModel, FindsALenderWithoutEarlierLedgers)
 {
   expect_found (QuotaPlanted::NOTHING_IS_TOLD);
 }
--- a/test/unit/claim_test.cc
+++ b/test/unit/claim_test.cc
@@ -79,11 +79,11 @@
   EXPECT_EQ (verdict (make_claim (3, 3, 1)), CLM_VERDICT_HELD);
 }
 
-TEST_F (OwnerTest, LateNoteOfAReplacedAttemptIsIgnored)
+TEST_F (OwnerTest, LateOutcomeOfAReplacedAttemptIsIgnored)
 {
   verdict (make_claim (1, 1));
   verdict (make_claim (2, 2, 1));
-  clm_owner_note (&owner, kKey, 1, CLM_RELEASED, 2);
+  clm_owner_record_outcome (&owner, kKey, 1, CLM_RELEASED, 2);
   EXPECT_EQ (verdict (make_claim (3, 3)), CLM_VERDICT_HELD);
 }
 
@@ -115,7 +115,7 @@
       clm_claim_t claim = make_claim (i + 1, 1);
       claim.key = kKey + i * 2;
       EXPECT_EQ (verdict (claim), CLM_VERDICT_GRANTED);
-      clm_owner_note (&owner, claim.key, i + 1, CLM_DONE, 1);
+      clm_owner_record_outcome (&owner, claim.key, i + 1, CLM_DONE, 1);
     }
   clm_claim_t claim = make_claim (1000, 1);
   claim.key = kKey + 1000;
@@ -172,9 +172,9 @@
 {
   EXPECT_EQ (clm_runner_admit (&runner, 1, 0, 0, 0, 1), CLM_ADMIT_OK);
   EXPECT_EQ (clm_runner_revoke (&runner, 1, 2), CLM_RUN_WAITING);
-  clm_runner_note (&runner, 1, CLM_RUN_STARTED, 3);
+  clm_runner_set_state (&runner, 1, CLM_RUN_STARTED, 3);
   EXPECT_EQ (clm_runner_revoke (&runner, 1, 4), CLM_RUN_STARTED);
-  clm_runner_note (&runner, 1, CLM_RUN_DONE, 5);
+  clm_runner_set_state (&runner, 1, CLM_RUN_DONE, 5);
   EXPECT_EQ (clm_runner_revoke (&runner, 1, 6), CLM_RUN_DONE);
 }
 
@@ -184,7 +184,7 @@
 TEST_F (RunnerTest, FinishedUnkeyedAttemptIsRemembered)
 {
   clm_runner_admit (&runner, 1, 0, 0, 0, 1);
-  clm_runner_note (&runner, 1, CLM_RUN_DONE, 2);
+  clm_runner_set_state (&runner, 1, CLM_RUN_DONE, 2);
   clm_runner_expire (&runner, 2 + kWindow);
   EXPECT_EQ (clm_runner_revoke (&runner, 1, 3), CLM_RUN_DONE);
   clm_runner_expire (&runner, 3 + kWindow);
@@ -212,7 +212,7 @@
   for (uint64_t i = 1; i <= 10; i++)
     {
       clm_runner_admit (&runner, i, kKey + i * 2, 1, 1, 1);
-      clm_runner_note (&runner, i, CLM_RUN_DONE, 1);
+      clm_runner_set_state (&runner, i, CLM_RUN_DONE, 1);
       clm_runner_keep_answer (&runner, i, "text/plain",
                               { answer.data (), (uint32_t)answer.size () });
       EXPECT_LE (runner.answer_bytes, 4000u);
@@ -260,7 +260,7 @@
   kClaiming,
   kDispatched,
   kRevoking,
-  kOver
+  kFinished
 };
 
 /// All of the state but the messages; compared byte by byte.
@@ -282,7 +282,7 @@
   char uncertain[2] = { 0, 0 };
   char map_owner = 0;
   char b_started = 0;
-  char b_heard[2] = { 0, 0 };
+  char b_recovered[2] = { 0, 0 };
   // Runners.
   char inc[2] = { 1, 1 };
   char epoch[2] = { 0, 0 };
@@ -409,7 +409,7 @@
         w.wire.insert ({ 'v', m.to, (char)e, m.extra2, m.epoch, 0, 0 });
       }
     else
-      w.stage[e] = kOver;
+      w.stage[e] = kFinished;
   }
 
   void
@@ -465,7 +465,7 @@
           int e = m.sender;
           if (w.stage[e] != kRevoking || w.holder[e] != m.attempt)
             break;
-          w.stage[e] = kOver;
+          w.stage[e] = kFinished;
           if (m.extra == 'v' && w.tries[e] < 2)
             {
               w.voided[e] = m.attempt;
@@ -477,10 +477,10 @@
 
   /// B asks a runner: it raises the epoch there and tells what ran.
   void
-  rebuild_hear (const World &w, int r)
+  rebuild_from (const World &w, int r)
   {
     World n = w;
-    n.b_heard[r] = 1;
+    n.b_recovered[r] = 1;
     n.epoch[r] = 2;
     if (n.ran[r] != 0)
       {
@@ -501,10 +501,10 @@
         if (w.stage[e] == kIdle && w.tries[e] < 2)
           start (w, e);
         // Giving up: a caller sees "unknown"; nothing is proved.
-        if (w.stage[e] != kOver && w.stage[e] != kIdle)
+        if (w.stage[e] != kFinished && w.stage[e] != kIdle)
           {
             World n = w;
-            n.stage[e] = kOver;
+            n.stage[e] = kFinished;
             next_.push_back (n);
           }
       }
@@ -529,9 +529,9 @@
     if (w.b_started && !w.owner_ready[1])
       {
         for (int r = 0; r < 2; r++)
-          if (!w.b_heard[r])
-            rebuild_hear (w, r);
-        if (w.b_heard[0] && w.b_heard[1])
+          if (!w.b_recovered[r])
+            rebuild_from (w, r);
+        if (w.b_recovered[0] && w.b_recovered[1])
           {
             World n = w;
             n.owner_ready[1] = 1;
@@ -603,7 +603,7 @@
   EXPECT_GT (Explorer (bugs).explore (), 1);
 }
 
-TEST (ClaimExploration, FindsForgetfulRevocation)
+TEST (ClaimExploration, FindsRevocationThatIgnoresARun)
 {
   Bugs bugs;
   bugs.revoke_forgets = true;
--- a/test/unit/quarantine_test.cc
+++ b/test/unit/quarantine_test.cc
@@ -32,7 +32,7 @@
        uint64_t request = kRequest)
   {
     qrt_end_t end = { target, caller, is_alone };
-    return qrt_note_end (&table_, request, &end, now_ms_);
+    return qrt_add_end (&table_, request, &end, now_ms_);
   }
   qrt_verdict_t
   judge (uint64_t caller = kCaller, uint64_t request = kRequest)
@@ -41,13 +41,13 @@
   }
   /// Tell all that one table knows to the other.
   bool
-  pass_on (const qrt_table_t *from, qrt_table_t *to)
+  exchange (const qrt_table_t *from, qrt_table_t *to)
   {
-    kb_buf_t words = {};
-    qrt_pack (from, now_ms_, &words);
-    bool is_taken = qrt_take (to, kb_buf_slice (&words), now_ms_, nullptr);
-    kb_buf_finish (&words);
-    return is_taken;
+    kb_buf_t records = {};
+    qrt_pack (from, now_ms_, &records);
+    bool is_merged = qrt_merge (to, kb_buf_slice (&records), now_ms_, nullptr);
+    kb_buf_finish (&records);
+    return is_merged;
   }
   qrt_table_t table_;
   qrt_table_t peer_;
@@ -78,20 +78,20 @@
   for (uint64_t target = 1; target <= 9; target++)
     end (target);
   EXPECT_EQ (judge (), QRT_ALONE);
-  EXPECT_TRUE (qrt_note_served (&table_, kRequest, now_ms_));
+  EXPECT_TRUE (qrt_mark_served (&table_, kRequest, now_ms_));
   EXPECT_EQ (judge (), QRT_FREE);
 }
 
 // A caller polls with one request. It is beginning somewhere whenever a target
 // ends, also alone, and is served all the time between.
-TEST_F (QuarantineTest, WhatIsServedBetweenEndsIsNeverHeld)
+TEST_F (QuarantineTest, ARequestServedBetweenEndsIsNeverHeld)
 {
   for (uint64_t target = 1; target <= 20; target += 2)
     {
       end (target, true);
       end (target + 1, true);
       EXPECT_NE (judge (), QRT_HELD);
-      qrt_note_served (&table_, kRequest, now_ms_);
+      qrt_mark_served (&table_, kRequest, now_ms_);
       EXPECT_EQ (judge (), QRT_FREE);
     }
 }
@@ -128,7 +128,7 @@
   EXPECT_EQ (judge (15), QRT_HELD);
 }
 
-TEST_F (QuarantineTest, AHoldLapsesAndGrowsWithFurtherEnds)
+TEST_F (QuarantineTest, AHoldExpiresAndGrowsWithFurtherEnds)
 {
   end (1);
   end (2);
@@ -140,35 +140,35 @@
   EXPECT_EQ (hold_ms_, 2ULL * QRT_HOLD_MS);
   now_ms_ += 4ULL * QRT_HOLD_MS;
   EXPECT_EQ (judge (), QRT_FREE);
-  qrt_lapse (&table_, now_ms_);
+  qrt_expire (&table_, now_ms_);
   EXPECT_EQ (table_.entries.len, 0u);
-  EXPECT_EQ (qrt_stamp (&table_), 0u);
+  EXPECT_EQ (qrt_digest (&table_), 0u);
 }
 
-TEST_F (QuarantineTest, SuspicionLapses)
+TEST_F (QuarantineTest, SuspicionExpires)
 {
   end (1);
   end (2);
   now_ms_ += QRT_HOLD_MS;
   EXPECT_EQ (judge (), QRT_FREE);
-  qrt_lapse (&table_, now_ms_);
+  qrt_expire (&table_, now_ms_);
   EXPECT_EQ (table_.entries.len, 0u);
 }
 
 // A caller sends thousands of different requests that end targets, so that
 // what is known of another one's is forgotten.
-TEST_F (QuarantineTest, OneCallerFillsNoMoreThanItsPart)
+TEST_F (QuarantineTest, EntriesPerCallerAreBounded)
 {
   end (1, true, kOther, kRequest);
   end (2, true, kOther, kRequest);
   end (3, true, kOther, kRequest);
   for (uint64_t request = 1000; request < 4000; request++)
     end (request, true, kCaller, request);
-  EXPECT_EQ (table_.entries.len, 1u + QRT_ENTRIES_PER_CALLER);
+  EXPECT_EQ (table_.entries.len, 1u + QRT_MAX_ENTRIES_PER_CALLER);
   EXPECT_EQ (judge (kOther), QRT_HELD);
 }
 
-TEST_F (QuarantineTest, WhatIsRememberedIsBoundedAndHeldRequestsStayLongest)
+TEST_F (QuarantineTest, EntriesAreBoundedAndHeldRequestsAreEvictedLast)
 {
   end (1, true);
   end (2, true);
@@ -178,22 +178,22 @@
       now_ms_++;
       end (request, true, request, request);
     }
-  EXPECT_EQ (table_.entries.len, (uint32_t)QRT_ENTRIES_MOST);
+  EXPECT_EQ (table_.entries.len, (uint32_t)QRT_MAX_ENTRIES);
   EXPECT_EQ (judge (), QRT_HELD);
 }
 
-TEST_F (QuarantineTest, WordsMergeInAnyOrder)
+TEST_F (QuarantineTest, RecordsMergeInAnyOrder)
 {
   end (1);
   end (2);
-  ASSERT_TRUE (pass_on (&table_, &peer_));
+  ASSERT_TRUE (exchange (&table_, &peer_));
   qrt_end_t third = { 3, kCaller, 1 };
-  qrt_note_end (&peer_, kRequest, &third, now_ms_);
+  qrt_add_end (&peer_, kRequest, &third, now_ms_);
   end (4);
-  EXPECT_NE (qrt_stamp (&table_), qrt_stamp (&peer_));
-  ASSERT_TRUE (pass_on (&table_, &peer_));
-  ASSERT_TRUE (pass_on (&peer_, &table_));
-  EXPECT_EQ (qrt_stamp (&table_), qrt_stamp (&peer_));
+  EXPECT_NE (qrt_digest (&table_), qrt_digest (&peer_));
+  ASSERT_TRUE (exchange (&table_, &peer_));
+  ASSERT_TRUE (exchange (&peer_, &table_));
+  EXPECT_EQ (qrt_digest (&table_), qrt_digest (&peer_));
   EXPECT_EQ (judge (), QRT_HELD);
 }
 
@@ -206,100 +206,100 @@
   for (uint64_t target = 20; target >= 1; target--)
     {
       qrt_end_t end = { target, kCaller, target % 3 == 0 };
-      qrt_note_end (&peer_, kRequest, &end, now_ms_);
+      qrt_add_end (&peer_, kRequest, &end, now_ms_);
     }
-  EXPECT_EQ (qrt_stamp (&table_), qrt_stamp (&peer_));
+  EXPECT_EQ (qrt_digest (&table_), qrt_digest (&peer_));
 }
 
 // A daemon that did not hear of the clearing tells the ends of before again.
-TEST_F (QuarantineTest, WhatWasClearedStaysCleared)
+TEST_F (QuarantineTest, ClearedRequestsStayCleared)
 {
   end (1);
   end (2);
-  ASSERT_TRUE (pass_on (&table_, &peer_));
-  qrt_note_served (&table_, kRequest, now_ms_);
-  ASSERT_TRUE (pass_on (&peer_, &table_));
+  ASSERT_TRUE (exchange (&table_, &peer_));
+  qrt_mark_served (&table_, kRequest, now_ms_);
+  ASSERT_TRUE (exchange (&peer_, &table_));
   EXPECT_EQ (judge (), QRT_FREE);
-  ASSERT_TRUE (pass_on (&table_, &peer_));
-  EXPECT_EQ (qrt_stamp (&table_), qrt_stamp (&peer_));
+  ASSERT_TRUE (exchange (&table_, &peer_));
+  EXPECT_EQ (qrt_digest (&table_), qrt_digest (&peer_));
 }
 
 // What lapsed at one daemon comes back from another one that heard it later.
-TEST_F (QuarantineTest, AWordKeepsItsAge)
+TEST_F (QuarantineTest, ARecordKeepsItsAge)
 {
   end (1);
   end (2);
   now_ms_ += QRT_HOLD_MS - 10;
-  ASSERT_TRUE (pass_on (&table_, &peer_));
+  ASSERT_TRUE (exchange (&table_, &peer_));
   now_ms_ += 10;
-  qrt_lapse (&peer_, now_ms_);
+  qrt_expire (&peer_, now_ms_);
   EXPECT_EQ (peer_.entries.len, 0u);
   // One that has lapsed is not taken at all.
-  ASSERT_TRUE (pass_on (&table_, &peer_));
+  ASSERT_TRUE (exchange (&table_, &peer_));
   EXPECT_EQ (peer_.entries.len, 0u);
 }
 
-TEST_F (QuarantineTest, WordsThatCanNotBeTrueAreIgnored)
+TEST_F (QuarantineTest, InvalidRecordsAreIgnored)
 {
-  qrt_word_t good = {};
+  qrt_record_t good = {};
   good.request = kRequest;
-  good.owner = kCaller;
+  good.first_caller = kCaller;
   good.end_count = 2;
   good.ends[0] = { 1, kCaller, 1 };
   good.ends[1] = { 2, kCaller, 0 };
-  auto take = [&] (const qrt_word_t &word, uint32_t len_bytes) {
-    return qrt_take (&table_, { (const char *)&word, len_bytes }, now_ms_,
-                     nullptr);
+  auto merge = [&] (const qrt_record_t &record, uint32_t len_bytes) {
+    return qrt_merge (&table_, { (const char *)&record, len_bytes }, now_ms_,
+                      nullptr);
   };
-  std::vector<qrt_word_t> bad (6, good);
+  std::vector<qrt_record_t> bad (6, good);
   bad[0].request = 0;
-  bad[1].end_count = QRT_ENDS_MOST + 1;
+  bad[1].end_count = QRT_MAX_ENDS + 1;
   bad[2].end_count = 0;
   bad[3].ends[0].target = 0;
   bad[4].ends[0].is_alone = 2;
   std::swap (bad[5].ends[0], bad[5].ends[1]);
-  for (const qrt_word_t &word : bad)
-    EXPECT_FALSE (take (word, sizeof word));
-  EXPECT_FALSE (take (good, sizeof good - 1));
+  for (const qrt_record_t &record : bad)
+    EXPECT_FALSE (merge (record, sizeof record));
+  EXPECT_FALSE (merge (good, sizeof good - 1));
   EXPECT_EQ (table_.entries.len, 0u);
-  EXPECT_TRUE (take (good, sizeof good));
+  EXPECT_TRUE (merge (good, sizeof good));
   EXPECT_EQ (judge (), QRT_ALONE);
 }
 
 // Hundreds of requests are beginning at targets that end together, in a fleet
 // of hundreds. What is known of each went to all daemons, over and over where
 // their tables were full, and filled their links for ten minutes.
-TEST_F (QuarantineTest, OneEndIsNothingThatAllMustKnow)
+TEST_F (QuarantineTest, ASingleEndIsNotShared)
 {
   end (1);
-  EXPECT_EQ (qrt_stamp (&table_), 0u);
-  kb_buf_t words = {};
-  qrt_pack (&table_, now_ms_, &words);
-  EXPECT_EQ (words.len_bytes, 0u);
-  EXPECT_FALSE (qrt_note_served (&table_, kRequest, now_ms_));
+  EXPECT_EQ (qrt_digest (&table_), 0u);
+  kb_buf_t records = {};
+  qrt_pack (&table_, now_ms_, &records);
+  EXPECT_EQ (records.len_bytes, 0u);
+  EXPECT_FALSE (qrt_mark_served (&table_, kRequest, now_ms_));
   EXPECT_EQ (table_.entries.len, 0u);
 }
 
 // Two gateways saw one end each. Joined they matter to all, and are told once.
-TEST_F (QuarantineTest, EndsThatAreJoinedAreToldOnce)
+TEST_F (QuarantineTest, JoinedEndsAreSharedOnce)
 {
   end (1);
-  kb_buf_t words = {};
-  qrt_pack_one (&table_, kRequest, now_ms_, &words);
+  kb_buf_t records = {};
+  qrt_pack_one (&table_, kRequest, now_ms_, &records);
   kb_buf_t fresh = {};
-  qrt_take (&peer_, kb_buf_slice (&words), now_ms_, &fresh);
+  qrt_merge (&peer_, kb_buf_slice (&records), now_ms_, &fresh);
   EXPECT_EQ (fresh.len_bytes, 0u);
   qrt_end_t second = { 2, kOther, 0 };
-  qrt_note_end (&peer_, kRequest, &second, now_ms_);
-  kb_buf_clear (&words);
-  qrt_pack (&peer_, now_ms_, &words);
-  qrt_take (&table_, kb_buf_slice (&words), now_ms_, &fresh);
-  EXPECT_EQ (fresh.len_bytes, sizeof (qrt_word_t));
+  qrt_add_end (&peer_, kRequest, &second, now_ms_);
+  kb_buf_clear (&records);
+  qrt_pack (&peer_, now_ms_, &records);
+  qrt_merge (&table_, kb_buf_slice (&records), now_ms_, &fresh);
+  EXPECT_EQ (fresh.len_bytes, sizeof (qrt_record_t));
   kb_buf_clear (&fresh);
-  qrt_take (&table_, kb_buf_slice (&words), now_ms_, &fresh);
+  qrt_merge (&table_, kb_buf_slice (&records), now_ms_, &fresh);
   EXPECT_EQ (fresh.len_bytes, 0u);
   kb_buf_finish (&fresh);
-  kb_buf_finish (&words);
+  kb_buf_finish (&records);
 }
 
 } // namespace
--- a/test/unit/quota_ledger_test.cc
+++ b/test/unit/quota_ledger_test.cc
@@ -35,7 +35,7 @@
   EXPECT_DOUBLE_EQ (sum (kNow + kWindowMs + kSlotMs), 0);
 }
 
-TEST_F (Window, WhatIsToComeCountsFromNowOn)
+TEST_F (Window, FutureUseCountsFromNowOn)
 {
   qwn_add (&window_, 5, kNow + 1500, kNow);
   EXPECT_DOUBLE_EQ (sum (kNow), 5);
@@ -44,13 +44,13 @@
 }
 
 // Nothing may be lost because it lies further ahead than slots are kept.
-TEST_F (Window, WhatLiesTooFarAheadStillCounts)
+TEST_F (Window, UseTooFarAheadStillCounts)
 {
   qwn_add (&window_, 5, kNow + 60000, kNow);
   EXPECT_DOUBLE_EQ (sum (kNow + kWindowMs), 5);
 }
 
-TEST_F (Window, ALongStandstillEmptiesIt)
+TEST_F (Window, ALongPauseEmptiesIt)
 {
   qwn_add (&window_, 5, kNow, kNow);
   EXPECT_DOUBLE_EQ (sum (kNow + 100 * kWindowMs), 0);
@@ -58,18 +58,18 @@
   EXPECT_DOUBLE_EQ (sum (kNow + 100 * kWindowMs), 3);
 }
 
-TEST_F (Window, TakesBackTheNewestFirstAndNoMoreThanThereIs)
+TEST_F (Window, SubtractsTheNewestFirstAndNoMoreThanThereIs)
 {
   qwn_add (&window_, 5, kNow, kNow);
   qwn_add (&window_, 5, kNow + 4000, kNow + 4000);
-  qwn_take_back (&window_, 7, kNow + 4000);
+  qwn_subtract (&window_, 7, kNow + 4000);
   EXPECT_DOUBLE_EQ (sum (kNow + 4000), 3);
   EXPECT_DOUBLE_EQ (sum (kNow + kWindowMs + kSlotMs), 0);
-  qwn_take_back (&window_, 7, kNow + kWindowMs + kSlotMs);
+  qwn_subtract (&window_, 7, kNow + kWindowMs + kSlotMs);
   EXPECT_DOUBLE_EQ (sum (kNow + kWindowMs + kSlotMs), 0);
 }
 
-TEST_F (Window, AHistoryHoldsAllOfIt)
+TEST_F (Window, AHistoryHoldsAllUse)
 {
   qwn_add (&window_, 1, kNow, kNow);
   qwn_add (&window_, 2, kNow + 3000, kNow + 3000);
@@ -106,49 +106,49 @@
   }
   static void
   merge (qlg_ledger_t *ledger, const std::string &lines, uint64_t age_ms,
-         uint64_t now_ms, uint64_t known_ms = 0)
+         uint64_t now_ms, uint64_t known_until_ms = 0)
   {
     qlg_merge (ledger, { lines.data (), (uint32_t)lines.size () }, age_ms,
-               known_ms, now_ms);
+               known_until_ms, now_ms);
   }
   qlg_ledger_t first_;
   qlg_ledger_t second_;
 };
 
-TEST_F (Ledger, TellsTheNextLenderWhatWasLent)
+TEST_F (Ledger, ReportsLoansToTheNextLender)
 {
-  qlg_lend (&first_, 70, kNow + 150, kNow);
+  qlg_add_loan (&first_, 70, kNow + 150, kNow);
   merge (&second_, pack (&first_, kNow), 20, kNow + 20);
-  qlg_lend (&second_, 5, kNow + 150, kNow + 20);
+  qlg_add_loan (&second_, 5, kNow + 150, kNow + 20);
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 20), 75);
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 2 * kWindowMs), 0);
 }
 
 // Gateways tell it in any order, some twice, some what is old.
-TEST_F (Ledger, OfOneLenderTheNewestHolds)
+TEST_F (Ledger, TheNewestLineOfALenderWins)
 {
-  qlg_lend (&first_, 70, kNow, kNow);
+  qlg_add_loan (&first_, 70, kNow, kNow);
   std::string old = pack (&first_, kNow);
-  qlg_lend (&first_, 7, kNow + 100, kNow + 100);
+  qlg_add_loan (&first_, 7, kNow + 100, kNow + 100);
   std::string newest = pack (&first_, kNow + 100);
   for (const std::string &lines : { old, newest, old, newest })
     merge (&second_, lines, lines == old ? 200 : 100, kNow + 200);
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 200), 77);
 }
 
-TEST_F (Ledger, WhatOthersTellOfItselfIsIgnored)
+TEST_F (Ledger, LinesAboutTheOwnLoansAreIgnored)
 {
-  qlg_lend (&first_, 70, kNow, kNow);
+  qlg_add_loan (&first_, 70, kNow, kNow);
   merge (&first_, pack (&first_, kNow), 10, kNow + 10);
   EXPECT_DOUBLE_EQ (qlg_sum (&first_, kNow + 10), 70);
 }
 
 // Lenders before the one before are handed on as well.
-TEST_F (Ledger, IsHandedOnFromLenderToLender)
+TEST_F (Ledger, IsPassedOnFromLenderToLender)
 {
-  qlg_lend (&first_, 70, kNow, kNow);
+  qlg_add_loan (&first_, 70, kNow, kNow);
   merge (&second_, pack (&first_, kNow), 1000, kNow + 1000);
-  qlg_lend (&second_, 5, kNow + 1000, kNow + 1000);
+  qlg_add_loan (&second_, 5, kNow + 1000, kNow + 1000);
   qlg_ledger_t third;
   qlg_init (&third, 300, kWindowMs, kNow + 2000);
   merge (&third, pack (&second_, kNow + 1000), 1000, kNow + 2000);
@@ -162,21 +162,21 @@
     {
       qlg_ledger_t other;
       qlg_init (&other, 1000 + i, kWindowMs, kNow + i);
-      qlg_lend (&other, 1, kNow + i, kNow + i);
+      qlg_add_loan (&other, 1, kNow + i, kNow + i);
       merge (&first_, pack (&other, kNow + i), 0, kNow + i);
     }
-  qlg_lend (&first_, 1, kNow + 30, kNow + 30);
+  qlg_add_loan (&first_, 1, kNow + 30, kNow + 30);
   std::string lines = pack (&first_, kNow + 30);
-  EXPECT_EQ (lines.size (), QLG_LENDERS_MOST * sizeof (qlg_line_t));
-  EXPECT_LE (lines.size (), (size_t)QLG_BYTES_MOST);
-  EXPECT_TRUE (qlg_is_sound ({ lines.data (), (uint32_t)lines.size () }));
+  EXPECT_EQ (lines.size (), QLG_MAX_LENDERS * sizeof (qlg_line_t));
+  EXPECT_LE (lines.size (), (size_t)QLG_MAX_BYTES);
+  EXPECT_TRUE (qlg_is_valid ({ lines.data (), (uint32_t)lines.size () }));
 }
 
-TEST_F (Ledger, LinesThatAreNotSoundAreTold)
+TEST_F (Ledger, InvalidLinesAreDetected)
 {
   qlg_line_t line = { 7, 1, 0, { 1, 1, 1, 1 } };
   auto is_sound = [&line] (uint32_t len_bytes = sizeof line) {
-    return qlg_is_sound ({ (const char *)&line, len_bytes });
+    return qlg_is_valid ({ (const char *)&line, len_bytes });
   };
   EXPECT_TRUE (is_sound ());
   EXPECT_FALSE (is_sound (sizeof line - 1));
@@ -187,12 +187,12 @@
   line.quarters[2] = 1;
   line.lender = 0;
   EXPECT_FALSE (is_sound ());
-  std::string many (QLG_BYTES_MOST + sizeof line, 'x');
-  EXPECT_FALSE (qlg_is_sound ({ many.data (), (uint32_t)many.size () }));
+  std::string many (QLG_MAX_BYTES + sizeof line, 'x');
+  EXPECT_FALSE (qlg_is_valid ({ many.data (), (uint32_t)many.size () }));
 }
 
 // From the future, or of an age that no sum can hold.
-TEST_F (Ledger, AnAgeThatCanNotBeIsHarmless)
+TEST_F (Ledger, AnImpossibleAgeIsIgnored)
 {
   qlg_line_t line = { 7, 1, UINT64_MAX, { 1, 1, 1, 1 } };
   std::string lines ((const char *)&line, sizeof line);
@@ -200,34 +200,34 @@
   EXPECT_DOUBLE_EQ (qlg_sum (&first_, kNow), 0);
 }
 
-TEST_F (Ledger, WhatIsLearntTakesThePlaceOfWhatWasAssumed)
+TEST_F (Ledger, LearnedLoansReplaceAssumedOnes)
 {
-  qlg_lend (&first_, 30, kNow, kNow);
-  std::string told = pack (&first_, kNow);
-  qlg_assume (&second_, 0, 100, 500, kNow + 1000);
+  qlg_add_loan (&first_, 30, kNow, kNow);
+  std::string first_ledger = pack (&first_, kNow);
+  qlg_assume_unknown (&second_, 0, 100, 500, kNow + 1000);
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 1000), 100);
-  merge (&second_, told, 1000, kNow + 1000);
+  merge (&second_, first_ledger, 1000, kNow + 1000);
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 1000), 100);
   qlg_forget_unknown (&second_, kNow + 1000);
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 1000), 30);
 }
 
 // After a start the quota goes on at its rate.
-TEST_F (Ledger, WhatIsAssumedLeavesAtTheRate)
+TEST_F (Ledger, AssumedLoansExpireAtTheRate)
 {
-  qlg_assume (&first_, 10, 30, 500, kNow);
+  qlg_assume_unknown (&first_, 10, 30, 500, kNow);
   EXPECT_NEAR (qlg_sum (&first_, kNow), 10 * 7.5 + 30, 2);
   EXPECT_NEAR (qlg_sum (&first_, kNow + 4000), 10 * 3.5 + 30, 2);
   EXPECT_DOUBLE_EQ (qlg_sum (&first_, kNow + 7800), 0);
-  EXPECT_EQ (qlg_unknown_until (&first_, kNow), kNow - 500);
+  EXPECT_EQ (qlg_unknown_until_ms (&first_, kNow), kNow - 500);
   // An earlier loss changes nothing.
-  qlg_assume (&first_, 10, 30, 600, kNow);
-  EXPECT_EQ (qlg_unknown_until (&first_, kNow), kNow - 500);
+  qlg_assume_unknown (&first_, 10, 30, 600, kNow);
+  EXPECT_EQ (qlg_unknown_until_ms (&first_, kNow), kNow - 500);
 }
 
-TEST_F (Ledger, WhatIsUnknownElsewhereButKnownHereIsNotTaken)
+TEST_F (Ledger, UnknownLoansThatAreKnownHereAreNotMerged)
 {
-  qlg_assume (&first_, 0, 100, 500, kNow + 1000);
+  qlg_assume_unknown (&first_, 0, 100, 500, kNow + 1000);
   std::string lines = pack (&first_, kNow + 1000);
   EXPECT_TRUE (qlg_has_unknown ({ lines.data (), (uint32_t)lines.size () }));
   merge (&second_, lines, 0, kNow + 1000, kNow + 900);
@@ -236,21 +236,21 @@
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 1000), 100);
 }
 
-TEST_F (Ledger, ALowerLimitCountsItInProportion)
+TEST_F (Ledger, ALowerLimitScalesEarlierLoans)
 {
-  qlg_lend (&second_, 30, kNow, kNow);
+  qlg_add_loan (&second_, 30, kNow, kNow);
   merge (&first_, pack (&second_, kNow), 0, kNow);
-  qlg_lend (&first_, 70, kNow, kNow);
+  qlg_add_loan (&first_, 70, kNow, kNow);
   qlg_scale (&first_, 0.5);
   EXPECT_DOUBLE_EQ (qlg_sum (&first_, kNow), 50);
 }
 
-TEST_F (Ledger, TellsWhenASumHasFallen)
+TEST_F (Ledger, ReportsWhenTheSumHasFallen)
 {
-  qlg_lend (&first_, 70, kNow, kNow);
-  qlg_lend (&first_, 30, kNow + 4000, kNow + 4000);
-  EXPECT_EQ (qlg_time_to (&first_, 100, kNow + 4000), 0u);
-  uint64_t wait_ms = qlg_time_to (&first_, 30, kNow + 4000);
+  qlg_add_loan (&first_, 70, kNow, kNow);
+  qlg_add_loan (&first_, 30, kNow + 4000, kNow + 4000);
+  EXPECT_EQ (qlg_time_to_ms (&first_, 100, kNow + 4000), 0u);
+  uint64_t wait_ms = qlg_time_to_ms (&first_, 30, kNow + 4000);
   EXPECT_LE (qlg_sum (&first_, kNow + 4000 + wait_ms), 30);
   EXPECT_LE (wait_ms, 4000 + 2 * kSlotMs);
   EXPECT_GT (wait_ms, 3000u);
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -182,20 +182,20 @@
 {
   mem_options_t options = { 1000, 5000 };
   mem_vm_t vm = {};
-  mem_vm_note_listed (&vm, MEM_LISTED_LIVE, 1);
+  mem_vm_set_listed (&vm, MEM_LISTED_LIVE, 1);
   EXPECT_EQ (mem_vm_state (&vm, &options, 1), MEM_DOWN);
-  EXPECT_TRUE (mem_vm_note_hello (&vm, 9, MEM_SAYS_LIVE, 10));
-  EXPECT_FALSE (mem_vm_note_hello (&vm, 9, MEM_SAYS_LIVE, 10));
+  EXPECT_TRUE (mem_vm_record_hello (&vm, 9, MEM_REPORTED_LIVE, 10));
+  EXPECT_FALSE (mem_vm_record_hello (&vm, 9, MEM_REPORTED_LIVE, 10));
   EXPECT_EQ (mem_vm_state (&vm, &options, 20), MEM_UP);
-  mem_vm_note_listed (&vm, MEM_LISTED_LEAVING, 20);
+  mem_vm_set_listed (&vm, MEM_LISTED_LEAVING, 20);
   EXPECT_EQ (mem_vm_state (&vm, &options, 20), MEM_LEAVING);
-  mem_vm_note_listed (&vm, MEM_LISTED_ABSENT, 30);
+  mem_vm_set_listed (&vm, MEM_LISTED_ABSENT, 30);
   EXPECT_EQ (mem_vm_state (&vm, &options, 9000), MEM_UP); // It answers.
   vm.pinged_ms = 9000;
   EXPECT_EQ (mem_vm_state (&vm, &options, 10500), MEM_GONE);
-  mem_vm_note_heard (&vm, MEM_SAYS_LEAVING, 10600);
+  mem_vm_record_message (&vm, MEM_REPORTED_LEAVING, 10600);
   EXPECT_EQ (mem_vm_state (&vm, &options, 10600), MEM_LEAVING);
-  mem_vm_note_disconnect (&vm);
+  mem_vm_record_disconnect (&vm);
   EXPECT_EQ (mem_vm_state (&vm, &options, 10700), MEM_DOWN);
 }
 
--- a/tools/lab/quota_callers.cc
+++ b/tools/lab/quota_callers.cc
@@ -31,7 +31,7 @@
 bool
 World::take_other_way (Gateway &g, double amount)
 {
-  double most = quo_lent_most (&o.tolerance, &limit);
+  double most = quo_max_lent (&o.tolerance, &limit);
   double used = qwn_sum (&g.used, now);
   if (o.way == QuotaWay::FIXED)
     most /= o.gateways;
@@ -101,15 +101,15 @@
       return;
     }
   if (o.planted == QuotaPlanted::CREDIT_NEVER_LAPSES)
-    for (uint32_t i = 0; i < g.purse.lot_count; i++)
-      g.purse.lots[i].until_ms = UINT64_MAX;
+    for (uint32_t i = 0; i < g.purse.credit_count; i++)
+      g.purse.credits[i].until_ms = UINT64_MAX;
   Request *r = new Request;
   r->amount = amount;
   r->at = now;
-  qsp_verdict_t verdict = qsp_enter (&g.purse, &r->waiter, amount, now);
-  if (verdict == QSP_WAITS)
+  qsp_verdict_t verdict = qsp_admit (&g.purse, &r->waiter, amount, now);
+  if (verdict == QSP_WAITING)
     return;
-  if (verdict == QSP_SPENT)
+  if (verdict == QSP_ADMITTED)
     admit (g, amount, now);
   else
     out.refused++;
--- a/tools/lab/quota_faults.cc
+++ b/tools/lab/quota_faults.cc
@@ -11,10 +11,10 @@
   Sidecar &s = *sidecars[si];
   s.process.life++;
   qln_finish (&s.lender);
-  qof_finish (&s.office);
+  qgw_finish (&s.office);
   qln_init (&s.lender, &o.tolerance, s.process.life, now);
-  s.lender.keeps_to_reach = o.keeps_to_reach;
-  qof_init (&s.office, now);
+  s.lender.is_capped_by_reach = o.is_capped_by_reach;
+  qgw_init (&s.office, now);
   s.heard.assign (o.gateways, 0);
   s.used.assign (o.gateways, 0);
   on (s.process, now + 200, [this, si] { heartbeat (si); });
--- a/tools/lab/quota_play.h
+++ b/tools/lab/quota_play.h
@@ -51,14 +51,14 @@
 
 struct Gateway
 {
-  qsp_purse_t purse = {}; ///< First.
+  qsp_spender_t purse = {}; ///< First.
   World *world = nullptr;
   uint32_t number = 0;
   Process process;
   double weight = 0;
   std::vector<uint64_t> heard; ///< By sidecar: when last.
   std::vector<uint64_t> lives; ///< By sidecar, as it told.
-  qof_peak_t peak = {};
+  qgw_peak_t peak = {};
   uint64_t born_ms = 0;
   uint64_t alone_ms = 0; ///< When it heard no sidecar last.
   // Other ways.
@@ -69,7 +69,7 @@
 struct Sidecar
 {
   qln_lender_t lender = {};
-  qof_office_t office = {};
+  qgw_table_t office = {};
   Process process;
   std::vector<uint64_t> heard; ///< By gateway.
   std::vector<double> used;    ///< Counts, by gateway.
--- a/tools/lab/quota_world.cc
+++ b/tools/lab/quota_world.cc
@@ -17,8 +17,8 @@
       s.process.life = FIRST_LIFE * (i + 1);
       // The system is older than what is played.
       qln_init (&s.lender, &o.tolerance, s.process.life, 0);
-      s.lender.keeps_to_reach = o.keeps_to_reach;
-      qof_init (&s.office, 0);
+      s.lender.is_capped_by_reach = o.is_capped_by_reach;
+      qgw_init (&s.office, 0);
       s.heard.assign (o.gateways, 0);
       s.used.assign (o.gateways, 0);
     }
@@ -42,7 +42,7 @@
   for (auto &s : sidecars)
     {
       qln_finish (&s->lender);
-      qof_finish (&s->office);
+      qgw_finish (&s->office);
     }
 }
 
@@ -155,13 +155,13 @@
       if (s.heard[i] == 0 || now - s.heard[i] >= GONE_MS)
         continue;
       Gateway &g = *gateways[i];
-      qof_peak_t peak = s.office.peak;
+      qgw_peak_t peak = s.office.peak;
       uint64_t age = now - peak.seen_ms;
       uint64_t life = s.process.life;
       send (g, s, si, false, [this, &g, si, peak, age, life] {
         g.heard[si] = now;
         g.lives[si] = life;
-        qof_peak_take (&g.peak, peak.count, age, now);
+        qgw_peak_merge (&g.peak, peak.count, age, now);
         choose (g);
       });
     }
@@ -183,17 +183,17 @@
       if (names)
         out.bytes += 8;
       uint64_t life = g.process.life;
-      qof_peak_t peak = g.peak;
+      qgw_peak_t peak = g.peak;
       uint64_t age = now - peak.seen_ms;
       send (g, s, si, true, [this, &g, &s, names, life, peak, age] {
         if (g.process.life != life)
           return;
         s.heard[g.number] = now;
-        qof_peak_take (&s.office.peak, peak.count, age, now);
+        qgw_peak_merge (&s.office.peak, peak.count, age, now);
         uint64_t workspace = WORKSPACE;
         kb_slice_t packed = { (const char *)&workspace,
                               names ? (uint32_t)sizeof workspace : 0 };
-        qof_note_elsewhere (&s.office, g.number + 1, packed, now);
+        qgw_record_elsewhere (&s.office, g.number + 1, packed, now);
       });
     }
 }
@@ -208,28 +208,29 @@
 }
 
 static void
-send_ask (qsp_purse_t *purse, uint64_t id, const qln_ask_t *ask)
+send_ask (qsp_spender_t *purse, uint64_t id, const qln_request_t *ask)
 {
   Gateway &g = *(Gateway *)purse;
   World &w = *g.world;
   uint32_t si = (uint32_t)purse->lender.id - 1;
   Sidecar &s = *w.sidecars[si];
-  qln_ask_t sent = *ask;
+  qln_request_t sent = *ask;
   std::string told (ask->ledger.ptr, ask->ledger.len_bytes);
   if (w.o.planted == QuotaPlanted::NOTHING_IS_TOLD)
     told.clear ();
   w.count_word (ASK_BYTES + (double)told.size ());
   w.talked[{ g.number, si }]++;
-  qof_peak_t peak = g.peak;
+  qgw_peak_t peak = g.peak;
   uint64_t age = w.now - peak.seen_ms;
   w.send (g, s, si, true,
           [&w, &g, &s, si, sent, told, id, peak, age] () mutable {
             sent.ledger = { told.data (), (uint32_t)told.size () };
-            qof_peak_take (&s.office.peak, peak.count, age, w.now);
-            sent.asker = qof_hear (&s.office, g.number + 1, w.now);
-            sent.share = qof_share (&s.office, WORKSPACE, g.number + 1, w.now);
+            qgw_peak_merge (&s.office.peak, peak.count, age, w.now);
+            sent.gateway_number
+                = qgw_record_contact (&s.office, g.number + 1, w.now);
+            sent.share = qgw_share (&s.office, WORKSPACE, g.number + 1, w.now);
             if (w.o.planted == QuotaPlanted::SECOND_LENDS_ALL)
-              sent.share = { 1, 1, {}, false, sent.share.sole_ms };
+              sent.share = { 1, 1, {}, false, sent.share.sole_lender_ms };
             kb_buf_t lines;
             kb_buf_init (&lines);
             qln_grant_t grant = qln_lend (&s.lender, &sent, &lines, w.now);
@@ -241,28 +242,28 @@
               if (g.process.life != life)
                 return;
               if (w.o.planted == QuotaPlanted::GRANT_COUNTS_TWICE)
-                g.purse.asks[0] = { id, w.now };
+                g.purse.sent_requests[0] = { id, w.now };
               kb_slice_t slice = { ledger.data (), (uint32_t)ledger.size () };
-              qsp_take_grant (&g.purse, id, &grant, slice, w.now);
+              qsp_apply_grant (&g.purse, id, &grant, slice, w.now);
             });
           });
 }
 
 static void
-decided (qsp_purse_t *purse, qsp_waiter_t *waiter, qsp_verdict_t verdict)
+decided (qsp_spender_t *purse, qsp_waiter_t *waiter, qsp_verdict_t verdict)
 {
   Gateway &g = *(Gateway *)purse;
   Request *r = (Request *)waiter;
-  if (verdict == QSP_SPENT)
+  if (verdict == QSP_ADMITTED)
     g.world->admit (g, r->amount, r->at);
-  else if (verdict == QSP_OVER)
+  else if (verdict == QSP_OVER_QUOTA)
     g.world->out.refused++;
   else
     g.world->out.unknown++;
   delete r;
 }
 
-static const qsp_events_t kEvents = { send_ask, decided };
+static const qsp_callbacks_t kEvents = { send_ask, decided };
 
 void
 World::start_gateway (Gateway &g)
@@ -270,7 +271,7 @@
   while (g.purse.first != nullptr)
     {
       qsp_waiter_t *waiter = g.purse.first;
-      qsp_leave (&g.purse, waiter);
+      qsp_cancel (&g.purse, waiter);
       delete (Request *)waiter;
     }
   g.process.life++;
@@ -279,7 +280,7 @@
   uint64_t window_ms = quo_window_ms (&o.tolerance);
   bool is_lost
       = g.born_ms > 0 && o.planted != QuotaPlanted::START_ASSUMES_NOTHING;
-  qln_past_t past = is_lost ? QLN_PAST_LOST : QLN_PAST_NONE;
+  qln_prior_t past = is_lost ? QLN_PRIOR_LOST : QLN_PRIOR_NONE;
   qsp_options_t options
       = { WORKSPACE, o.tolerance, g.process.life << 32, g.born_ms, past };
   qsp_init (&g.purse, &kEvents, nullptr, &options, now);
@@ -326,7 +327,7 @@
     while (g->purse.first != nullptr)
       {
         qsp_waiter_t *waiter = g->purse.first;
-        qsp_leave (&g->purse, waiter);
+        qsp_cancel (&g->purse, waiter);
         delete (Request *)waiter;
       }
   out.pair_seconds = (double)talked.size () * (double)o.end_ms / 1000;
--- a/tools/lab/quota_world.h
+++ b/tools/lab/quota_world.h
@@ -78,7 +78,7 @@
   uint32_t sidecars = 41;
   quo_limit_t limit = { 208590, 208590 };
   quo_tolerance_t tolerance = { 8, 0.1, 17000 };
-  bool keeps_to_reach = false; ///< See qln_lender_t.
+  bool is_capped_by_reach = false; ///< See qln_lender_t.
   double mean_request = 1100;
   double load = 0.55; ///< Demand as a part of the limit.
   /// From `hot_from_ms` on for `hot_for_ms` the demand is `hot` times as much.
