--- a/src/coordination/quota_office.c
+++ b/src/coordination/quota_gateways.c
@@ -1,4 +1,4 @@
-#include "coordination/quota_office.h"
+#include "coordination/quota_gateways.h"
 
 #include <stdlib.h>
 
--- a/src/coordination/quota_office.h
+++ b/src/coordination/quota_gateways.h
@@ -1,10 +1,10 @@
-/// @file quota_office.h
+/// @file quota_gateways.h
 /// Which part of the quotas one lender may lend (quota.h). All of it while
 /// every gateway that was reachable of late is still reachable, and none says
 /// that another lender serves it; gateway_fraction gateway that is missing
 /// takes its equal part with it, because another lender may serve it.
-#ifndef KB_COORDINATION_QUOTA_OFFICE_H
-#define KB_COORDINATION_QUOTA_OFFICE_H
+#ifndef KB_COORDINATION_QUOTA_GATEWAYS_H
+#define KB_COORDINATION_QUOTA_GATEWAYS_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/coordination/quota_lend.h
+++ b/src/coordination/quota_lend.h
@@ -4,7 +4,7 @@
 #ifndef KB_COORDINATION_QUOTA_LEND_H
 #define KB_COORDINATION_QUOTA_LEND_H
 
-#include "coordination/quota_office.h"
+#include "coordination/quota_gateways.h"
 #include "coordination/quota_ledger.h"
 #include "coordination/quota_level.h"
 #include "state/map.h"
--- a/tools/lab/quota_world.h
+++ b/tools/lab/quota_world.h
@@ -18,7 +18,7 @@
 
 extern "C"
 {
-#include "coordination/quota_office.h"
+#include "coordination/quota_gateways.h"
 #include "coordination/quota_spend.h"
 }
 
