--- a/src/coordination/quota_gateways.c
+++ b/src/coordination/quota_gateways.c
@@ -153,8 +153,8 @@
 }
 
 bool
-qgw_record_elsewhere (qgw_table_t *table, uint64_t id, kb_slice_t packed,
-                      uint64_t now_ms)
+qgw_record_served_elsewhere (qgw_table_t *table, uint64_t id,
+                             kb_slice_t packed, uint64_t now_ms)
 {
   uint32_t count = packed.len_bytes / (uint32_t)sizeof (uint64_t);
   if (packed.len_bytes % sizeof (uint64_t) != 0 || count > QGW_MAX_WORKSPACES)
--- a/src/coordination/quota_gateways.h
+++ b/src/coordination/quota_gateways.h
@@ -91,8 +91,8 @@
 /// A gateway has_reported the workspaces that another lender serves it with.
 /// @param packed  Hashes of their has_reported, 64 bits gateway_fraction.
 /// @return        False: the bytes are none; nothing was changed.
-bool qgw_record_elsewhere (qgw_table_t *table, uint64_t gateway,
-                           kb_slice_t packed, uint64_t now_ms);
+bool qgw_record_served_elsewhere (qgw_table_t *table, uint64_t gateway,
+                                  kb_slice_t packed, uint64_t now_ms);
 qgw_share_t qgw_share (qgw_table_t *table, uint64_t workspace,
                        uint64_t requester, uint64_t now_ms);
 
--- a/src/coordination/quota_ledger.c
+++ b/src/coordination/quota_ledger.c
@@ -125,7 +125,7 @@
 
 /// What is known that was lent before a moment.
 static double
-known_before (qlg_ledger_t *ledger, uint64_t before_ms, uint64_t now_ms)
+sum_known_before (qlg_ledger_t *ledger, uint64_t before_ms, uint64_t now_ms)
 {
   double sum = 0;
   for (int i = 0; i < QLG_MAX_LENDERS; i++)
@@ -142,7 +142,7 @@
   qlg_entry_t *entry = find_entry_or_oldest (ledger, QLG_UNKNOWN_LENDER);
   if (age_ms >= ledger->window_ms || entry->reported_ms >= reported_ms)
     return;
-  double known = known_before (ledger, reported_ms, now_ms);
+  double known = sum_known_before (ledger, reported_ms, now_ms);
   *entry = (qlg_entry_t){ .lender = QLG_UNKNOWN_LENDER,
                           .version = reported_ms,
                           .reported_ms = reported_ms };
@@ -271,9 +271,9 @@
     }
   uint64_t version = unknown->version;
   uint64_t before_ms = unknown->reported_ms;
-  double known = known_before (ledger, before_ms, now_ms);
+  double known = sum_known_before (ledger, before_ms, now_ms);
   merge_lines (ledger, lines, age_ms, known_until_ms, now_ms);
-  double learned = known_before (ledger, before_ms, now_ms) - known;
+  double learned = sum_known_before (ledger, before_ms, now_ms) - known;
   unknown = find_unknown (ledger);
   if (unknown != NULL && unknown->version == version && learned > 0)
     qwn_subtract (&unknown->lent, learned, now_ms);
--- a/src/coordination/quota_lend.c
+++ b/src/coordination/quota_lend.c
@@ -63,7 +63,7 @@
 /// Make room for another account.
 /// @return  False: all may hold what counts.
 static bool
-forget_oldest (qln_lender_t *lender, uint64_t now_ms)
+evict_oldest (qln_lender_t *lender, uint64_t now_ms)
 {
   qln_account_t *oldest = NULL;
   uint32_t at = 0;
@@ -71,9 +71,9 @@
        a = kb_map_next (&lender->accounts, &at))
     if (oldest == NULL || a->last_request_ms < oldest->last_request_ms)
       oldest = a;
-  uint64_t counts_ms
+  uint64_t retention_ms
       = quo_window_ms (&lender->tolerance) + QUO_LOW_USE_CREDIT_TTL_MS;
-  if (oldest == NULL || now_ms - oldest->last_request_ms < counts_ms)
+  if (oldest == NULL || now_ms - oldest->last_request_ms < retention_ms)
     return false;
   kb_map_remove (&lender->accounts, oldest->workspace);
   free (oldest);
@@ -95,7 +95,7 @@
               uint64_t now_ms)
 {
   if (lender->accounts.len >= QLN_MAX_ACCOUNTS
-      && !forget_oldest (lender, now_ms))
+      && !evict_oldest (lender, now_ms))
     return NULL;
   qln_account_t *account = kb_alloc (sizeof *account);
   *account = (qln_account_t){ .workspace = request->workspace,
@@ -293,8 +293,8 @@
 {
   const quo_limit_t *limit = &account->limit;
   double max = quo_bucket_capacity (&lender->tolerance, limit);
-  double whole = min_amount / fraction;
-  return qlv_time_to_ms (&account->level, max > whole ? max - whole : 0,
+  double needed = min_amount / fraction;
+  return qlv_time_to_ms (&account->level, max > needed ? max - needed : 0,
                          limit->rate_per_s, now_ms);
 }
 
--- a/src/coordination/quota_rank.c
+++ b/src/coordination/quota_rank.c
@@ -23,7 +23,7 @@
 }
 
 void
-qrk_add_silent (qrk_ranking_t *rank, const qrk_candidate_t *lost)
+qrk_add_unreachable (qrk_ranking_t *rank, const qrk_candidate_t *lost)
 {
   if (lost->rank > rank->first.rank
       && lost->contact_lost_ms > rank->better_seen_ms)
--- a/src/coordination/quota_rank.h
+++ b/src/coordination/quota_rank.h
@@ -4,7 +4,7 @@
 /// gateways rank them alike. No I/O; time is an argument.
 ///
 /// Pass all sidecars that are candidate to qrk_add, then those that are not to
-/// qrk_add_silent.
+/// qrk_add_unreachable.
 #ifndef KB_COORDINATION_QUOTA_RANK_H
 #define KB_COORDINATION_QUOTA_RANK_H
 
@@ -34,7 +34,7 @@
               uint64_t now_ms);
 /// A better one that fell lost made the first what it is. Others that come
 /// and go change nothing, and among hundreds some always do.
-void qrk_add_silent (qrk_ranking_t *rank, const qrk_candidate_t *lost);
+void qrk_add_unreachable (qrk_ranking_t *rank, const qrk_candidate_t *lost);
 /// @return  Since when the first would have been named.
 uint64_t qrk_first_since_ms (const qrk_ranking_t *rank);
 
--- a/src/coordination/quota_spend.c
+++ b/src/coordination/quota_spend.c
@@ -145,13 +145,14 @@
   double share = spender->gateways > 0 ? spender->gateways : 1;
   double rate_per_s = spender->limit.rate_per_s * spender->tolerance.overshoot
                       * RESERVE_OVERSHOOT_FRACTION / share;
-  double most = spender->tolerance.slack * RESERVE_SLACK_FRACTION / share;
-  if (most < rate_per_s)
-    most = rate_per_s;
+  double max_reserve
+      = spender->tolerance.slack * RESERVE_SLACK_FRACTION / share;
+  if (max_reserve < rate_per_s)
+    max_reserve = rate_per_s;
   spender->reserve
       += rate_per_s * (double)(now_ms - spender->reserve_ms) / MS_PER_S;
-  if (spender->reserve > most)
-    spender->reserve = most;
+  if (spender->reserve > max_reserve)
+    spender->reserve = max_reserve;
   spender->reserve_ms = now_ms;
   if (spender->reserve < amount)
     return false;
@@ -191,7 +192,7 @@
   const qsp_ledger_t *ledger = &spender->ledger;
   request->prior = ledger->prior;
   request->ledger = (kb_slice_t){ ledger->lines, ledger->len_bytes };
-  request->ledger_age_ms = now_ms - ledger->at_ms;
+  request->ledger_age_ms = now_ms - ledger->received_ms;
 }
 
 /// Ask for what the first waiter lacks, what the others need, and
@@ -324,7 +325,7 @@
 has_current_ledger (const qsp_spender_t *spender, uint64_t now_ms)
 {
   return spender->ledger.prior == QLN_PRIOR_LEDGER
-         && now_ms - spender->ledger.at_ms
+         && now_ms - spender->ledger.received_ms
                 < quo_window_ms (&spender->tolerance);
 }
 
@@ -393,7 +394,7 @@
     return;
   qsp_ledger_t *ledger = &spender->ledger;
   ledger->prior = QLN_PRIOR_LEDGER;
-  ledger->at_ms = now_ms;
+  ledger->received_ms = now_ms;
   ledger->len_bytes = lines.len_bytes;
   memcpy (ledger->lines, lines.ptr, lines.len_bytes);
 }
--- a/src/coordination/quota_spend.h
+++ b/src/coordination/quota_spend.h
@@ -66,7 +66,7 @@
 /// The newest ledger that came with a grant.
 typedef struct
 {
-  uint64_t at_ms;
+  uint64_t received_ms;
   qln_prior_t prior;
   uint32_t len_bytes;
   char lines[QLG_MAX_BYTES];
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -183,7 +183,7 @@
       if (!t->is_linked || t->unheard_ms <= rank.better_seen_ms)
         continue;
       qrk_candidate_t place = place_of (gateway, t, workspace);
-      qrk_add_silent (&rank, &place);
+      qrk_add_unreachable (&rank, &place);
     }
   return rank;
 }
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -31,8 +31,8 @@
   uint64_t now_ms = tmr_boot_ms ();
   qgw_peak_merge (&s->office.peak, (uint32_t)state->gateway_peak,
                   state->gateway_peak_age_ms, now_ms);
-  if (qgw_record_elsewhere (&s->office, gateway, state->lent_elsewhere,
-                            now_ms))
+  if (qgw_record_served_elsewhere (&s->office, gateway, state->lent_elsewhere,
+                                   now_ms))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "sidecar",
--- a/test/unit/quota_rank_test.cc
+++ b/test/unit/quota_rank_test.cc
@@ -50,7 +50,7 @@
 {
   qrk_ranking_t rank = three_reachable ();
   qrk_candidate_t worse = candidate (25, 0, 8500);
-  qrk_add_silent (&rank, &worse);
+  qrk_add_unreachable (&rank, &worse);
   EXPECT_EQ (qrk_first_since_ms (&rank), 1000u);
 }
 
@@ -59,7 +59,7 @@
 {
   qrk_ranking_t rank = three_reachable ();
   qrk_candidate_t better = candidate (40, 0, 7000);
-  qrk_add_silent (&rank, &better);
+  qrk_add_unreachable (&rank, &better);
   EXPECT_EQ (qrk_first_since_ms (&rank), 7000u);
   qrk_ranking_t removed = three_reachable (6000);
   EXPECT_EQ (qrk_first_since_ms (&removed), 6000u);
--- a/test/unit/quota_test.cc
+++ b/test/unit/quota_test.cc
@@ -318,7 +318,7 @@
   {
     kb_slice_t packed = { (const char *)workspaces.data (),
                           (uint32_t)(workspaces.size () * sizeof (uint64_t)) };
-    return qgw_record_elsewhere (&table_, gateway, packed, at_ms);
+    return qgw_record_served_elsewhere (&table_, gateway, packed, at_ms);
   }
   qgw_table_t table_;
 };
@@ -369,7 +369,8 @@
 TEST_F (Office, AMalformedReportChangesNothing)
 {
   report_elsewhere (1, { 7 });
-  EXPECT_FALSE (qgw_record_elsewhere (&table_, 1, kb_slice_str ("abc"), kNow));
+  EXPECT_FALSE (
+      qgw_record_served_elsewhere (&table_, 1, kb_slice_str ("abc"), kNow));
   std::vector<uint64_t> many (QGW_MAX_WORKSPACES + 1, 9);
   EXPECT_FALSE (report_elsewhere (1, many));
   EXPECT_TRUE (qgw_share (&table_, 7, 2, kNow).is_contested);
--- a/tools/lab/quota_world.cc
+++ b/tools/lab/quota_world.cc
@@ -193,7 +193,7 @@
         uint64_t workspace = WORKSPACE;
         kb_slice_t packed = { (const char *)&workspace,
                               names ? (uint32_t)sizeof workspace : 0 };
-        qgw_record_elsewhere (&s.office, g.number + 1, packed, now);
+        qgw_record_served_elsewhere (&s.office, g.number + 1, packed, now);
       });
     }
 }
