--- a/src/coordination/quota.c
+++ b/src/coordination/quota.c
@@ -5,8 +5,9 @@
   MS_PER_S = 1000,
 };
 
-/// Part of the tolerance that is lent. The rest is for the moments in which
-/// gateways change from one lender to another, and for those without one.
+/// Fraction of the tolerance that is lent. The rest covers the moments in
+/// which gateways change from one lender to another, and gateways without a
+/// lender.
 static const double LENDABLE_FRACTION = 0.6;
 
 double
--- a/src/coordination/quota.h
+++ b/src/coordination/quota.h
@@ -1,20 +1,23 @@
 /// @file quota.h
-/// The quota of a workspace over all gateways together: what one of them lends
-/// (quota_lend.h), what the others spend (quota_spend.h), and what they share.
-/// No I/O; time is an argument, from a clock that also counts while the VM is
+/// Shared definitions of a quota that several gateways use together.
+/// quota_lend.h is the lender's side, quota_spend.h the gateway's side. No
+/// I/O; time is an argument, from a clock that also counts while the VM is
 /// suspended.
 ///
-/// A quota holds over a window: in none may more run than its rate brings in
-/// one, and a burst. For each workspace one sidecar lends that. A gateway asks
-/// it for credit, for the requests that wait and a little ahead, and spends
-/// that. Nobody is elected: all gateways rank the sidecars they hear alike,
-/// and take the first. With each grant comes the ledger of what was lent, and
-/// a gateway tells it to the next lender. When gateways do not hear the same
-/// sidecars, the second lender learns from the others that the first is in
-/// use, and then lends no more than the parts of those who ask it.
+/// In any window of time a quota allows what its rate brings in the window,
+/// plus a burst. For each workspace one sidecar, the lender, lends the quota
+/// as credit. A gateway requests credit for the requests that wait and for
+/// some expected ones, and spends it on them. There is no election: all
+/// gateways rank the sidecars that they can reach in the same order and use
+/// the first one. Each grant carries a ledger of what has been lent, which the
+/// gateway passes on to the next lender. When gateways reach different
+/// sidecars, the second lender learns from the other gateways that the first
+/// is still in use, and then lends only the shares of the gateways that
+/// request credit from it.
 ///
-/// What is lent beyond the rate is bounded at any time. So when all start
-/// again and nobody can tell what was lent, the quota goes on at its rate.
+/// What is lent beyond the rate is bounded at any time. After a restart of all
+/// daemons, when nobody knows what was lent, the quota thus continues at its
+/// rate.
 #ifndef KB_COORDINATION_QUOTA_H
 #define KB_COORDINATION_QUOTA_H
 
@@ -23,16 +26,17 @@
 
 enum
 {
-  QUO_QUARTERS = 4, ///< Of a window, in which ledgers tell what was lent.
-  /// Credit lasts this long at most; longer while a quota is little used.
+  QUO_QUARTERS = 4, ///< Resolution of a window in ledgers.
+  /// Validity of credit.
   QUO_CREDIT_TTL_MS = 150,
+  /// Validity of credit while use of the quota is low.
   QUO_LOW_USE_CREDIT_TTL_MS = 1500,
-  /// Below this part of a quota it is little used, and credit lasts long.
+  /// Use in a window below this part of the quota is low.
   QUO_LOW_USE_PERCENT = 50,
   QUO_PERCENT = 100,
 };
 
-/// A quota, in its unit: tokens or requests.
+/// A quota, in tokens or in requests.
 typedef struct
 {
   double rate_per_s;
@@ -43,24 +47,25 @@
 typedef struct
 {
   double window_s;
-  double overshoot; ///< Part of what the quota allows in a window.
-  double slack;     ///< Beyond that, in the unit of the quota.
+  double overshoot; ///< As a fraction of what the quota allows in a window.
+  double slack;     ///< In addition, in the unit of the quota.
 } quo_tolerance_t;
 
-/// What was used in a window, the newest quarter first.
+/// Use in a window, the newest quarter first.
 typedef struct
 {
   double quarters[QUO_QUARTERS];
 } quo_history_t;
 
-/// @return  What a quota allows in a window.
+/// @return  What the quota allows in a window, without the tolerance.
 double quo_window_allowance (const quo_tolerance_t *tolerance,
                              const quo_limit_t *limit);
-/// @return  What is lent in a window: a part of the tolerance makes good that
-///          some credit lapses unspent.
+/// @return  The most that is lent in a window. It includes a part of the
+///          tolerance, since some credit expires unspent.
 double quo_max_lent (const quo_tolerance_t *tolerance,
                      const quo_limit_t *limit);
-/// @return  What of that may be lent beyond the rate at one time.
+/// @return  The most that is lent beyond the rate at any time: the capacity of
+///          the leaky bucket of quota_level.h.
 double quo_bucket_capacity (const quo_tolerance_t *tolerance,
                             const quo_limit_t *limit);
 uint64_t quo_window_ms (const quo_tolerance_t *tolerance);
--- a/src/coordination/quota_gateways.c
+++ b/src/coordination/quota_gateways.c
@@ -4,13 +4,12 @@
 
 enum
 {
-  /// Gateways speak gateway_fraction second; who is late by more may be behind
-  /// a cut, and is served by another lender 0.9 s after it reachable this one
-  /// last.
+  /// Gateways report every second. One that is later than this may be cut off,
+  /// and uses another lender 0.9 s after its last contact with this one.
   CONTACT_TIMEOUT_MS = 1300,
   REPORT_TTL_MS = 2500,
-  /// A gateway that is gone for good is counted for this long: its part could
-  /// be in use behind a cut.
+  /// A gateway that has stopped for good is counted for this long, since its
+  /// share could be in use on the other side of a network partition.
   PEAK_TTL_MS = 60000,
 };
 
@@ -33,7 +32,7 @@
   *table = (qgw_table_t){ .evicted_ms = now_ms, .last_missing_ms = now_ms };
 }
 
-/// When a workspace was reported last.
+/// Time of the last report of a workspace.
 typedef struct
 {
   uint64_t at_ms;
@@ -96,8 +95,8 @@
   return now_ms - gateway->last_contact_ms <= CONTACT_TIMEOUT_MS;
 }
 
-/// @return  How many gateways are reachable now; the most of late follows, and
-///          whether any is missing.
+/// Also updates the peak, and the time at which a gateway was last missing.
+/// @return  How many gateways are reachable now.
 static uint32_t
 count_reachable (qgw_table_t *table, uint64_t now_ms)
 {
@@ -110,8 +109,8 @@
   return reachable;
 }
 
-/// @return  The slot of a gateway, or one that is not in use, or the first
-///          one beyond all.
+/// @return  Index of a gateway; without one that of an expired entry, or else
+///          the first index after the array.
 static uint32_t
 slot_of (const qgw_table_t *table, uint64_t id, uint64_t now_ms)
 {
--- a/src/coordination/quota_ledger.c
+++ b/src/coordination/quota_ledger.c
@@ -43,7 +43,7 @@
   return sum;
 }
 
-/// Sum at a later moment, if nothing more is lent.
+/// @return  The sum at a later time, if nothing more is lent.
 static double
 sum_at (qlg_ledger_t *ledger, uint64_t at_ms)
 {
@@ -65,8 +65,8 @@
   return wait_ms;
 }
 
-/// @return  The entry of a lender, one that has nothing to tell any more, or
-///          the one that was version longest ago.
+/// @return  The entry of a lender; without one a free entry, or else the one
+///          that was reported the longest ago.
 static qlg_entry_t *
 find_entry_or_oldest (qlg_ledger_t *ledger, uint64_t lender)
 {
@@ -97,7 +97,7 @@
   qwn_add_history (&entry->lent, &history, reported_ms);
 }
 
-/// @return  Whether it version anything new.
+/// @return  Whether the line was newer than what was known.
 static bool
 merge_line (qlg_ledger_t *ledger, const qlg_line_t *line, uint64_t now_ms)
 {
@@ -123,7 +123,7 @@
   return NULL;
 }
 
-/// What is known that was lent before a moment.
+/// @return  Recorded loans, without assumed ones, from before a time.
 static double
 sum_known_before (qlg_ledger_t *ledger, uint64_t before_ms, uint64_t now_ms)
 {
@@ -174,13 +174,13 @@
   return unknown == NULL ? now_ms : unknown->reported_ms;
 }
 
-/// @return  Whether an entry tells anything.
+/// @return  Whether the entry holds loans that count.
 static bool
 make_line (qlg_entry_t *entry, uint64_t now_ms, qlg_line_t *line)
 {
   if (entry->lender == 0 || qwn_sum (&entry->lent, now_ms) <= 0)
     return false;
-  // The history of that moment: the receiver lets it grow old.
+  // The history as of the report; the receiver applies the age.
   quo_history_t history;
   qwn_history_at (&entry->lent, entry->reported_ms, &history);
   *line = (qlg_line_t){ .lender = entry->lender,
--- a/src/coordination/quota_lend.c
+++ b/src/coordination/quota_lend.c
@@ -7,17 +7,19 @@
 
 enum
 {
-  /// An account that nobody asked for in this time may have been out of
-  /// office: gateways that use it request more often.
+  /// After a gap this long between requests for an account, gateways may have
+  /// used another lender in between; gateways that use this one request more
+  /// often.
   ROLE_GAP_MS = 250,
-  /// A lender that has just come into office may share it with the one before:
-  /// by then all have learnt who it is.
+  /// A lender that has just taken the role may still share it with its
+  /// predecessor; after this time all gateways use the new one.
   SETTLING_MS = 1300,
   REQUESTER_SPAN_MS = 1250,
+  /// Wait for a request that can never be granted.
   MAX_WAIT_MS = 60000,
-  /// By then a gateway has heard of a restart.
+  /// By then a gateway has learned of a restart.
   REFUSED_WAIT_MS = 400,
-  /// Others may give credit back, or the rate brings some.
+  /// Meanwhile other gateways may return credit, or the rate brings some.
   RETRY_PAUSE_MS = 50,
 };
 
@@ -60,8 +62,8 @@
          && request->prior <= QLN_PRIOR_LOST && qlg_is_valid (request->ledger);
 }
 
-/// Make room for another account.
-/// @return  False: all may hold what counts.
+/// Makes room for another account.
+/// @return  False when all accounts may hold loans that still count.
 static bool
 evict_oldest (qln_lender_t *lender, uint64_t now_ms)
 {
@@ -80,7 +82,7 @@
   return true;
 }
 
-/// Since when the gateway_number and this process make it the lender.
+/// @return  Since when this process has been the gateway's lender.
 static uint64_t
 lender_role_since (const qln_lender_t *lender, const qln_request_t *request,
                    uint64_t now_ms)
@@ -128,7 +130,7 @@
   qgw_set_add (&account->requesters[0], gateway_number);
 }
 
-/// Those that request here and are served by no other lender.
+/// @return  How many gateways request credit here and from no other lender.
 static uint32_t
 count_requesters (const qln_account_t *account,
                   const qgw_set_t *served_elsewhere)
@@ -147,8 +149,9 @@
   return now_ms - account->lender_role_since_ms >= SETTLING_MS;
 }
 
-/// Part of the quota that this lender may lend: while another one may be in
-/// use, that of those who request here.
+/// @return  Fraction of the quota that this lender may lend. While another one
+///          may be in use, these are the shares of the gateways that request
+///          credit here.
 static double
 settled_fraction (const qln_account_t *account, const qln_request_t *request,
                   uint64_t now_ms)
@@ -161,8 +164,9 @@
   return fmin (requesters, share->total_fraction);
 }
 
-/// When all have started again, how many they are is not known either: those
-/// behind a cut may use the lenders that the gateway_number does not hear.
+/// After a restart of all daemons the number of gateways is unknown as well,
+/// and gateways that are cut off may use lenders that the requesting one does
+/// not reach: caps the fraction by its reach while assumed loans count.
 static double
 lendable_fraction (const qln_lender_t *lender, qln_account_t *account,
                    const qln_request_t *request, uint64_t now_ms)
@@ -174,8 +178,8 @@
              : fraction;
 }
 
-/// A lower limit holds from now on. What was lent under the higher one counts
-/// in proportion: it may run for another window.
+/// A lower limit applies at once. Loans under the higher limit are scaled down
+/// in proportion; otherwise they would use up the lower one for a window.
 static void
 apply_limit (const qln_lender_t *lender, qln_account_t *account,
              const qln_request_t *request, uint64_t now_ms)
@@ -207,7 +211,7 @@
   account->last_request_ms = now_ms;
 }
 
-/// Whether all that counts was lent here.
+/// @return  Whether all loans that count were made here.
 static bool
 is_sole_lender (const qln_lender_t *lender, const qln_account_t *account,
                 const qln_request_t *request, uint64_t now_ms)
@@ -218,7 +222,8 @@
          && request->share.sole_lender_ms >= window_ms;
 }
 
-/// A gateway that has just started may be the last that knew.
+/// A gateway that has just started may have been the last one to know of
+/// earlier loans; assumes the most that was allowed before its start.
 static void
 assume_lost_loans (const qln_lender_t *lender, qln_account_t *account,
                    const qln_request_t *request, uint64_t now_ms)
@@ -231,8 +236,8 @@
       request->uptime_ms, now_ms);
 }
 
-/// @return  Up to when all that counts is known: by the ledger of a gateway,
-///          or because it was lent here.
+/// @return  The time up to which all loans that count are known, from a
+///          gateway's ledger or because they were made here; zero: not known.
 static uint64_t
 known_until (const qln_lender_t *lender, const qln_account_t *account,
              const qln_request_t *request, uint64_t now_ms)
@@ -245,7 +250,7 @@
   return is_complete ? now_ms - request->ledger_age_ms : 0;
 }
 
-/// Take what the gateway knows of what was lent before.
+/// Applies what the gateway reports: unspent credit and earlier loans.
 static void
 apply_prior (const qln_lender_t *lender, qln_account_t *account,
              const qln_request_t *request, uint64_t now_ms)
@@ -272,8 +277,8 @@
   return used < max * QUO_LOW_USE_PERCENT / QUO_PERCENT;
 }
 
-/// What may be lent beyond the rate now. A request larger than all of that
-/// runs once nothing else is lent beyond the rate.
+/// @return  What may be lent beyond the rate now. A request larger than the
+///          lendable part of the bucket runs once the bucket is empty.
 static double
 bucket_left (const qln_lender_t *lender, const qln_account_t *account,
              double fraction, double min_amount, uint64_t now_ms)
@@ -286,7 +291,7 @@
   return max > level ? fraction * (max - level) : 0;
 }
 
-/// @return  How long until the level leaves room for a request.
+/// @return  Time in ms until the bucket has room for a request.
 static uint64_t
 bucket_wait_ms (const qln_lender_t *lender, const qln_account_t *account,
                 double fraction, double min_amount, uint64_t now_ms)
@@ -298,7 +303,7 @@
                          limit->rate_per_s, now_ms);
 }
 
-/// @return  How long until a request fits.
+/// @return  Time in ms until a request fits into the window.
 static uint64_t
 window_wait_ms (qln_account_t *account, double max, double min_amount,
                 uint64_t now_ms)
@@ -321,16 +326,16 @@
   return account != NULL ? account : account_open (lender, request, now_ms);
 }
 
-/// What an account may lend at a moment.
+/// What an account may lend at a given time.
 typedef struct
 {
   double max; ///< In a window.
   double used;
   double left;
-  uint64_t wait_ms; ///< Until the min_amount that is asked for is left.
+  uint64_t wait_ms; ///< Until `min_amount` of the request is left.
 } funds_t;
 
-/// Of what nobody can tell of, gateway_fraction lender counts its fraction.
+/// Of assumed loans each lender counts only its fraction.
 static funds_t
 count_funds (const qln_lender_t *lender, qln_account_t *account,
              double fraction, double min_amount, uint64_t now_ms)
@@ -350,8 +355,9 @@
   return funds;
 }
 
-/// When to request again, if less than wanted was granted. Only when a request
-/// was left without, and all is known, the quota is used up.
+/// Sets when to request again, if less than wanted was granted. The quota
+/// counts as used up only when a waiting request got nothing and the lender's
+/// role is settled.
 static void
 set_wait (const qln_account_t *account, const funds_t *funds,
           const qln_request_t *request, uint64_t now_ms, qln_grant_t *grant)
@@ -363,7 +369,7 @@
   grant->wait_ms = grant->is_pause ? RETRY_PAUSE_MS : funds->wait_ms;
 }
 
-/// What was lent beyond the rate before this account was opened.
+/// Estimates what was lent beyond the rate before the account was opened.
 static void
 init_level (const qln_lender_t *lender, qln_account_t *account,
             uint64_t now_ms)
--- a/src/coordination/quota_lend.h
+++ b/src/coordination/quota_lend.h
@@ -1,6 +1,6 @@
 /// @file quota_lend.h
-/// The lender's side of a quota (quota.h): an account for gateway_fraction
-/// workspace, of what was lent in the window.
+/// The lender's side of a quota (quota.h): for each workspace an account of
+/// what was lent in the window.
 #ifndef KB_COORDINATION_QUOTA_LEND_H
 #define KB_COORDINATION_QUOTA_LEND_H
 
@@ -14,89 +14,91 @@
   QLN_MAX_ACCOUNTS = 1024,
 };
 
-/// What a gateway knows of what was lent before its lender came into office.
+/// What a gateway knows of loans made before its lender took the role. The
+/// values are sent in messages.
 typedef enum
 {
-  QLN_PRIOR_DELIVERED, ///< It told this lender what it knew.
-  QLN_PRIOR_NONE,      ///< Nothing, but it has not just started.
-  QLN_PRIOR_LEDGER,    ///< The ledger that came with a grant.
-  QLN_PRIOR_LOST,      ///< Nothing: it has just started.
+  QLN_PRIOR_DELIVERED, ///< The lender has already received it.
+  QLN_PRIOR_NONE,      ///< Nothing, though the gateway has run for a while.
+  QLN_PRIOR_LEDGER,    ///< The ledger that came with an earlier grant.
+  QLN_PRIOR_LOST,      ///< Nothing, since the gateway has just started.
 } qln_prior_t;
 
 typedef struct
 {
   uint64_t workspace;
-  uint64_t revision; ///< Of the configuration that said the limit.
+  uint64_t revision; ///< Of the configuration that set the limit.
   quo_limit_t limit;
   qlg_ledger_t ledger;
-  uint64_t known_until_ms; ///< What was lent before is known.
+  uint64_t known_until_ms; ///< All loans up to this time are known.
   uint64_t opened_ms;
   uint64_t last_request_ms;
-  uint64_t
-      lender_role_since_ms; ///< Since then gateways use this lender for it.
-  qgw_set_t requesters[2];  ///< In this span, and in the one before.
-  uint64_t span_start_ms;   ///< When this span began.
-  /// Lent beyond the rate, by all lenders if gateway_fraction lends as this
-  /// one does.
+  /// Since when gateways use this lender for the workspace.
+  uint64_t lender_role_since_ms;
+  qgw_set_t requesters[2]; ///< In this span, and in the previous one.
+  uint64_t span_start_ms;
+  /// Lent beyond the rate by all lenders, assuming that the others lend in the
+  /// same proportion as this one.
   qlv_level_t level;
 } qln_account_t;
 
 typedef struct
 {
   quo_tolerance_t tolerance;
-  kb_map_t accounts; ///< By workspace.
-  uint64_t
-      incarnation;     ///< Another one after a restart, and no other lender's.
-  uint64_t started_ms; ///< What was lent before is not known.
-  /// Never lend more than the fraction of all lenders that the gateway_number
-  /// hears. Without it that holds for a window after all have started again,
-  /// which must be longer than a cut that hides half of the lenders.
+  kb_map_t accounts;    ///< By workspace.
+  uint64_t incarnation; ///< Unique among lenders and their restarts.
+  uint64_t started_ms;  ///< Loans from before this time are unknown.
+  /// Never lend more than the fraction of all lenders that the requesting
+  /// gateway reaches. When this is not set, the cap applies only while assumed
+  /// loans count: for one window after a restart of all daemons. The window
+  /// must then be longer than any partition that hides half of the lenders.
   bool is_capped_by_reach;
 } qln_lender_t;
 
+/// A gateway's request for credit.
 typedef struct
 {
   uint64_t workspace; ///< Hash of its name; not zero.
   uint64_t revision;
   quo_limit_t limit;
-  double min_amount; ///< For the first request that waits; zero: none does.
-  double
-      wanted_amount; ///< For all that wait, and ahead; at min_amount as much.
-  double unspent;    ///< Of what was lent here before, and has lapsed.
-  uint64_t lender_incarnation; ///< Of the lender, as the gateway knows it.
-  /// For how long the gateway has taken this lender for the right one.
+  double min_amount; ///< For the first waiting request; zero: none waits.
+  /// For all waiting requests and some expected ones; at least `min_amount`.
+  double wanted_amount;
+  double unspent; ///< Credit of this lender that expired or was returned.
+  uint64_t lender_incarnation; ///< As known to the gateway.
+  /// Time for which the gateway has considered this lender the first one.
   uint64_t lender_age_ms;
   qln_prior_t prior;
   kb_slice_t ledger;
   uint64_t ledger_age_ms;
   uint64_t uptime_ms;      ///< Of the gateway.
-  double reach;            ///< Part of all lenders that the gateway hears.
-  uint32_t gateway_number; ///< Number of the gateway; filled in by the lender.
+  double reach;            ///< Fraction of all lenders that it can reach.
+  uint32_t gateway_number; ///< Filled in by the lender.
   qgw_share_t share;       ///< Filled in by the lender.
 } qln_request_t;
 
 typedef struct
 {
   double granted;
-  uint64_t lasts_ms; ///< From when it was asked for.
-  /// Until `min_amount` would be there, if it was not granted; else until
-  /// there is anything again, if less than wanted was granted; else zero.
+  uint64_t lasts_ms; ///< Validity of the credit, from when it was requested.
+  /// Time until `min_amount` is available, if it was not granted; otherwise
+  /// until any credit is, if less than wanted was granted; otherwise zero.
   uint64_t wait_ms;
-  /// There will be more soon, and no request is beyond the quota before.
+  /// More credit will be available soon; until then no request counts as
+  /// beyond the quota.
   bool is_pause;
-  /// The lender was none for this request, and knows nothing of it.
+  /// The request was invalid or for another incarnation, and was ignored.
   bool is_refused;
 } qln_grant_t;
 
 void qln_init (qln_lender_t *lender, const quo_tolerance_t *tolerance,
                uint64_t incarnation, uint64_t now_ms);
 void qln_finish (qln_lender_t *lender);
-/// @return  Whether an request makes sense.
+/// @return  Whether all fields are in range and the ledger is well formed.
 bool qln_request_is_valid (const qln_request_t *request);
-/// Nothing is granted to an request that is not sound, nor to one that was
-/// meant for the process before this one: it does not tell what was lent
-/// before.
-/// @param ledger  What was lent up to now is appended.
+/// Grants credit. An invalid request is refused, and so is one for an earlier
+/// incarnation of the lender, since it does not carry the earlier loans.
+/// @param ledger  The present ledger is appended.
 qln_grant_t qln_lend (qln_lender_t *lender, const qln_request_t *request,
                       kb_buf_t *ledger, uint64_t now_ms);
 
--- a/src/coordination/quota_level.h
+++ b/src/coordination/quota_level.h
@@ -1,6 +1,6 @@
 /// @file quota_level.h
-/// How much of a quota is used beyond its rate: it rises with each use, and
-/// falls with the rate.
+/// Leaky bucket: how much of a quota has been used beyond its rate. The level
+/// rises with each use and falls at the rate.
 #ifndef KB_COORDINATION_QUOTA_LEVEL_H
 #define KB_COORDINATION_QUOTA_LEVEL_H
 
@@ -12,12 +12,14 @@
   uint64_t at_ms;
 } qlv_level_t;
 
-/// @return  What it is now.
+/// @return  The present level.
 double qlv_now (const qlv_level_t *level, double rate_per_s, uint64_t now_ms);
-/// Note a use, or with a negative amount what was not used after all.
+/// Adds use.
+/// @param amount  Negative for credit that was not spent; the level stays at
+///                zero or above.
 void qlv_add (qlv_level_t *level, double amount, double rate_per_s,
               uint64_t now_ms);
-/// @return  How long until it has fallen to a value.
+/// @return  Time in ms until the level has fallen to `value`.
 uint64_t qlv_time_to_ms (const qlv_level_t *level, double value,
                          double rate_per_s, uint64_t now_ms);
 
--- a/src/coordination/quota_spend.c
+++ b/src/coordination/quota_spend.c
@@ -6,31 +6,34 @@
 enum
 {
   MS_PER_S = 1000,
-  /// An answer takes some milliseconds, and 200 ms more when a packet is lost.
-  /// Then another request is sent; the first may still be granted.
+  /// A grant takes a few milliseconds, and 200 ms more when a packet is lost.
+  /// After that another request is sent; the first may still be granted.
   RESEND_MS = 200,
-  /// Without a lender requests wait this long for one.
+  /// Client requests wait this long for an answer of a lender.
   MAX_WAIT_MS = 600,
-  /// A lender that had nothing is not asked again sooner, however little is
-  /// missing: others request it as well.
+  /// Shortest time before the next request to a lender without enough credit,
+  /// however little is missing: other gateways send requests as well.
   MIN_EXHAUSTED_MS = 60,
-  /// However much is missing, others may give it back.
+  /// Longest such time: however much is missing, others may return credit.
   MAX_EXHAUSTED_MS = 400,
   DEMAND_DECAY_MS = 1000, ///< Time constant of the demand.
-  /// Asked prefetch_amount is what this many requests need at min_amount;
-  /// fewer request when they come, and little credit lapses unspent.
+  /// Credit is prefetched for at least this many client requests. With less
+  /// demand it is requested as they arrive, so that little expires unspent.
   MIN_PREFETCH_REQUESTS = 3,
   IDLE_MS = 60000,
 };
 
-/// Asked prefetch_amount is for this part of the time that credit lasts: what
-/// callers do not request for lapses, and is lost to the others.
+/// Fraction of its validity for which credit is prefetched. Credit that
+/// callers do not use expires and is lost to the other gateways.
 static const double PREFETCH_FRACTION = 0.7;
-/// Credit is asked for when less than this part of what is wanted is left.
+/// More is requested when less than this fraction of the wanted credit is
+/// left.
 static const double LOW_CREDIT_FRACTION = 0.35;
-/// Part of the overshoot that gateways without a lender may use, if all are.
+/// Fractions of the overshoot and the slack that all gateways together may use
+/// while none has a lender.
 static const double RESERVE_OVERSHOOT_FRACTION = 0.25;
 static const double RESERVE_SLACK_FRACTION = 0.5;
+/// Weight of the newest request in `mean_request`.
 static const double MEAN_WEIGHT = 0.1;
 
 void
@@ -65,7 +68,7 @@
   spender->reach = reach;
 }
 
-/// What is left of the demand that was noted last.
+/// @return  The recorded demand, decayed up to now.
 static double
 current_demand (const qsp_spender_t *spender, uint64_t now_ms)
 {
@@ -123,7 +126,8 @@
     }
 }
 
-/// Add credit; with no credit free it lapses with the newest one.
+/// Adds credit. When all entries are in use it joins the newest one, and both
+/// expire at the earlier time.
 static void
 add_credit (qsp_spender_t *spender, double amount, uint64_t until_ms)
 {
@@ -175,7 +179,7 @@
   return now_ms < spender->exhausted_until_ms ? QSP_OVER_QUOTA : QSP_WAITING;
 }
 
-/// What the requests of the time need for which credit lasts.
+/// @return  Credit needed by the requests expected while credit is valid.
 static double
 prefetch_amount (const qsp_spender_t *spender, uint64_t now_ms)
 {
@@ -184,7 +188,7 @@
   return amount < MIN_PREFETCH_REQUESTS * spender->mean_request ? 0 : amount;
 }
 
-/// Tell a new lender what the ones before it have lent.
+/// Reports the loans of earlier lenders to a new one.
 static void
 attach_ledger (const qsp_spender_t *spender, uint64_t now_ms,
                qln_request_t *request)
@@ -195,8 +199,8 @@
   request->ledger_age_ms = now_ms - ledger->received_ms;
 }
 
-/// Ask for what the first waiter lacks, what the others need, and
-/// prefetch_amount.
+/// Requests credit: as a minimum what the first waiter lacks, and beyond that
+/// the need of the other waiters and the amount to prefetch.
 static void
 send_request (qsp_spender_t *spender, uint64_t now_ms)
 {
@@ -238,7 +242,7 @@
          && qsp_credit_left (spender, now_ms) < LOW_CREDIT_FRACTION * wanted;
 }
 
-/// Whether an answer to the newest request may be on its way.
+/// @return  Whether a grant for the newest request may still be on its way.
 static bool
 is_grant_pending (const qsp_spender_t *spender, uint64_t now_ms)
 {
@@ -311,7 +315,7 @@
   return a->id == b->id && a->incarnation == b->incarnation;
 }
 
-/// Credit of the lender before is given up: it counts as spent.
+/// Drops the credit of the previous lender, which counts as spent.
 static void
 drop_lender_credit (qsp_spender_t *spender)
 {
@@ -342,7 +346,7 @@
   spender->exhausted_until_ms = 0;
   spender->next_request_ms = 0;
   spender->has_sent_ledger = false;
-  // A lender is to know at once what was lent, also if nothing more will be.
+  // A new lender needs the ledger at once, even when no credit is needed.
   if (lender->id != 0 && has_current_ledger (spender, now_ms))
     send_request (spender, now_ms);
 }
@@ -352,9 +356,9 @@
            uint64_t now_ms)
 {
   if (amount > quo_max_lent (&spender->tolerance, &spender->limit))
-    return QSP_OVER_QUOTA; // Never lent; an request would hold others up.
+    return QSP_OVER_QUOTA; // Never lent; it would block those that follow.
   record_demand (spender, amount, now_ms);
-  // Those that wait were first.
+  // In order of arrival: waiting requests come first.
   qsp_verdict_t verdict = spender->first == NULL
                               ? try_spend (spender, amount, now_ms)
                               : QSP_WAITING;
@@ -371,7 +375,7 @@
 void
 qsp_return_credit (qsp_spender_t *spender, double amount, uint64_t admitted_ms)
 {
-  // Another lender does not know of it.
+  // The present lender knows nothing of credit from an earlier one.
   if (admitted_ms >= spender->lender_since_ms)
     spender->unspent += amount;
 }
--- a/src/coordination/quota_window.c
+++ b/src/coordination/quota_window.c
@@ -11,7 +11,7 @@
   return at_ms / window->slot_ms;
 }
 
-/// Number of the oldest slot that counts at a moment.
+/// @return  Number of the oldest slot in the window at a time.
 static uint64_t
 oldest_counted_slot (const qwn_window_t *window, uint64_t now_ms)
 {
@@ -27,7 +27,7 @@
   window->newest = slot_of (window, now_ms);
 }
 
-/// Empty the slots between the newest one and another, which then is it.
+/// Makes a later slot the newest one, and clears it and those in between.
 static void
 advance (qwn_window_t *window, uint64_t slot)
 {
@@ -47,7 +47,7 @@
     advance (window, now);
 }
 
-/// The oldest slot that is kept at all.
+/// @return  Number of the oldest slot in memory.
 static uint64_t
 oldest_kept_slot (const qwn_window_t *window)
 {
@@ -86,7 +86,7 @@
       qwn_add (window, amount, now_ms - i * window->slot_ms, now_ms);
 }
 
-/// The first slot to be looked at.
+/// @return  Number of the oldest slot that is in the window and in memory.
 static uint64_t
 first_counted_slot (const qwn_window_t *window, uint64_t now_ms)
 {
