--- a/test/unit/quota_test.cc
+++ b/test/unit/quota_test.cc
@@ -159,7 +159,7 @@
 
 // At the same moment half of the daemons do not hear the others: those lend as
 // well, and nobody knows how many they are.
-TEST_F (Lender, AfterARestartOfAllItLendsNoMoreThanThePartThatIsHeard)
+TEST_F (Lender, AfterARestartOfAllItLendsNoMoreThanItsReach)
 {
   restart (kIncarnation, kNow - 2000);
   double granted = 0;
@@ -174,7 +174,7 @@
 }
 
 // Guards against two halves of a cut that each lend a short window's whole.
-TEST_F (Lender, ALenderThatKeepsToItsReachLendsThatPartAtAnyTime)
+TEST_F (Lender, ACappedLenderNeverLendsMoreThanItsReach)
 {
   lender_.is_capped_by_reach = true;
   double granted = 0;
@@ -188,7 +188,7 @@
 }
 
 // A gateway starts while others go on: what they know counts.
-TEST_F (Lender, OneThatStartsAmongOthersTakesNothingAway)
+TEST_F (Lender, AGatewayThatStartsAmongOthersReducesNothing)
 {
   lend (request_for (0, 500));
   uint64_t later_ms = kNow + 8100;
