--- a/test/model/quota_model_test.cc
+++ b/test/model/quota_model_test.cc
@@ -1,7 +1,7 @@
-// The quota of a workspace over all gateways, over seeded schedules of faults:
-// gateways that restart, freeze with credit and are cut, lenders that die,
-// come back and are heard by some only, words that are lost, late and come
-// twice, limits that fall.
+// Quota of a workspace over all gateways, under seeded schedules of faults:
+// gateways that restart, freeze while they hold credit or are cut off; lenders
+// that fail, return or are reachable for some gateways only; messages that are
+// lost, late or duplicated; limits that are lowered.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -21,12 +21,12 @@
 enum
 {
   SCHEDULES = 300,
-  /// Planted faults must be found within so many.
+  /// A planted fault must be found within this many.
   PLANTED_SCHEDULES = 300,
 };
 
-/// Far beyond its quota, so that any credit too much is spent: all the time,
-/// or after a time in which gateways had demand in turn.
+/// Demand far beyond the quota, so that any excess credit is spent: either all
+/// the time, or after a phase in which the gateways have demand in turn.
 QuotaOptions
 pressed (uint64_t seed)
 {
@@ -67,14 +67,13 @@
       QuotaOutcome out = play_quota (o);
       worst = std::max (worst, out.worst_window);
       ASSERT_EQ (out.broken, "") << describe (o);
-      // It is a quota, not a ban.
+      // A quota that admits next to nothing would pass the check above.
       ASSERT_GT (out.admitted, 0.3 * out.ideal) << describe (o);
     }
   printf ("worst window %.3f of what is allowed\n", worst);
 }
 
-/// What lies within the quota is let in while nothing is disturbed, and most
-/// of it under faults.
+/// Without faults demand within the quota is admitted.
 TEST (QuotaModel, DemandWithinTheQuotaIsAdmitted)
 {
   for (uint32_t gateways : { 1u, 20u, 70u })
@@ -88,7 +87,7 @@
       }
 }
 
-/// Each kind of fault, for half of the time.
+/// Each kind of fault, active for half of the time.
 TEST (QuotaModel, MostDemandWithinTheQuotaIsAdmittedUnderFaults)
 {
   for (int fault = 0; fault < (int)QuotaFault::FAULTS; fault++)
@@ -111,7 +110,7 @@
     }
 }
 
-/// A small workspace, whose largest requests are beyond its burst.
+/// A small workspace, whose largest requests exceed its burst.
 TEST (QuotaModel, ASmallWorkspaceIsServed)
 {
   QuotaOptions o;
@@ -122,7 +121,7 @@
   EXPECT_EQ (out.broken, "");
 }
 
-/// A quota in requests.
+/// A quota that counts requests instead of tokens.
 TEST (QuotaModel, AQuotaMayCountRequests)
 {
   QuotaOptions o;
@@ -137,7 +136,7 @@
   EXPECT_EQ (play_quota (o).broken, "");
 }
 
-/// What a plain target takes a second, from callers that want far more.
+/// A request limit of a plain target, with demand far beyond it.
 QuotaOptions
 limited_target (double per_s, uint64_t seed)
 {
@@ -201,32 +200,31 @@
   ADD_FAILURE () << "no schedule shows it";
 }
 
-// A gateway that was stopped wakes and spends what it was lent before.
+// A gateway that was suspended resumes and spends credit from before.
 TEST (QuotaModel, FindsCreditThatNeverExpires)
 {
   expect_found (QuotaPlanted::CREDIT_NEVER_LAPSES, 24);
 }
 
-// A lender that restarts, or takes another one's place, lends a whole burst
-// anew.
+// A lender that restarts or replaces another one lends a whole burst again.
 TEST (QuotaModel, FindsALenderWithoutEarlierLedgers)
 {
   expect_found (QuotaPlanted::NOTHING_IS_TOLD);
 }
 
-// Gateways that do not hear the lender are lent the whole quota by another.
+// Gateways that do not reach the lender get the whole quota from another one.
 TEST (QuotaModel, FindsASecondLenderThatLendsAll)
 {
   expect_found (QuotaPlanted::SECOND_LENDS_ALL);
 }
 
-// A grant that comes twice is spent twice.
+// A duplicated grant is spent twice.
 TEST (QuotaModel, FindsAGrantThatCountsTwice)
 {
   expect_found (QuotaPlanted::GRANT_COUNTS_TWICE);
 }
 
-// Gateways and lenders that start at one moment lend a whole burst anew.
+// Gateways and lenders that restart together lend a whole burst again.
 TEST (QuotaModel, FindsAStartThatAssumesNothing)
 {
   expect_found (QuotaPlanted::START_ASSUMES_NOTHING);
--- a/test/unit/quota_ledger_test.cc
+++ b/test/unit/quota_ledger_test.cc
@@ -1,4 +1,4 @@
-// What was used in a window, and what lenders know of each other's loans.
+// Sliding window of use, and ledgers by which lenders learn of earlier loans.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -43,7 +43,7 @@
   EXPECT_DOUBLE_EQ (sum (kNow + 1500 + kWindowMs + kSlotMs), 0);
 }
 
-// Nothing may be lost because it lies further ahead than slots are kept.
+// Use beyond the last slot must not be lost.
 TEST_F (Window, UseTooFarAheadStillCounts)
 {
   qwn_add (&window_, 5, kNow + 60000, kNow);
@@ -82,7 +82,7 @@
   qwn_window_t other;
   qwn_init (&other, kWindowMs, kNow + 7900);
   qwn_add_history (&other, &history, kNow + 7900);
-  // What was used counts there at least as long.
+  // Quarters are coarser than slots; use must not expire earlier for that.
   for (uint64_t at_ms = kNow + 7900; at_ms < kNow + 16000; at_ms += 100)
     EXPECT_GE (qwn_sum_at (&other, at_ms), qwn_sum_at (&window_, at_ms));
 }
@@ -124,7 +124,7 @@
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 2 * kWindowMs), 0);
 }
 
-// Gateways tell it in any order, some twice, some what is old.
+// Ledgers arrive from gateways in any order, repeatedly and out of date.
 TEST_F (Ledger, TheNewestLineOfALenderWins)
 {
   qlg_add_loan (&first_, 70, kNow, kNow);
@@ -143,7 +143,7 @@
   EXPECT_DOUBLE_EQ (qlg_sum (&first_, kNow + 10), 70);
 }
 
-// Lenders before the one before are handed on as well.
+// Loans of lenders before the predecessor are passed on as well.
 TEST_F (Ledger, IsPassedOnFromLenderToLender)
 {
   qlg_add_loan (&first_, 70, kNow, kNow);
@@ -175,23 +175,23 @@
 TEST_F (Ledger, InvalidLinesAreDetected)
 {
   qlg_line_t line = { 7, 1, 0, { 1, 1, 1, 1 } };
-  auto is_sound = [&line] (uint32_t len_bytes = sizeof line) {
+  auto is_valid = [&line] (uint32_t len_bytes = sizeof line) {
     return qlg_is_valid ({ (const char *)&line, len_bytes });
   };
-  EXPECT_TRUE (is_sound ());
-  EXPECT_FALSE (is_sound (sizeof line - 1));
+  EXPECT_TRUE (is_valid ());
+  EXPECT_FALSE (is_valid (sizeof line - 1));
   line.quarters[2] = -1;
-  EXPECT_FALSE (is_sound ());
+  EXPECT_FALSE (is_valid ());
   line.quarters[2] = NAN;
-  EXPECT_FALSE (is_sound ());
+  EXPECT_FALSE (is_valid ());
   line.quarters[2] = 1;
   line.lender = 0;
-  EXPECT_FALSE (is_sound ());
+  EXPECT_FALSE (is_valid ());
   std::string many (QLG_MAX_BYTES + sizeof line, 'x');
   EXPECT_FALSE (qlg_is_valid ({ many.data (), (uint32_t)many.size () }));
 }
 
-// From the future, or of an age that no sum can hold.
+// An age from before the clock's start, which overflows when it is summed.
 TEST_F (Ledger, AnImpossibleAgeIsIgnored)
 {
   qlg_line_t line = { 7, 1, UINT64_MAX, { 1, 1, 1, 1 } };
@@ -212,7 +212,7 @@
   EXPECT_DOUBLE_EQ (qlg_sum (&second_, kNow + 1000), 30);
 }
 
-// After a start the quota goes on at its rate.
+// After a restart of all daemons the quota continues at its rate.
 TEST_F (Ledger, AssumedLoansExpireAtTheRate)
 {
   qlg_assume_unknown (&first_, 10, 30, 500, kNow);
@@ -220,7 +220,7 @@
   EXPECT_NEAR (qlg_sum (&first_, kNow + 4000), 10 * 3.5 + 30, 2);
   EXPECT_DOUBLE_EQ (qlg_sum (&first_, kNow + 7800), 0);
   EXPECT_EQ (qlg_unknown_until_ms (&first_, kNow), kNow - 500);
-  // An earlier loss changes nothing.
+  // An assumption for an earlier time changes nothing.
   qlg_assume_unknown (&first_, 10, 30, 600, kNow);
   EXPECT_EQ (qlg_unknown_until_ms (&first_, kNow), kNow - 500);
 }
--- a/test/unit/quota_rank_test.cc
+++ b/test/unit/quota_rank_test.cc
@@ -1,4 +1,4 @@
-// Which sidecar lends, and since when it would have been named.
+// Which sidecar lends, and since when it has been the first.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -21,7 +21,7 @@
   return qrk_candidate_t{ rank, rank, 1, contact_since_ms, contact_lost_ms };
 }
 
-/// Ranks 20, 30 and 10 are reachable.
+/// @return  A ranking in which 20, 30 and 10 are reachable.
 qrk_ranking_t
 three_reachable (uint64_t removed_ms = 0)
 {
@@ -45,7 +45,7 @@
   EXPECT_EQ (qrk_first_since_ms (&rank), 1000u);
 }
 
-// Guards against a lender that seems new whenever another comes or goes.
+// Guards against a lender that counts as new whenever a lower one changes.
 TEST (QuotaRank, LowerRankedChangesDoNotMakeTheFirstNew)
 {
   qrk_ranking_t rank = three_reachable ();
@@ -54,7 +54,7 @@
   EXPECT_EQ (qrk_first_since_ms (&rank), 1000u);
 }
 
-// Guards against two lenders that both lend all.
+// Guards against two lenders that each lend the whole quota.
 TEST (QuotaRank, TheFirstIsNewSinceAHigherOneWasReachable)
 {
   qrk_ranking_t rank = three_reachable ();
--- a/test/unit/quota_test.cc
+++ b/test/unit/quota_test.cc
@@ -1,5 +1,5 @@
-// The quota of a workspace: what a lender lends, what a gateway spends, and
-// which part of a quota a lender may lend.
+// Quota of a workspace: what a lender lends, which fraction of the quota it
+// may lend, and what a gateway spends.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -18,9 +18,9 @@
 const quo_limit_t kLimit = { 1000, 1000 };
 constexpr uint64_t kNow = 1000000;
 constexpr uint64_t kIncarnation = 4242;
-/// What is lent in a window: 9000, and 0.6 of the tolerance.
+/// Lent in a window: an allowance of 9000 and 0.6 of the tolerance.
 constexpr double kMaxLent = 9000 * 1.06 + 600;
-/// Of that, what may be lent at one time.
+/// Of that, the most that is lent at one time.
 constexpr double kBucketCapacity = kMaxLent - 8000;
 
 qln_request_t
@@ -43,7 +43,7 @@
   return request;
 }
 
-/// A gateway that started some time ago, and knows nothing.
+/// A request of a gateway that started `uptime_ms` ago and knows of no loans.
 qln_request_t
 recently_started (double wanted_amount, uint64_t uptime_ms)
 {
@@ -75,7 +75,7 @@
     qln_init (&lender_, &kTolerance, incarnation, at_ms);
   }
   qln_lender_t lender_;
-  std::string ledger_; ///< That came with the last grant.
+  std::string ledger_; ///< Of the last grant.
 };
 
 TEST_F (Lender, LendsTheRateAndSomeBeyondIt)
@@ -90,7 +90,7 @@
   EXPECT_NEAR (lend (request_for (100, 9000), kNow + 500).granted, 500, 1e-6);
 }
 
-// In no window is more lent than it may hold.
+// Repeated requests must not get more than a window allows.
 TEST_F (Lender, AWindowHoldsWhatIsLent)
 {
   double granted = 0;
@@ -128,8 +128,9 @@
   EXPECT_NEAR (lend (request).granted, kBucketCapacity - 500, 1e-6);
 }
 
-// A gateway has not heard yet that the lender started again: what it would be
-// granted, the next gateway_number could not be former_ledger of.
+// A gateway does not know yet that the lender has restarted, and its request
+// does not carry the earlier loans. A grant to it could not be reported to the
+// next gateway that requests credit.
 TEST_F (Lender, ARequestForAnEarlierIncarnationIsRefused)
 {
   qln_request_t request = request_for (10, 10);
@@ -143,7 +144,7 @@
   EXPECT_FALSE (lend (request_for (10, 10)).is_refused);
 }
 
-// All daemons lost power, and nobody can tell what was used.
+// All daemons have restarted, and no record of the use is left.
 TEST_F (Lender, AfterARestartOfAllItLendsAtTheRate)
 {
   restart (kIncarnation, kNow - 2000);
@@ -152,13 +153,13 @@
     granted
         += lend (recently_started (9000, 2000 + passed_ms), kNow + passed_ms)
                .granted;
-  // Since the start, not since the first request.
+  // The rate counts from the start, not from the first request.
   EXPECT_LE (granted, 7000);
   EXPECT_GE (granted, 6500);
 }
 
-// At the same moment half of the daemons do not hear the others: those lend as
-// well, and nobody knows how many they are.
+// After a restart of all daemons the network is split in two halves. Each has
+// lenders, and neither knows the size of the other.
 TEST_F (Lender, AfterARestartOfAllItLendsNoMoreThanItsReach)
 {
   restart (kIncarnation, kNow - 2000);
@@ -173,7 +174,8 @@
   EXPECT_GE (granted, 3000);
 }
 
-// Guards against two halves of a cut that each lend a short window's whole.
+// Guards against two halves of a split network that each lend the whole of a
+// short window.
 TEST_F (Lender, ACappedLenderNeverLendsMoreThanItsReach)
 {
   lender_.is_capped_by_reach = true;
@@ -187,7 +189,7 @@
   EXPECT_LE (granted, 0.5 * kMaxLent);
 }
 
-// A gateway starts while others go on: what they know counts.
+// A gateway starts while the others keep running: their ledgers count.
 TEST_F (Lender, AGatewayThatStartsAmongOthersReducesNothing)
 {
   lend (request_for (0, 500));
@@ -199,8 +201,8 @@
   EXPECT_GT (lend (request_for (100, 1000), later_ms + 210).granted, 900);
 }
 
-// Another lender takes the place of one that died: gateways tell it what that
-// one has lent.
+// A lender replaces one that has failed; gateways send it the ledger of its
+// predecessor.
 TEST_F (Lender, LearnsWhatItsPredecessorLent)
 {
   lend (request_for (0, 2000));
@@ -214,12 +216,12 @@
   request.ledger_age_ms = 100;
   EXPECT_NEAR (lend (request, kNow + 100).granted, kBucketCapacity - 2000,
                1e-6);
-  // Told again by another gateway it counts once.
+  // The same ledger from another gateway counts once.
   request.unspent = 100;
   EXPECT_NEAR (lend (request, kNow + 100).granted, 100, 1e-6);
 }
 
-// One that has just come into office may share it with the one before.
+// A lender that has just taken the role may still share it with another one.
 TEST_F (Lender, LendsOnlyTheRequestersSharesUntilItsRoleIsSettled)
 {
   qln_request_t request = request_for (0, 9000);
@@ -227,12 +229,13 @@
   qln_grant_t first = lend (request);
   EXPECT_NEAR (first.granted, kBucketCapacity / 10, 1e-6);
   request.min_amount = 100;
-  EXPECT_TRUE (lend (request).is_pause) << "nobody can say that it is used up";
+  EXPECT_TRUE (lend (request).is_pause)
+      << "it is not known whether the quota is used up";
   request.lender_age_ms = 2200;
   EXPECT_GT (lend (request, kNow + 2200).granted, 1900);
 }
 
-// Two gateways, one of which another lender serves.
+// Of two gateways, another lender serves one.
 TEST_F (Lender, LendsOnlyTheRequestersSharesWhileAnotherLenderIsInUse)
 {
   qln_request_t contested = request_for (0, 9000);
@@ -244,7 +247,7 @@
   EXPECT_NEAR (lend (contested, kNow + 2000).granted, 1000 * 0.1, 20);
 }
 
-// A lower limit does not forget what was used.
+// Earlier use still counts under a lower limit.
 TEST_F (Lender, ALowerLimitHoldsAtOnce)
 {
   lend (request_for (0, 400));
@@ -253,11 +256,11 @@
   lower.limit = { 10, 10 };
   double beyond = 90 * 1.06 + 600 - 80;
   EXPECT_NEAR (lend (lower).granted, beyond - 400, 1e-6);
-  // An gateway_number that has not heard of it yet changes nothing.
+  // A request with the older limit changes nothing.
   EXPECT_NEAR (lend (request_for (0, 1000), kNow + 200).granted, 2, 1e-6);
 }
 
-// What was lent under the higher one does not close the quota for long.
+// Loans under the higher limit must not block the quota for a whole window.
 TEST_F (Lender, AfterALowerLimitItLendsAtTheNewRate)
 {
   double before = 0;
@@ -295,7 +298,7 @@
   EXPECT_EQ (lender_.accounts.len, 0u);
 }
 
-// What still counts is not forgotten to make room.
+// An account with loans that still count is not evicted to make room.
 TEST_F (Lender, AccountsAreBoundedAndExpire)
 {
   qln_request_t request = request_for (1, 1);
@@ -331,12 +334,12 @@
   EXPECT_DOUBLE_EQ (share.total_fraction, 1);
   EXPECT_DOUBLE_EQ (share.gateway_fraction, 0.25);
   EXPECT_FALSE (share.is_contested);
-  // Two of four fall silent: their parts may be lent report_elsewhere.
+  // Two of four become unreachable: their shares may be lent elsewhere.
   for (uint64_t g : { 1, 2 })
     report_elsewhere (g, {}, kNow + 2000);
   EXPECT_DOUBLE_EQ (qgw_share (&table_, 7, 1, kNow + 2000).total_fraction,
                     0.5);
-  // After a minute they are taken for gone.
+  // After a minute they count as stopped.
   for (uint64_t g : { 1, 2 })
     report_elsewhere (g, {}, kNow + 62001);
   EXPECT_DOUBLE_EQ (qgw_share (&table_, 7, 1, kNow + 62001).total_fraction, 1);
@@ -352,7 +355,7 @@
   EXPECT_FALSE (qgw_share (&table_, 7, 2, kNow + 3000).is_contested);
 }
 
-// Who was missing, or served by another lender, may have got credit there.
+// A gateway that was missing or used another lender may have credit from it.
 TEST_F (Office, ReportsHowLongItHasBeenTheOnlyLender)
 {
   for (uint64_t g : { 1, 2 })
@@ -376,13 +379,14 @@
   EXPECT_TRUE (qgw_share (&table_, 7, 2, kNow).is_contested);
 }
 
-// A lender that restarts during a cut hears from others how many there were.
+// A lender that restarts while the network is split learns the number of
+// gateways from other daemons.
 TEST_F (Office, ThePeakIsSharedAndExpires)
 {
   report_elsewhere (1, {});
   qgw_peak_merge (&table_.peak, 4, 10000, kNow);
   EXPECT_DOUBLE_EQ (qgw_share (&table_, 7, 1, kNow).total_fraction, 0.25);
-  // From the future, or from long ago.
+  // An age from before the clock's start and an expired one are ignored.
   qgw_peak_merge (&table_.peak, 400, kNow + 1, kNow);
   qgw_peak_merge (&table_.peak, 400, 60001, kNow);
   EXPECT_DOUBLE_EQ (qgw_share (&table_, 7, 1, kNow).total_fraction, 0.25);
@@ -390,7 +394,7 @@
   EXPECT_DOUBLE_EQ (qgw_share (&table_, 7, 1, kNow + 50001).total_fraction, 1);
 }
 
-/// Takes the asks that a purse sends.
+/// Records the requests that a spender sends.
 class Purse : public ::testing::Test
 {
 protected:
@@ -449,8 +453,8 @@
   static const qsp_callbacks_t kEvents;
   static constexpr uint64_t kLastsMs = 150;
   qsp_spender_t spender_;
-  std::string ledger_;                    ///< Comes with grants.
-  std::vector<std::string> sent_ledgers_; ///< Ledgers in asks.
+  std::string ledger_;                    ///< Sent with grants.
+  std::vector<std::string> sent_ledgers_; ///< Ledgers in requests.
   std::vector<uint64_t> ids_;
   std::vector<qln_request_t> requests_;
   std::vector<qsp_verdict_t> verdicts_;
@@ -484,7 +488,7 @@
   EXPECT_EQ (admit (&b, 100, kNow + 403), QSP_WAITING);
 }
 
-// One request can not keep the others of its workspace out.
+// One oversized request must not block the others of its workspace.
 TEST_F (Purse, WhatExceedsAnyWindowIsOverQuotaAtOnce)
 {
   qsp_waiter_t a = {};
@@ -495,7 +499,7 @@
   EXPECT_DOUBLE_EQ (requests_[0].min_amount, 100);
 }
 
-// A gateway that was stopped wakes with credit from before.
+// A gateway that was suspended must not spend credit from before.
 TEST_F (Purse, CreditExpires)
 {
   qsp_waiter_t a = {};
@@ -503,12 +507,12 @@
   grant (500, 0);
   EXPECT_DOUBLE_EQ (qsp_credit_left (&spender_, kNow + 10), 400);
   EXPECT_DOUBLE_EQ (qsp_credit_left (&spender_, kNow + kLastsMs), 0);
-  // A grant that comes so late is worth nothing either.
+  // Neither may it spend a grant that arrives after the credit has expired.
   admit (&a, 100, kNow + 2000);
   EXPECT_DOUBLE_EQ (requests_.back ().unspent, 400);
   grant (500, 0, kNow + 2000 + kLastsMs);
   EXPECT_EQ (verdicts_.size (), 1u);
-  ASSERT_EQ (requests_.size (), 3u) << "it asks again";
+  ASSERT_EQ (requests_.size (), 3u) << "it sends a new request";
   EXPECT_DOUBLE_EQ (requests_.back ().unspent, 500);
 }
 
@@ -525,14 +529,14 @@
   apply (99, stray, kNow + 3);
   apply (0, stray, kNow + 3);
   EXPECT_DOUBLE_EQ (qsp_credit_left (&spender_, kNow + 3), 100);
-  // Nor one of the lender before.
+  // A late grant of the previous lender does not count either.
   admit (&a, 900, kNow + 4);
   set_lender (6, kIncarnation, kNow + 5);
   apply (ids_[1], stray, kNow + 6);
   EXPECT_DOUBLE_EQ (qsp_credit_left (&spender_, kNow + 6), 0);
 }
 
-// The lender starts again, or another one takes its place.
+// The lender restarts, or another one replaces it.
 TEST_F (Purse, ANewLenderGetsTheLedgerUntilItAnswers)
 {
   qlg_line_t line = { 77, 1, 0, { 9, 0, 0, 0 } };
@@ -542,7 +546,7 @@
   EXPECT_EQ (requests_.back ().prior, QLN_PRIOR_NONE);
   grant (300, 0);
   set_lender (5, kIncarnation + 1, kNow + 10);
-  ASSERT_EQ (requests_.size (), 2u) << "at once, though nothing is wanted";
+  ASSERT_EQ (requests_.size (), 2u) << "sent at once, without need for credit";
   EXPECT_EQ (requests_[1].lender_incarnation, kIncarnation + 1);
   EXPECT_EQ (requests_[1].prior, QLN_PRIOR_LEDGER);
   EXPECT_EQ (requests_[1].ledger_age_ms, 8u);
@@ -553,7 +557,8 @@
   refused.wait_ms = 100;
   apply (ids_.back (), refused, kNow + 12);
   admit (&a, 100, kNow + 400);
-  EXPECT_EQ (sent_ledgers_.back (), ledger_) << "it has not taken it";
+  EXPECT_EQ (sent_ledgers_.back (), ledger_)
+      << "the refused request did not deliver it";
   grant (300, 0, kNow + 402);
   admit (&a, 1000, kNow + 403);
   EXPECT_EQ (requests_.back ().prior, QLN_PRIOR_DELIVERED);
@@ -573,8 +578,8 @@
   EXPECT_TRUE (sent_ledgers_.back ().empty ());
 }
 
-// A lender is not settled: what waits here is neither refused nor asks again
-// with each request.
+// The role of the lender is not settled. Waiting requests are neither refused
+// nor does each of them cause a request for credit.
 TEST_F (Purse, ARequestWaitsWhileItsLenderPauses)
 {
   qsp_waiter_t a = {};
@@ -607,8 +612,8 @@
   EXPECT_EQ (verdicts_[0], QSP_NO_LENDER);
 }
 
-// Without a lender each gateway may spend a little, so that what all spend
-// stays within the tolerance.
+// Without a lender each gateway may spend a small reserve; the sum over all
+// gateways stays within the tolerance.
 TEST_F (Purse, WithoutALenderAReserveIsSpent)
 {
   set_lender (0, 0);
@@ -625,7 +630,7 @@
   EXPECT_LE (10 * spent, allowed);
 }
 
-// A request took credit and found no target: its lender can lend that again.
+// An admitted request found no target; the lender can lend its credit again.
 TEST_F (Purse, CreditOfARequestThatDidNotRunIsReturned)
 {
   qsp_waiter_t a = {};
@@ -638,7 +643,8 @@
   set_lender (6, kIncarnation, kNow + 6000);
   qsp_return_credit (&spender_, 100, kNow + 5002);
   admit (&a, 100, kNow + 6001);
-  EXPECT_DOUBLE_EQ (requests_.back ().unspent, 0) << "another lender's";
+  EXPECT_DOUBLE_EQ (requests_.back ().unspent, 0)
+      << "it came from another lender";
 }
 
 TEST_F (Purse, ACancelledRequestWaitsNoLonger)
