--- a/src/coordination/claim_defs.h
+++ b/src/coordination/claim_defs.h
@@ -2,11 +2,11 @@
 /// Shared types of the claim protocol, by which a request with an idempotency
 /// key runs at most once. See docs/design/at-most-once.md.
 ///
-/// An entry owns each shard of keys. It grants an attempt the right to run a
-/// key; the agent that runs it (the runner) remembers the key and refuses a
-/// grant whose epoch is older than the newest epoch it has heard of for the
-/// shard. A new owner rebuilds its table from all runners and raises the
-/// epoch there, so that grants of the former owner die.
+/// Each shard of keys is owned by one entry, which grants an attempt the right
+/// to run a key. The agent that runs it (the runner) records the key and
+/// refuses a grant whose epoch is older than the newest epoch that it has
+/// received for the shard. A new owner rebuilds its table from all runners and
+/// raises the epoch there, which invalidates grants of the former owner.
 #ifndef KB_COORDINATION_CLAIM_DEFS_H
 #define KB_COORDINATION_CLAIM_DEFS_H
 
@@ -20,21 +20,21 @@
   CLM_SHARDS = 64,
 };
 
-/// What is known of a claimed key.
+/// State of a claimed key.
 typedef enum
 {
-  CLM_GRANTED = 1, ///< An attempt may run; whether it did is at the runner.
+  CLM_GRANTED = 1, ///< An attempt may run; the runner knows whether it did.
   CLM_DONE,
   CLM_FAILED,
-  CLM_UNKNOWN,  ///< The runner was lost with it.
-  CLM_RELEASED, ///< Its attempt was proved not run; the key is free.
+  CLM_UNKNOWN,  ///< The runner was lost before it reported an outcome.
+  CLM_RELEASED, ///< The attempt is proved not to have run; the key is free.
 } clm_state_t;
 
-/// One claim, as owners keep it and daemons exchange it.
+/// One claim, as kept by owners and exchanged between daemons.
 typedef struct
 {
   uint64_t key;
-  uint64_t digest; ///< Of workspace and body; tells another body apart.
+  uint64_t digest; ///< Of workspace and body; detects a different body.
   uint64_t attempt;
   uint64_t incarnation; ///< Of the runner.
   uint64_t changed_ms;  ///< Local time of the last change.
@@ -46,12 +46,12 @@
 typedef enum
 {
   CLM_VERDICT_GRANTED = 1,
-  CLM_VERDICT_HELD,       ///< Another attempt holds it; ask its runner.
-  CLM_VERDICT_FINISHED,   ///< It ran; the outcome says how it ended.
-  CLM_VERDICT_MISMATCH,   ///< Same key, another body.
-  CLM_VERDICT_UNKNOWN,    ///< It may have run and nobody can tell.
-  CLM_VERDICT_NOT_OWNER,  ///< Ask the present owner.
-  CLM_VERDICT_REBUILDING, ///< Not answered yet; come back shortly.
+  CLM_VERDICT_HELD,       ///< Another attempt holds it; query its runner.
+  CLM_VERDICT_FINISHED,   ///< It ran; the record's state is the outcome.
+  CLM_VERDICT_MISMATCH,   ///< Same key, different body.
+  CLM_VERDICT_UNKNOWN,    ///< It may have run; the outcome is unknown.
+  CLM_VERDICT_NOT_OWNER,  ///< Claim at the present owner instead.
+  CLM_VERDICT_REBUILDING, ///< Not decided; claim again shortly.
   CLM_VERDICT_FULL,       ///< The table is full; certainly not run.
 } clm_verdict_t;
 
@@ -62,9 +62,9 @@
   return (uint32_t)(key >> 32) % CLM_SHARDS;
 }
 
-/// Append one record in wire form.
+/// Appends one record in wire form.
 void clm_record_pack (const clm_record_t *record, kb_buf_t *out);
-/// Take one record from the front of a slice.
+/// Reads one record from the front of a slice and advances the slice.
 /// @return  False at the end or when the rest is malformed.
 bool clm_record_unpack (kb_slice_t *in, clm_record_t *out);
 
--- a/src/coordination/claim_owner.c
+++ b/src/coordination/claim_owner.c
@@ -88,8 +88,8 @@
 claim_unseen (clm_owner_t *owner, const clm_shard_t *shard,
               const clm_claim_t *claim, uint64_t now_ms)
 {
-  // The former owner and a runner were lost together: an absent key is no
-  // proof that it never ran, and running it might double it.
+  // The former owner and a runner were lost together. A key without a record
+  // may have run, and could run twice if it were granted.
   if (now_ms < shard->uncertain_until_ms)
     return (clm_answer_t){ .verdict = CLM_VERDICT_UNKNOWN };
   if (owner->records.len >= owner->limit)
@@ -113,8 +113,8 @@
     return claim_unseen (owner, shard, claim, now_ms);
   if (record->digest != claim->digest)
     return (clm_answer_t){ CLM_VERDICT_MISMATCH, shard->epoch, record };
-  // A claim whose answer was lost is asked again by the same attempt, which
-  // has not been dispatched yet.
+  // When the reply to a claim is lost, the same attempt claims again; it has
+  // not been dispatched yet.
   bool is_repeat
       = record->state == CLM_GRANTED && record->attempt == claim->attempt;
   bool is_free = is_repeat || record->state == CLM_RELEASED
@@ -131,7 +131,7 @@
                           clm_state_t state, uint64_t now_ms)
 {
   clm_record_t *record = kb_map_get (&owner->records, key);
-  // A late note about an attempt that was voided and replaced must not touch
+  // A late outcome of an attempt that was voided and replaced must not change
   // the claim of the attempt that replaced it.
   if (record == NULL || record->attempt != attempt)
     return;
@@ -162,7 +162,7 @@
   owner->shards[shard] = (clm_shard_t){ CLM_SHARD_REBUILDING, epoch, 0 };
 }
 
-/// How much a state tells; a merge keeps the most certain one.
+/// @return  Rank of a state; a merge keeps the state with the highest one.
 static int
 state_certainty (clm_state_t state)
 {
@@ -230,8 +230,8 @@
     }
 }
 
-/// A granted claim may still run until its deadline, which is at most one
-/// window, and is then remembered for one more.
+/// A granted claim may run until its deadline, which is at most one window
+/// away, and is then kept for one more window.
 static uint64_t
 record_ttl_ms (const clm_owner_t *owner, const clm_record_t *record)
 {
--- a/src/coordination/claim_owner.h
+++ b/src/coordination/claim_owner.h
@@ -8,7 +8,7 @@
 
 typedef enum
 {
-  CLM_SHARD_FOREIGN, ///< Owned by another entry or by nobody.
+  CLM_SHARD_FOREIGN, ///< Owned by another entry or by none.
   CLM_SHARD_REBUILDING,
   CLM_SHARD_READY,
 } clm_shard_state_t;
@@ -17,8 +17,8 @@
 {
   clm_shard_state_t state;
   uint64_t epoch;
-  /// Until then a key that is not in the table may have run at a runner whose
-  /// memory was lost together with the former owner's.
+  /// Until then a key without a record may have run at a runner whose records
+  /// were lost together with the former owner's.
   uint64_t uncertain_until_ms;
 } clm_shard_t;
 
@@ -30,13 +30,13 @@
   uint64_t window_ms;
 } clm_owner_t;
 
-/// A claim that an entry makes for one attempt.
+/// Claim of an entry for one attempt.
 typedef struct
 {
   uint64_t key;
   uint64_t digest;
   uint64_t attempt;
-  uint64_t voided_attempt; ///< Proved not run, or zero.
+  uint64_t voided_attempt; ///< Proved not to have run; zero: none.
   uint64_t incarnation;
   uint64_t runner;
 } clm_claim_t;
@@ -45,35 +45,37 @@
 {
   clm_verdict_t verdict;
   uint64_t epoch;
-  const clm_record_t *record; ///< The holder, when there is one.
+  const clm_record_t *record; ///< Of the holder, or NULL.
 } clm_answer_t;
 
 void clm_owner_init (clm_owner_t *owner, uint32_t limit, uint64_t window_ms);
 void clm_owner_finish (clm_owner_t *owner);
-/// Decide on a claim and remember it when granted.
+/// Decides on a claim, and records it when granted.
 clm_answer_t clm_owner_claim (clm_owner_t *owner, const clm_claim_t *claim,
                               uint64_t now_ms);
-/// An attempt ended, or its runner was lost (CLM_UNKNOWN).
+/// Records the outcome of an attempt; CLM_UNKNOWN when its runner was lost.
 void clm_owner_record_outcome (clm_owner_t *owner, uint64_t key,
                                uint64_t attempt, clm_state_t state,
                                uint64_t now_ms);
-/// Every granted claim at a lost runner becomes unknown.
+/// Sets every granted claim at a lost runner to CLM_UNKNOWN.
 void clm_owner_runner_lost (clm_owner_t *owner, uint64_t runner,
                             uint64_t incarnation, uint64_t now_ms);
-/// Take a shard over; it answers CLM_VERDICT_REBUILDING until ready.
+/// Takes over a shard. Claims get CLM_VERDICT_REBUILDING until the rebuild has
+/// ended.
 void clm_owner_begin_rebuild (clm_owner_t *owner, uint32_t shard,
                               uint64_t epoch);
-/// Merge one record that a runner or a former owner remembers.
+/// Merges one record from a runner or a former owner.
 void clm_owner_merge (clm_owner_t *owner, const clm_record_t *record,
                       uint64_t now_ms);
-/// All records are in.
-/// @param is_complete  Whether every memory of the window took part.
+/// Ends a rebuild after all records have been merged.
+/// @param is_complete  Whether all records of the window were available.
 void clm_owner_end_rebuild (clm_owner_t *owner, uint32_t shard,
                             bool is_complete, uint64_t now_ms);
-/// Give a shard up: it stops answering, and its records are appended.
+/// Gives up a shard: claims are no longer granted, and its records are removed
+/// and appended to `records`.
 void clm_owner_release_shard (clm_owner_t *owner, uint32_t shard,
                               kb_buf_t *records);
-/// Forget records older than the window.
+/// Removes records older than the window.
 void clm_owner_expire (clm_owner_t *owner, uint64_t now_ms);
 
 #endif
--- a/src/coordination/claim_runner.c
+++ b/src/coordination/claim_runner.c
@@ -81,9 +81,9 @@
   if (key != 0)
     {
       uint64_t *newest = &runner->epochs[clm_shard (key)];
-      // A paused owner wakes up and grants from a table that no longer
-      // counts. The epoch was raised here while the new owner rebuilt, so
-      // the old grant dies.
+      // A former owner that was paused may resume and grant from an outdated
+      // table. The new owner's rebuild has raised the epoch here, so such a
+      // grant is refused.
       if (epoch < *newest)
         return CLM_ADMIT_STALE_EPOCH;
       *newest = epoch;
@@ -212,7 +212,7 @@
         && now_ms - run->changed_ms > runner->window_ms)
       {
         if ((count & 255) == 0)
-          // An array of pointers is meant.
+          // An array of pointers is intended.
           // NOLINTNEXTLINE(bugprone-sizeof-expression)
           old = kb_realloc (old, (count + 256) * sizeof *old);
         old[count++] = run;
--- a/src/coordination/claim_runner.h
+++ b/src/coordination/claim_runner.h
@@ -1,6 +1,6 @@
 /// @file claim_runner.h
 /// The runner's side of the claim protocol, held by an agent: which attempts
-/// and keys ran here, which attempts are void, and the newest epoch of each
+/// and keys ran here, which attempts are voided, and the newest epoch of each
 /// shard. No I/O.
 #ifndef KB_COORDINATION_CLAIM_RUNNER_H
 #define KB_COORDINATION_CLAIM_RUNNER_H
@@ -19,14 +19,14 @@
 
 typedef enum
 {
-  CLM_RUN_WAITING = 1, ///< Admitted; the engine was not asked yet.
+  CLM_RUN_WAITING = 1, ///< Admitted, but not sent to the engine yet.
   CLM_RUN_STARTED,
   CLM_RUN_DONE,
   CLM_RUN_FAILED,
   CLM_RUN_VOIDED,
 } clm_run_state_t;
 
-/// One attempt; keyed ones are remembered for the window.
+/// One attempt; kept for the window after its end.
 typedef struct
 {
   uint64_t attempt;
@@ -34,10 +34,10 @@
   uint64_t digest;
   uint64_t changed_ms;
   clm_run_state_t state;
-  char *answer; ///< Kept answer of a finished keyed request, or NULL.
+  char *answer; ///< Cached answer of a finished keyed request, or NULL.
   uint32_t answer_bytes;
   char content_type[64];
-  uint64_t answer_order; ///< Grows; the lowest is dropped first.
+  uint64_t answer_order; ///< Increasing; the lowest is dropped first.
 } clm_run_t;
 
 typedef struct
@@ -55,35 +55,37 @@
 void clm_runner_init (clm_runner_t *runner, uint32_t limit, uint64_t window_ms,
                       uint64_t answer_limit_bytes);
 void clm_runner_finish (clm_runner_t *runner);
-/// An attempt arrives.
-/// @param key  Zero without an idempotency key; digest and epoch are unused
-///             then.
+/// Admits or refuses an attempt that has arrived.
+/// @param key  Zero without an idempotency key; digest and epoch are then
+///             unused.
 clm_admit_t clm_runner_admit (clm_runner_t *runner, uint64_t attempt,
                               uint64_t key, uint64_t digest, uint64_t epoch,
                               uint64_t now_ms);
-/// An admitted attempt changes its state. Every attempt is remembered for the
-/// window after its end, keyed or not: forgetting a finished one would let a
-/// later revocation call it void, and it would run again elsewhere.
+/// Sets the state of an admitted attempt. Every attempt, keyed or not, is kept
+/// for the window after its end: otherwise a later revocation would report a
+/// finished one as voided, and it would run again elsewhere.
 void clm_runner_set_state (clm_runner_t *runner, uint64_t attempt,
                            clm_run_state_t state, uint64_t now_ms);
-/// Revoke an attempt. One that is unknown becomes void: it can not start any
-/// more, even when its message arrives later. One that waits here is left to
-/// wait: two senders of one key would otherwise void each other in turn.
+/// Revokes an attempt. An unknown attempt is voided: it can not start, even
+/// when its message arrives later. A waiting one keeps waiting; otherwise two
+/// senders of one key could void each other's attempts in turn.
 /// @return  The state after the revocation.
 clm_run_state_t clm_runner_revoke (clm_runner_t *runner, uint64_t attempt,
                                    uint64_t now_ms);
 clm_run_t *clm_runner_find_key (clm_runner_t *runner, uint64_t key);
 clm_run_t *clm_runner_find (clm_runner_t *runner, uint64_t attempt);
-/// Keep the answer of a finished keyed attempt, dropping the oldest ones.
+/// Caches the answer of a keyed attempt; the oldest answers make room. An
+/// answer of more than a quarter of the limit is not cached.
 void clm_runner_keep_answer (clm_runner_t *runner, uint64_t attempt,
                              const char *content_type, kb_slice_t answer);
-/// Raise the epochs of the shards named and append their records.
-/// @param epochs  CLM_SHARDS values; zero leaves a shard alone.
+/// Raises the epochs of the given shards and appends their records.
+/// @param epochs  CLM_SHARDS values; zero: skip the shard.
 /// @param name    Hash of the own name, for the records.
 void clm_runner_recover (clm_runner_t *runner, const uint64_t *epochs,
                          uint64_t name, uint64_t incarnation,
                          kb_buf_t *records);
-/// Refuse grants below this epoch from now on; a lower one changes nothing.
+/// Refuses grants below this epoch from now on. An epoch below the present one
+/// changes nothing.
 void clm_runner_raise_epoch (clm_runner_t *runner, uint32_t shard,
                              uint64_t epoch);
 void clm_runner_expire (clm_runner_t *runner, uint64_t now_ms);
--- a/src/coordination/member.c
+++ b/src/coordination/member.c
@@ -14,9 +14,9 @@
                      && now_ms - vm->last_message_ms > options->gone_after_ms;
       return is_gone ? MEM_GONE : MEM_DOWN;
     }
-  // The list lags in both directions. A VM that it calls leaving gets no new
-  // work even while it answers; one that it lacks but that answers is used,
-  // since its own word is newer than the list.
+  // The list lags in both directions. A VM listed as leaving gets no new work
+  // even while it answers. One that is not listed but answers is used, since
+  // its own report is newer than the list.
   if (vm->listed == MEM_LISTED_LEAVING || vm->reported == MEM_REPORTED_LEAVING)
     return MEM_LEAVING;
   return MEM_UP;
--- a/test/unit/claim_test.cc
+++ b/test/unit/claim_test.cc
@@ -1,5 +1,5 @@
 // Claim protocol: tables of owner and runner, and an exhaustive exploration
-// of a small system with loss, delay, pause, restart and takeover.
+// of a small system with message loss, delay, pause, restart and takeover.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -75,7 +75,7 @@
 {
   EXPECT_EQ (verdict (make_claim (1, 1)), CLM_VERDICT_GRANTED);
   EXPECT_EQ (verdict (make_claim (2, 2, 1)), CLM_VERDICT_GRANTED);
-  // A proof about an attempt that no longer holds the key frees nothing.
+  // Proof about an attempt that no longer holds the key does not free it.
   EXPECT_EQ (verdict (make_claim (3, 3, 1)), CLM_VERDICT_HELD);
 }
 
@@ -87,8 +87,9 @@
   EXPECT_EQ (verdict (make_claim (3, 3)), CLM_VERDICT_HELD);
 }
 
-// An agent crashes with a claim. Its key must answer "unknown" and never run
-// again, however often it is re-sent within the window.
+// An agent crashes while it holds a claim. Claims of the key must be answered
+// with "unknown" and never run again, however often it is sent within the
+// window.
 TEST_F (OwnerTest, LostRunnerMakesItsClaimsUnknown)
 {
   verdict (make_claim (1, 1));
@@ -96,8 +97,8 @@
   EXPECT_EQ (verdict (make_claim (2, 2)), CLM_VERDICT_UNKNOWN);
 }
 
-// Owner and runner are lost together. The new owner does not see the key and
-// must not take that for "never ran" until the window has passed.
+// Owner and runner are lost together. The new owner has no record of the key
+// and must not conclude that it never ran until the window has passed.
 TEST_F (OwnerTest, UnseenKeyIsUnknownAfterDoubleLoss)
 {
   clm_owner_begin_rebuild (&owner, clm_shard (kKey), 4);
@@ -160,8 +161,8 @@
   clm_runner_t runner;
 };
 
-// The entry gives an attempt up and asks the agent to void it; the attempt's
-// message arrives afterwards. It must not start any more.
+// The entry gives up an attempt and revokes it at the agent; the attempt's
+// message arrives afterwards and must not start it.
 TEST_F (RunnerTest, RevokedAttemptNeverStarts)
 {
   EXPECT_EQ (clm_runner_revoke (&runner, 9, 1), CLM_RUN_VOIDED);
@@ -179,8 +180,8 @@
 }
 
 // An unkeyed request ends, its END message is lost with a connection, and the
-// entry asks. Had the agent forgotten it, it would call it void, and the
-// entry would run it a second time.
+// entry revokes the attempt. If the agent had forgotten it, it would report it
+// as void, and the entry would run the request a second time.
 TEST_F (RunnerTest, FinishedUnkeyedAttemptIsRemembered)
 {
   clm_runner_admit (&runner, 1, 0, 0, 0, 1);
@@ -225,10 +226,11 @@
 //
 // Two senders of one key (entries E0, E1), owner A, later owner B, runners R0
 // and R1. Every interleaving of steps is visited: messages may be delayed
-// without bound or lost; A may be paused and wake after B took over; a runner
-// may restart and lose its memory. The property: the key runs at most once.
+// without bound or lost; A may be paused and resume after B took over; a
+// runner may restart and lose its memory. Invariant: the key runs at most
+// once.
 
-/// Switches that plant a bug, so that the explorer is seen to find it.
+/// Planted bugs, each of which the explorer must find.
 struct Bugs
 {
   bool no_epoch_check = false;
@@ -263,7 +265,7 @@
   kFinished
 };
 
-/// All of the state but the messages; compared byte by byte.
+/// The state without the messages; compared byte by byte.
 struct Plain
 {
   // Senders.
@@ -273,7 +275,7 @@
   char voided[2] = { 0, 0 };
   char holder[2] = { 0, 0 };
   char holder_runner[2] = { 0, 0 };
-  // Owners: the record each holds (attempt, runner, incarnation).
+  // Owners: the record of each (attempt, runner, incarnation).
   char owner_ready[2] = { 1, 0 };
   char rec_attempt[2] = { 0, 0 };
   char rec_runner[2] = { 0, 0 };
@@ -350,7 +352,7 @@
         { 'c', w.map_owner, (char)e, w.attempt[e], runner, w.voided[e], 0 });
   }
 
-  /// Sender e starts or starts again at a runner.
+  /// Sender e starts, or tries again, at a runner.
   void
   start (const World &w, int e)
   {
@@ -475,7 +477,7 @@
       }
   }
 
-  /// B asks a runner: it raises the epoch there and tells what ran.
+  /// B recovers from a runner, which raises its epoch and reports what ran.
   void
   rebuild_from (const World &w, int r)
   {
@@ -500,7 +502,7 @@
       {
         if (w.stage[e] == kIdle && w.tries[e] < 2)
           start (w, e);
-        // Giving up: a caller sees "unknown"; nothing is proved.
+        // Giving up: the caller gets "unknown"; nothing is proved.
         if (w.stage[e] != kFinished && w.stage[e] != kIdle)
           {
             World n = w;
@@ -518,7 +520,7 @@
         next_.push_back (n);
         next_.push_back (lost);
       }
-    // Takeover: A is paused, not stopped; it still answers what reaches it.
+    // Takeover: A is paused, not stopped, and still answers messages.
     if (!w.b_started)
       {
         World n = w;
@@ -546,14 +548,14 @@
           n.inc[r]++;
           n.ran[r] = 0;
           n.voids[r] = 0;
-          // It reads the shard map after it registered.
+          // A runner reads the shard map after it has registered.
           n.epoch[r] = bugs_.no_map_read ? 0 : (char)(n.map_owner + 1);
-          // Messages on the old connection die with it.
+          // Messages on the old connection are lost.
           for (auto it = n.wire.begin (); it != n.wire.end ();)
             it = (it->kind == 'd' || it->kind == 'v') && it->to == r
                      ? n.wire.erase (it)
                      : std::next (it);
-          // The live owner learns it from the new incarnation's hello.
+          // The owner learns of it by the hello of the new incarnation.
           for (int o = 0; o < 2; o++)
             if (n.owner_ready[o] && n.rec_attempt[o] != 0
                 && n.rec_runner[o] == r)
@@ -584,9 +586,9 @@
   EXPECT_GT (Explorer (bugs).explore (), 1);
 }
 
-// Found by this exploration in the first form of the protocol: a grant is
-// delayed, another sender has the attempt voided and runs, the runner restarts
-// and forgets both, and then the old grant is dispatched to it.
+// A grant is delayed, another sender has the attempt voided and runs, the
+// runner restarts and forgets both, and then the old grant is dispatched to
+// it.
 TEST (ClaimExploration, FindsMissingIncarnationCheck)
 {
   Bugs bugs;
@@ -594,8 +596,8 @@
   EXPECT_GT (Explorer (bugs).explore (), 1);
 }
 
-// Found by this exploration as well: a runner that was heard in a rebuild
-// restarts, forgets the raised epoch, and takes a grant of the former owner.
+// A runner that took part in a rebuild restarts, forgets the raised epoch, and
+// accepts a grant of the former owner.
 TEST (ClaimExploration, FindsMissingMapRead)
 {
   Bugs bugs;
