--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -33,7 +33,7 @@
   return false;
 }
 
-/// @return  Whether two callers were alone at an end each.
+/// @return  Whether there are enough ends, with two callers alone at one each.
 static bool
 is_proven_for_all (const qrt_record_t *record)
 {
@@ -53,7 +53,7 @@
   return ends >= QRT_ENDS_HELD && has_end_alone (record, caller);
 }
 
-/// @return  Whether it is held for anyone.
+/// @return  Whether the ends suffice to hold the request for any caller.
 static bool
 is_proven (const qrt_record_t *record)
 {
@@ -68,14 +68,14 @@
 static uint64_t
 hold_ms_of (const qrt_record_t *record)
 {
-  uint32_t more = record->end_count > QRT_ENDS_HELD
-                      ? record->end_count - QRT_ENDS_HELD
-                      : 0;
-  return (uint64_t)QRT_HOLD_MS << more;
+  uint32_t extra = record->end_count > QRT_ENDS_HELD
+                       ? record->end_count - QRT_ENDS_HELD
+                       : 0;
+  return (uint64_t)QRT_HOLD_MS << extra;
 }
 
-/// A request that was held begins alone for as long again, before it counts
-/// as any other.
+/// After a hold the request begins alone for the same time again, before it is
+/// treated like any other.
 static uint64_t
 expiry_ms_of (const qrt_record_t *record)
 {
@@ -125,7 +125,6 @@
   return expiry_ms > age_ms ? expiry_ms - age_ms : 0;
 }
 
-/// Drop an entry.
 static void
 entry_drop (qrt_table_t *table, qrt_entry_t *entry)
 {
@@ -133,25 +132,25 @@
   free (entry);
 }
 
-/// Whether all daemons are to know it. Many requests are beginning at targets
-/// that end together, and most are suspected once and never again: passed on
-/// to all, their words would fill the links of a large fleet.
+/// @return  Whether the record is shared with all daemons. When targets end
+///          together, many requests are beginning there, most of which have
+///          one end and never another; sharing their records would fill the
+///          links of a large fleet.
 static bool
 is_shared (const qrt_record_t *record)
 {
   return record->end_count >= QRT_ENDS_ALONE || record->generation > 0;
 }
 
-/// How much is lost with a record.
+/// @return  Importance of a record; the lowest is evicted first.
 static int
 eviction_rank (const qrt_record_t *record)
 {
   return is_proven (record) ? 2 : is_shared (record);
 }
 
-/// @return  The entry that is missed least: one that holds nothing before one
-///          that does, the oldest first.
-/// @param first_caller  Of this caller alone; zero: of any.
+/// @param first_caller  Consider only entries of this caller; zero: all.
+/// @return              The least important entry, the oldest of those.
 static qrt_entry_t *
 eviction_candidate (const qrt_table_t *table, uint64_t first_caller)
 {
@@ -183,8 +182,8 @@
   return count;
 }
 
-/// Make room, first among the caller's own: one that sends thousands of
-/// requests of this kind can not make others' be forgotten.
+/// Adds an entry. A caller's own entries make room first, so that one that
+/// sends thousands of such requests cannot evict the entries of others.
 static qrt_entry_t *
 entry_add (qrt_table_t *table, uint64_t request, uint64_t first_caller)
 {
@@ -215,7 +214,7 @@
            (record->end_count - at) * sizeof *record->ends);
 }
 
-/// Add an end. Of more than there is room for, all daemons keep the same.
+/// Adds an end. Of more than QRT_MAX_ENDS, all daemons keep the same ones.
 /// @return  Whether the record changed.
 static bool
 end_add (qrt_record_t *record, const qrt_end_t *end)
@@ -273,7 +272,7 @@
   return true;
 }
 
-/// Whether another daemon can have come to know this.
+/// @return  Whether a received record is well formed.
 static bool
 is_valid_record (const qrt_record_t *record)
 {
@@ -290,7 +289,7 @@
   return true;
 }
 
-/// @return  Whether anything of it was new.
+/// @return  Whether the received record changed the entry.
 static bool
 record_merge (qrt_table_t *table, const qrt_record_t *received,
               uint64_t now_ms)
@@ -328,22 +327,23 @@
 }
 
 bool
-qrt_merge (qrt_table_t *table, kb_slice_t words, uint64_t now_ms,
+qrt_merge (qrt_table_t *table, kb_slice_t records, uint64_t now_ms,
            kb_buf_t *changed)
 {
-  uint32_t count = words.len_bytes / (uint32_t)sizeof (qrt_record_t);
-  if (words.len_bytes % sizeof (qrt_record_t) != 0 || count > QRT_MAX_ENTRIES)
+  uint32_t count = records.len_bytes / (uint32_t)sizeof (qrt_record_t);
+  if (records.len_bytes % sizeof (qrt_record_t) != 0
+      || count > QRT_MAX_ENTRIES)
     return false;
   qrt_record_t record;
   for (uint32_t i = 0; i < count; i++)
     {
-      memcpy (&record, words.ptr + i * sizeof record, sizeof record);
+      memcpy (&record, records.ptr + i * sizeof record, sizeof record);
       if (!is_valid_record (&record))
         return false;
     }
   for (uint32_t i = 0; i < count; i++)
     {
-      memcpy (&record, words.ptr + i * sizeof record, sizeof record);
+      memcpy (&record, records.ptr + i * sizeof record, sizeof record);
       bool is_new = record_merge (table, &record, now_ms);
       const qrt_entry_t *entry = kb_map_get (&table->entries, record.request);
       if (is_new && changed != NULL && is_shared (&entry->record))
@@ -383,19 +383,19 @@
 uint64_t
 qrt_digest (const qrt_table_t *table)
 {
-  uint64_t stamp = 0;
+  uint64_t digest = 0;
   uint32_t at = 0;
   for (const qrt_entry_t *e = next_entry (table, &at); e != NULL;
        e = next_entry (table, &at))
     {
       if (!is_shared (&e->record))
         continue;
-      // Entries come in any order.
+      // The order of entries is undefined, so their hashes are summed.
       uint64_t seed = e->record.request + e->record.generation;
-      stamp += kb_hash (e->record.ends,
-                        e->record.end_count * sizeof *e->record.ends, seed);
+      digest += kb_hash (e->record.ends,
+                         e->record.end_count * sizeof *e->record.ends, seed);
     }
-  return stamp == 0 ? 0 : stamp | 1;
+  return digest == 0 ? 0 : digest | 1;
 }
 
 void
@@ -407,7 +407,7 @@
     if (age_ms_of (e, now_ms) >= expiry_ms_of (&e->record))
       {
         entry_drop (table, e);
-        // Removal moves entries; begin again.
+        // Removal moves entries; start over.
         at = 0;
       }
 }
--- a/src/coordination/quarantine.h
+++ b/src/coordination/quarantine.h
@@ -1,27 +1,28 @@
 /// @file quarantine.h
-/// Which requests are kept from targets because targets ended under them.
-/// No I/O; time is an argument.
+/// Quarantine of requests under which targets end. No I/O; time is an
+/// argument.
 ///
-/// A request that ends each target that begins to run it is sent again by its
-/// caller, through any gateway, and takes the requests of others with it each
-/// time. What a gateway sees is only who was beginning at a target when it
-/// ended; most of those merely shared it. Three steps tell them apart:
+/// A request that ends every target that begins to run it is sent again by its
+/// caller, through any gateway, and each time the target's other requests fail
+/// with it. A gateway sees only which requests were beginning at a target when
+/// it ended, and most of those merely shared it. They are told apart in three
+/// steps:
 ///
-/// - one end proves nothing, and changes nothing for anyone;
-/// - after two, a request begins alone: while it does, no other request begins
-///   at that target. One that merely shared a target is served so, and what
-///   was noted of it is cleared;
-/// - after three, of which it was alone at one at least, it is held: refused
-///   for a time that doubles with each further end.
+/// - one end proves nothing and has no effect;
+/// - after two ends, a request begins alone: while it begins, no other request
+///   begins at that target. A request that merely shared targets is served
+///   this way, and its record is cleared;
+/// - after three ends, in at least one of which it was alone, the request is
+///   held: refused for a time that doubles with each further end.
 ///
-/// Ends under one caller's sends hold that caller's request alone. A request
-/// is held for all callers only when two of them were alone at an end, so that
-/// no caller can shut out another one's.
+/// Ends under requests of one caller hold the request for that caller only. It
+/// is held for all callers when each of two callers was alone at an end, so
+/// that no caller can block a request of another one.
 ///
-/// Gateways and sidecars pass on what they know. An entry is a set of ends and
-/// a generation that grows when it is cleared; merging two is the same in any
-/// order and any number of times. What is remembered is bounded, in all and
-/// for each caller, and lapses.
+/// Gateways and sidecars exchange records. A record is a set of ends and a
+/// generation that grows when the record is cleared; merging is commutative
+/// and idempotent. The number of records is bounded, in total and per caller,
+/// and records expire.
 #ifndef KB_COORDINATION_QUARANTINE_H
 #define KB_COORDINATION_QUARANTINE_H
 
@@ -33,29 +34,29 @@
 
 enum
 {
-  /// Ends after which a request begins alone, and after which it is held.
+  /// Ends from which on a request begins alone, and from which on it is held.
   QRT_ENDS_ALONE = 2,
   QRT_ENDS_HELD = 3,
-  /// Ends kept for one request; more than are needed to hold it make the hold
-  /// longer.
+  /// Ends kept for one request. Those beyond QRT_ENDS_HELD prolong the hold.
   QRT_MAX_ENDS = 6,
   QRT_MAX_ENTRIES = 256,
-  /// Entries that begin with an end under one caller's send.
+  /// Entries whose first end was under a request of the same caller.
   QRT_MAX_ENTRIES_PER_CALLER = 32,
-  /// Hold after QRT_ENDS_HELD ends, doubled with each further one. Requests
-  /// that are not held are forgotten after as long without another end.
+  /// Hold time after QRT_ENDS_HELD ends; doubles with each further end.
+  /// Records of requests that are not held expire after this time without
+  /// another end.
   QRT_HOLD_MS = 600000,
 };
 
 /// A target ended while the request was beginning there.
 typedef struct
 {
-  uint64_t target; ///< Hash of its incarnation; not zero.
-  uint64_t caller; ///< Hash of the sender.
-  uint64_t is_alone;
+  uint64_t target;   ///< Hash of its incarnation; not zero.
+  uint64_t caller;   ///< Hash of the sender.
+  uint64_t is_alone; ///< No other request was beginning there.
 } qrt_end_t;
 
-/// What is known of one request; also the form in which it is passed on.
+/// Record of one request, as kept and as sent in messages.
 typedef struct
 {
   uint64_t request;      ///< Its fingerprint; not zero.
@@ -63,13 +64,13 @@
   uint64_t age_ms;       ///< Since the last end, or since it was cleared.
   uint32_t generation;
   uint32_t end_count;
-  qrt_end_t ends[QRT_MAX_ENDS]; ///< Those alone first, then by target.
+  qrt_end_t ends[QRT_MAX_ENDS]; ///< Sorted: alone first, then by target.
 } qrt_record_t;
 
 typedef struct
 {
   qrt_record_t record;
-  uint64_t since_ms; ///< Moment of record.age_ms zero.
+  uint64_t since_ms; ///< When `record.age_ms` was zero.
 } qrt_entry_t;
 
 typedef struct
@@ -80,49 +81,49 @@
 typedef enum
 {
   QRT_FREE,
-  QRT_ALONE, ///< It may run where no other request begins meanwhile.
+  QRT_ALONE, ///< It may run at a target where no other request begins.
   QRT_HELD,
 } qrt_verdict_t;
 
 void qrt_table_init (qrt_table_t *table);
 void qrt_table_finish (qrt_table_t *table);
-/// @param hold_ms  How much longer it is held; may be NULL.
+/// @param hold_ms  Set to the remaining hold time when held; may be NULL.
 qrt_verdict_t qrt_judge (const qrt_table_t *table, uint64_t request,
                          uint64_t caller, uint64_t now_ms, uint64_t *hold_ms);
-/// @return  Ends that are known of a request.
+/// @return  Number of recorded ends of a request.
 uint32_t qrt_count_ends (const qrt_table_t *table, uint64_t request);
-/// @return  How much longer it is remembered.
+/// @return  Time in ms until the record of a request expires; zero: none.
 uint64_t qrt_remaining_ms (const qrt_table_t *table, uint64_t request,
                            uint64_t now_ms);
-/// @return  Whether anything was new.
+/// Adds an end to the record of a request.
+/// @return  Whether the record changed.
 bool qrt_add_end (qrt_table_t *table, uint64_t request, const qrt_end_t *end,
                   uint64_t now_ms);
-/// It was answered whole: the ends before were not its doing, or are over. A
-/// request that is sent all the time is beginning at most targets that end,
-/// and is served between two ends.
-/// @return  Whether others are to know of it.
+/// Clears the record of a request that was answered completely: it did not
+/// cause the earlier ends, or no longer causes any. A request that is sent all
+/// the time is beginning at most targets that end, but is served in between.
+/// @return  Whether other daemons need to learn of it.
 bool qrt_mark_served (qrt_table_t *table, uint64_t request, uint64_t now_ms);
-/// Take what another daemon knows.
-/// @param changed  What was new and all daemons are to know is appended as
-/// words;
-///               NULL: not wanted.
-/// @return       False: the bytes are no words, and nothing was taken.
-bool qrt_merge (qrt_table_t *table, kb_slice_t words, uint64_t now_ms,
+/// Merges records from another daemon.
+/// @param changed  Records that changed and are shared with all daemons are
+///                 appended; may be NULL.
+/// @return         False when `records` is malformed; nothing is merged then.
+bool qrt_merge (qrt_table_t *table, kb_slice_t records, uint64_t now_ms,
                 kb_buf_t *changed);
-/// Append as words what all daemons are to know: requests with two ends or
-/// more, and what became of them.
+/// Appends the records that are shared with all daemons: requests with two or
+/// more ends, and cleared ones.
 void qrt_pack (const qrt_table_t *table, uint64_t now_ms, kb_buf_t *out);
-/// Append everything as words, for those who join what several know.
+/// Appends all records, for a receiver that joins those of several daemons.
 void qrt_pack_all (const qrt_table_t *table, uint64_t now_ms, kb_buf_t *out);
-/// Append the record of one request, if anything is known of it.
+/// Appends the record of one request, if there is one.
 void qrt_pack_one (const qrt_table_t *table, uint64_t request, uint64_t now_ms,
                    kb_buf_t *out);
-/// @return  A digest of what all daemons are to know, without ages; zero:
-///          nothing.
+/// @return  Digest of the records that are shared with all daemons, without
+///          their ages; zero: there are none.
 uint64_t qrt_digest (const qrt_table_t *table);
-/// Forget what has lapsed.
+/// Removes expired records.
 void qrt_expire (qrt_table_t *table, uint64_t now_ms);
-/// @return  How many requests are held, for one caller or for all.
+/// @return  Number of requests that are held, for one caller or for all.
 uint32_t qrt_count_held (const qrt_table_t *table, uint64_t now_ms);
 
 #endif
--- a/test/unit/quarantine_test.cc
+++ b/test/unit/quarantine_test.cc
@@ -1,5 +1,5 @@
-// Which requests are kept from targets: what one end, two and three mean, what
-// others lose by it, what daemons tell each other, and what is forgotten.
+// Quarantine of requests under which targets end: the effect of one, two and
+// three ends, isolation of callers, exchange between daemons, and expiry.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -39,7 +39,7 @@
   {
     return qrt_judge (&table_, request, caller, now_ms_, &hold_ms_);
   }
-  /// Tell all that one table knows to the other.
+  /// Merges all shared records of one table into the other.
   bool
   exchange (const qrt_table_t *from, qrt_table_t *to)
   {
@@ -71,8 +71,8 @@
   EXPECT_EQ (hold_ms_, (uint64_t)QRT_HOLD_MS);
 }
 
-// A request shares a target with the one that ends it, three times over. It
-// has done nothing, and must not be refused for it.
+// A request repeatedly shares targets with the one that ends them. It must not
+// be refused for that.
 TEST_F (QuarantineTest, SharingTargetsThatEndHoldsNothing)
 {
   for (uint64_t target = 1; target <= 9; target++)
@@ -82,8 +82,8 @@
   EXPECT_EQ (judge (), QRT_FREE);
 }
 
-// A caller polls with one request. It is beginning somewhere whenever a target
-// ends, also alone, and is served all the time between.
+// A caller polls with one request, which is beginning at some target whenever
+// one ends, even alone, but is served between the ends.
 TEST_F (QuarantineTest, ARequestServedBetweenEndsIsNeverHeld)
 {
   for (uint64_t target = 1; target <= 20; target += 2)
@@ -96,7 +96,7 @@
     }
 }
 
-// Two gateways saw the same end, one of them knows that it was alone.
+// Two gateways report the same end; one of them knows that it was alone.
 TEST_F (QuarantineTest, AnEndCountsOnce)
 {
   EXPECT_TRUE (end (1));
@@ -106,8 +106,8 @@
   EXPECT_EQ (judge (), QRT_FREE);
 }
 
-// A caller sends what another one sends, and targets end under it. The other
-// one's is not refused.
+// Targets end under a request of one caller. The same request of another
+// caller must not be refused.
 TEST_F (QuarantineTest, OneCallerHoldsNothingOfAnother)
 {
   for (uint64_t target = 1; target <= 6; target++)
@@ -117,7 +117,7 @@
   EXPECT_EQ (judge (kCaller, kRequest + 1), QRT_FREE);
 }
 
-// The callers of one workspace are many VMs: each sends the request once.
+// A workspace has many VMs as callers, each of which sends the request once.
 TEST_F (QuarantineTest, TwoCallersAloneHoldItForAll)
 {
   end (1, false, 11);
@@ -155,8 +155,8 @@
   EXPECT_EQ (table_.entries.len, 0u);
 }
 
-// A caller sends thousands of different requests that end targets, so that
-// what is known of another one's is forgotten.
+// A caller sends thousands of different requests that end targets. Records of
+// other callers' requests must not be evicted for them.
 TEST_F (QuarantineTest, EntriesPerCallerAreBounded)
 {
   end (1, true, kOther, kRequest);
@@ -197,8 +197,8 @@
   EXPECT_EQ (judge (), QRT_HELD);
 }
 
-// More ends than are kept: two daemons that met them in another order would
-// give each other what they know for ever.
+// There are more ends than are kept. If two daemons that receive them in
+// different orders kept different ones, they would exchange records for ever.
 TEST_F (QuarantineTest, DaemonsKeepTheSameOfManyEnds)
 {
   for (uint64_t target = 1; target <= 20; target++)
@@ -211,7 +211,7 @@
   EXPECT_EQ (qrt_digest (&table_), qrt_digest (&peer_));
 }
 
-// A daemon that did not hear of the clearing tells the ends of before again.
+// A daemon that did not learn of the clearing sends the earlier ends again.
 TEST_F (QuarantineTest, ClearedRequestsStayCleared)
 {
   end (1);
@@ -224,7 +224,8 @@
   EXPECT_EQ (qrt_digest (&table_), qrt_digest (&peer_));
 }
 
-// What lapsed at one daemon comes back from another one that heard it later.
+// A record that has expired at one daemon must not return from another one
+// that received it later.
 TEST_F (QuarantineTest, ARecordKeepsItsAge)
 {
   end (1);
@@ -234,7 +235,7 @@
   now_ms_ += 10;
   qrt_expire (&peer_, now_ms_);
   EXPECT_EQ (peer_.entries.len, 0u);
-  // One that has lapsed is not taken at all.
+  // An expired record is not merged at all.
   ASSERT_TRUE (exchange (&table_, &peer_));
   EXPECT_EQ (peer_.entries.len, 0u);
 }
@@ -266,9 +267,9 @@
   EXPECT_EQ (judge (), QRT_ALONE);
 }
 
-// Hundreds of requests are beginning at targets that end together, in a fleet
-// of hundreds. What is known of each went to all daemons, over and over where
-// their tables were full, and filled their links for ten minutes.
+// Hundreds of requests are beginning when targets of a large fleet end
+// together. If each were reported to all daemons, and again wherever a table
+// is full, the records would fill their links for ten minutes.
 TEST_F (QuarantineTest, ASingleEndIsNotShared)
 {
   end (1);
@@ -280,7 +281,7 @@
   EXPECT_EQ (table_.entries.len, 0u);
 }
 
-// Two gateways saw one end each. Joined they matter to all, and are told once.
+// Two gateways report one end each. Joined they are shared with all, once.
 TEST_F (QuarantineTest, JoinedEndsAreSharedOnce)
 {
   end (1);
