--- a/src/coordination/claim_owner.c
+++ b/src/coordination/claim_owner.c
@@ -85,8 +85,8 @@
 }
 
 static clm_answer_t
-claim_unseen (clm_owner_t *owner, const clm_shard_t *shard,
-              const clm_claim_t *claim, uint64_t now_ms)
+claim_unrecorded (clm_owner_t *owner, const clm_shard_t *shard,
+                  const clm_claim_t *claim, uint64_t now_ms)
 {
   // The former owner and a runner were lost together. A key without a record
   // may have run, and could run twice if it were granted.
@@ -110,7 +110,7 @@
     return (clm_answer_t){ .verdict = CLM_VERDICT_REBUILDING };
   clm_record_t *record = kb_map_get (&owner->records, claim->key);
   if (record == NULL)
-    return claim_unseen (owner, shard, claim, now_ms);
+    return claim_unrecorded (owner, shard, claim, now_ms);
   if (record->digest != claim->digest)
     return (clm_answer_t){ CLM_VERDICT_MISMATCH, shard->epoch, record };
   // When the reply to a claim is lost, the same attempt claims again; it has
--- a/src/coordination/claim_runner.c
+++ b/src/coordination/claim_runner.c
@@ -22,7 +22,7 @@
 }
 
 static void
-run_forget (clm_runner_t *runner, clm_run_t *run)
+run_remove (clm_runner_t *runner, clm_run_t *run)
 {
   run_drop_answer (runner, run);
   kb_map_remove (&runner->by_attempt, run->attempt);
@@ -136,8 +136,8 @@
 }
 
 void
-clm_runner_keep_answer (clm_runner_t *runner, uint64_t attempt,
-                        const char *content_type, kb_slice_t answer)
+clm_runner_cache_answer (clm_runner_t *runner, uint64_t attempt,
+                         const char *content_type, kb_slice_t answer)
 {
   clm_run_t *run = clm_runner_find (runner, attempt);
   if (run == NULL || run->key == 0
@@ -218,6 +218,6 @@
         old[count++] = run;
       }
   for (uint32_t i = 0; i < count; i++)
-    run_forget (runner, old[i]);
+    run_remove (runner, old[i]);
   free (old);
 }
--- a/src/coordination/claim_runner.h
+++ b/src/coordination/claim_runner.h
@@ -76,8 +76,8 @@
 clm_run_t *clm_runner_find (clm_runner_t *runner, uint64_t attempt);
 /// Caches the answer of a keyed attempt; the oldest answers make room. An
 /// answer of more than a quarter of the limit is not cached.
-void clm_runner_keep_answer (clm_runner_t *runner, uint64_t attempt,
-                             const char *content_type, kb_slice_t answer);
+void clm_runner_cache_answer (clm_runner_t *runner, uint64_t attempt,
+                              const char *content_type, kb_slice_t answer);
 /// Raises the epochs of the given shards and appends their records.
 /// @param epochs  CLM_SHARDS values; zero: skip the shard.
 /// @param name    Hash of the own name, for the records.
--- a/src/coordination/quota_lend.c
+++ b/src/coordination/quota_lend.c
@@ -264,10 +264,11 @@
   qlg_merge (&account->ledger, request->ledger, request->ledger_age_ms,
              account->known_until_ms, now_ms);
   qlg_forget_unknown (&account->ledger, known_until_ms);
-  bool is_young = request->uptime_ms < quo_window_ms (&lender->tolerance);
-  if (request->prior == QLN_PRIOR_DELIVERED && !is_young)
+  bool has_just_started
+      = request->uptime_ms < quo_window_ms (&lender->tolerance);
+  if (request->prior == QLN_PRIOR_DELIVERED && !has_just_started)
     account->known_until_ms = now_ms;
-  if (request->prior == QLN_PRIOR_LOST && is_young)
+  if (request->prior == QLN_PRIOR_LOST && has_just_started)
     assume_lost_loans (lender, account, request, now_ms);
 }
 
@@ -333,40 +334,41 @@
   double used;
   double left;
   uint64_t wait_ms; ///< Until `min_amount` of the request is left.
-} funds_t;
+} lendable_t;
 
 /// Of assumed loans each lender counts only its fraction.
-static funds_t
-count_funds (const qln_lender_t *lender, qln_account_t *account,
-             double fraction, double min_amount, uint64_t now_ms)
+static lendable_t
+compute_lendable (const qln_lender_t *lender, qln_account_t *account,
+                  double fraction, double min_amount, uint64_t now_ms)
 {
-  funds_t funds
+  lendable_t lendable
       = { .max = fraction * quo_max_lent (&lender->tolerance, &account->limit),
           .used
           = qlg_sum (&account->ledger, now_ms)
             - (1 - fraction) * qlg_unknown_sum (&account->ledger, now_ms) };
-  funds.left
-      = fmin (fmax (funds.max - funds.used, 0),
+  lendable.left
+      = fmin (fmax (lendable.max - lendable.used, 0),
               bucket_left (lender, account, fraction, min_amount, now_ms));
-  uint64_t window_ms = window_wait_ms (account, funds.max, min_amount, now_ms);
+  uint64_t window_ms
+      = window_wait_ms (account, lendable.max, min_amount, now_ms);
   uint64_t bucket_ms
       = bucket_wait_ms (lender, account, fraction, min_amount, now_ms);
-  funds.wait_ms = window_ms > bucket_ms ? window_ms : bucket_ms;
-  return funds;
+  lendable.wait_ms = window_ms > bucket_ms ? window_ms : bucket_ms;
+  return lendable;
 }
 
 /// Sets when to request again, if less than wanted was granted. The quota
 /// counts as used up only when a waiting request got nothing and the lender's
 /// role is settled.
 static void
-set_wait (const qln_account_t *account, const funds_t *funds,
+set_wait (const qln_account_t *account, const lendable_t *lendable,
           const qln_request_t *request, uint64_t now_ms, qln_grant_t *grant)
 {
   if (grant->granted >= request->wanted_amount)
     return;
   grant->is_pause
       = grant->granted >= request->min_amount || !is_settled (account, now_ms);
-  grant->wait_ms = grant->is_pause ? RETRY_PAUSE_MS : funds->wait_ms;
+  grant->wait_ms = grant->is_pause ? RETRY_PAUSE_MS : lendable->wait_ms;
 }
 
 /// Estimates what was lent beyond the rate before the account was opened.
@@ -398,18 +400,19 @@
   if (is_new)
     init_level (lender, account, now_ms);
   double fraction = lendable_fraction (lender, account, request, now_ms);
-  funds_t funds
-      = count_funds (lender, account, fraction, request->min_amount, now_ms);
-  double left = funds.left;
+  lendable_t lendable = compute_lendable (lender, account, fraction,
+                                          request->min_amount, now_ms);
+  double left = lendable.left;
   qln_grant_t grant = {
     .granted
     = request->min_amount <= left
           ? (request->wanted_amount < left ? request->wanted_amount : left)
           : 0,
-    .lasts_ms = is_low_use (funds.used, funds.max) ? QUO_LOW_USE_CREDIT_TTL_MS
-                                                   : QUO_CREDIT_TTL_MS,
+    .lasts_ms = is_low_use (lendable.used, lendable.max)
+                    ? QUO_LOW_USE_CREDIT_TTL_MS
+                    : QUO_CREDIT_TTL_MS,
   };
-  set_wait (account, &funds, request, now_ms, &grant);
+  set_wait (account, &lendable, request, now_ms, &grant);
   qlg_add_loan (&account->ledger, grant.granted, now_ms + grant.lasts_ms,
                 now_ms);
   if (fraction > 0)
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -343,8 +343,8 @@
     }
   run_over (r);
   if (r->claim_key != 0)
-    clm_runner_keep_answer (&agent->claims, r->attempt, r->content_type,
-                            kb_buf_slice (&r->kept));
+    clm_runner_cache_answer (&agent->claims, r->attempt, r->content_type,
+                             kb_buf_slice (&r->kept));
   request_end (r, MSG_OUTCOME_DONE, "", 0);
   agt_pump (agent);
 }
@@ -365,8 +365,8 @@
   run_over (r);
   send_parts (r, answer);
   if (r->claim_key != 0 && r->http_status == 200)
-    clm_runner_keep_answer (&agent->claims, r->attempt, r->content_type,
-                            answer);
+    clm_runner_cache_answer (&agent->claims, r->attempt, r->content_type,
+                             answer);
   bool is_done = r->http_status < 500;
   request_end (r, is_done ? MSG_OUTCOME_DONE : MSG_OUTCOME_RAN_FAILED,
                is_done ? "" : "the target answered with an error", 0);
--- a/test/unit/claim_test.cc
+++ b/test/unit/claim_test.cc
@@ -214,8 +214,8 @@
     {
       clm_runner_admit (&runner, i, kKey + i * 2, 1, 1, 1);
       clm_runner_set_state (&runner, i, CLM_RUN_DONE, 1);
-      clm_runner_keep_answer (&runner, i, "text/plain",
-                              { answer.data (), (uint32_t)answer.size () });
+      clm_runner_cache_answer (&runner, i, "text/plain",
+                               { answer.data (), (uint32_t)answer.size () });
       EXPECT_LE (runner.answer_bytes, 4000u);
     }
   EXPECT_EQ (clm_runner_find (&runner, 1)->answer, nullptr);
