--- a/src/coordination/quota_ledger.h
+++ b/src/coordination/quota_ledger.h
@@ -13,9 +13,9 @@
 {
   /// The lender whose entry is the oldest makes room for another one.
   QLG_MAX_LENDERS = 5,
-  QLG_MAX_BYTES
-  = 200, ///< Of all packed lines.
-         /// In place of a lender's id: loans of which no record is left.
+  /// Of all packed lines.
+  QLG_MAX_BYTES = 200,
+  /// In place of a lender's id: loans of which no record is left.
   QLG_UNKNOWN_LENDER = 1,
 };
 
--- a/src/coordination/quota_lend.c
+++ b/src/coordination/quota_lend.c
@@ -178,8 +178,9 @@
              : fraction;
 }
 
-/// A lower limit applies at once. Loans under the higher limit are scaled down
-/// in proportion; otherwise they would use up the lower one for a window.
+/// A lower limit applies at once. Loans under the higher limit count in
+/// proportion, so that they do not use up the lower one; their use may exceed
+/// it for one more window.
 static void
 apply_limit (const qln_lender_t *lender, qln_account_t *account,
              const qln_request_t *request, uint64_t now_ms)
--- a/src/coordination/quota_spend.c
+++ b/src/coordination/quota_spend.c
@@ -228,7 +228,7 @@
           .reach = spender->reach,
           .lender_age_ms = now_ms - spender->lender_since_ms };
   spender->unspent = 0;
-  if (!spender->has_sent_ledger)
+  if (!spender->is_ledger_delivered)
     attach_ledger (spender, now_ms, &request);
   spender->callbacks->send_request (spender, spender->sent_requests[0].id,
                                     &request);
@@ -345,7 +345,7 @@
   spender->lender_since_ms = since_ms;
   spender->exhausted_until_ms = 0;
   spender->next_request_ms = 0;
-  spender->has_sent_ledger = false;
+  spender->is_ledger_delivered = false;
   // A new lender needs the ledger at once, even when no credit is needed.
   if (lender->id != 0 && has_current_ledger (spender, now_ms))
     send_request (spender, now_ms);
@@ -415,7 +415,7 @@
   spender->sent_requests[at].id = 0;
   if (!grant->is_refused)
     {
-      spender->has_sent_ledger = true;
+      spender->is_ledger_delivered = true;
       store_ledger (spender, ledger, now_ms);
     }
   spender->credit_ms = grant->lasts_ms;
--- a/src/coordination/quota_spend.h
+++ b/src/coordination/quota_spend.h
@@ -96,7 +96,7 @@
   uint64_t next_request_ms; ///< When it will have more, after a pause.
   qsp_lender_t lender;      ///< The one in use.
   uint64_t lender_since_ms;
-  bool has_sent_ledger; ///< The lender has received `ledger`.
+  bool is_ledger_delivered; ///< The lender has received `ledger`.
   qsp_ledger_t ledger;
   uint64_t started_ms; ///< Start of this gateway.
   uint64_t last_id;
