--- a/src/coordination/quarantine.h
+++ b/src/coordination/quarantine.h
@@ -5,8 +5,8 @@
 /// A request that ends every target that begins to run it is sent again by its
 /// caller, through any gateway, and each time the target's other requests fail
 /// with it. A gateway sees only which requests were beginning at a target when
-/// it ended, and most of those merely shared it. They are told apart in three
-/// steps:
+/// it ended, and most of those merely shared it. Three steps distinguish
+/// them:
 ///
 /// - one end proves nothing and has no effect;
 /// - after two ends, a request begins alone: while it begins, no other request
