--- a/src/coordination/admit.c
+++ b/src/coordination/admit.c
@@ -7,31 +7,31 @@
 enum
 {
   /// Half-life of the request count that decides what is dropped.
-  HEAT_HALF_MS = 8000,
+  RECENT_HALF_LIFE_MS = 8000,
   /// Pause before an order that failed is given again.
   ORDER_RETRY_MS = 150,
-  /// Adapters remembered that are neither held nor asked for.
+  /// Adapters remembered that are neither adapters_held nor asked for.
   MAX_REMEMBERED = 4096,
 };
 
 /// Weight of a recent request against a waiting one when fetches are ordered.
-static const double HEAT_VALUE = 0.5;
+static const double RECENT_REQUEST_VALUE = 0.5;
 /// What a request that is late anyway counts against one in time. A fetch that
 /// comes too late for its own request costs the next one its time as well: at
 /// a loaded weight store all were late. Mean worth of five heavy days 0.593
 /// and 0.736 with the longest wait first, 0.599 and 0.739 so.
-static const double LATE_VALUE = 0.3;
-/// Of the newest run in the mean time for which a place is held; and before
-/// any run ended.
-static const double HELD_WEIGHT = 0.05;
-static const double HELD_DEFAULT_MS = 1000;
+static const double LATE_REQUEST_VALUE = 0.3;
+/// Of the newest run in the mean time for which a place is adapters_held; and
+/// before any run ended.
+static const double HOLD_TIME_WEIGHT = 0.05;
+static const double DEFAULT_HOLD_MS = 1000;
 
 void
 adm_table_init (adm_table_t *table, const adm_options_t *options)
 {
   *table
-      = (adm_table_t){ .options = *options, .held_for_ms = HELD_DEFAULT_MS };
-  lns_lanes_init (&table->lanes, options->max_cold);
+      = (adm_table_t){ .options = *options, .mean_hold_ms = DEFAULT_HOLD_MS };
+  ftl_limit_init (&table->fetch_limit, options->max_cold_loads);
   rdg_reading_init (&table->reading);
 }
 
@@ -39,29 +39,30 @@
 adm_table_finish (adm_table_t *table)
 {
   uint32_t at = 0;
-  for (adm_ask_t *ask = kb_map_next (&table->asks, &at); ask != NULL;
-       ask = kb_map_next (&table->asks, &at))
-    free (ask);
+  for (adm_request_t *request = kb_map_next (&table->requests, &at);
+       request != NULL; request = kb_map_next (&table->requests, &at))
+    free (request);
   at = 0;
   for (adm_adapter_t *a = kb_map_next (&table->adapters, &at); a != NULL;
        a = kb_map_next (&table->adapters, &at))
     free (a);
-  kb_map_finish (&table->asks);
+  kb_map_finish (&table->requests);
   kb_map_finish (&table->adapters);
 }
 
 double
-adm_heat_at (const adm_adapter_t *adapter, uint64_t now_ms)
+adm_adapter_recent_requests (const adm_adapter_t *adapter, uint64_t now_ms)
 {
-  double halves = (double)(now_ms - adapter->heat_ms) / HEAT_HALF_MS;
-  double heat = adapter->heat;
+  double halves
+      = (double)(now_ms - adapter->recent_requests_ms) / RECENT_HALF_LIFE_MS;
+  double recent_requests = adapter->recent_requests;
   // A table of powers is not worth it: this runs on orders only.
-  while (halves >= 1 && heat > 0.01)
+  while (halves >= 1 && recent_requests > 0.01)
     {
-      heat /= 2;
+      recent_requests /= 2;
       halves -= 1;
     }
-  return heat * (1 - halves / 2);
+  return recent_requests * (1 - halves / 2);
 }
 
 /// Forget adapters that nobody needs, so that a long life with many adapters
@@ -78,7 +79,7 @@
        a = kb_map_next (&table->adapters, &at))
     {
       bool is_needed = a->state != ADM_ABSENT || a->waiting > 0 || a->pins > 0
-                       || a->wanted > 0;
+                       || a->min_version > 0;
       if (is_needed)
         kb_map_put (&kept, a->key, a);
       else
@@ -89,7 +90,7 @@
 }
 
 adm_adapter_t *
-adm_adapter_need (adm_table_t *table, uint64_t key, kb_slice_t name)
+adm_adapter_get_or_add (adm_table_t *table, uint64_t key, kb_slice_t name)
 {
   adm_adapter_t *adapter = kb_map_get (&table->adapters, key);
   if (adapter != NULL)
@@ -103,77 +104,80 @@
 }
 
 void
-adm_adapter_want (adm_adapter_t *adapter, uint32_t version)
+adm_adapter_require_version (adm_adapter_t *adapter, uint32_t version)
 {
-  if (version > adapter->wanted)
-    adapter->wanted = version;
+  if (version > adapter->min_version)
+    adapter->min_version = version;
 }
 
 bool
-adm_adapter_is_fit (const adm_adapter_t *adapter)
+adm_adapter_is_servable (const adm_adapter_t *adapter)
 {
   return adapter == NULL
          || (adapter->state == ADM_HELD
-             && adapter->version >= adapter->wanted);
+             && adapter->version >= adapter->min_version);
 }
 
 static uint64_t
-ask_key (uint64_t owner, uint64_t id)
+owned_request_key (uint64_t owner, uint64_t id)
 {
   uint64_t pair[2] = { owner, id };
   return kb_hash (pair, sizeof pair, 0) | 1;
 }
 
-adm_ask_t *
-adm_ask_find (adm_table_t *table, uint64_t owner, uint64_t id)
+adm_request_t *
+adm_request_find (adm_table_t *table, uint64_t owner, uint64_t id)
 {
-  return kb_map_get (&table->asks, ask_key (owner, id));
+  return kb_map_get (&table->requests, owned_request_key (owner, id));
 }
 
 /// Whether its fetch takes a turn at the weight store.
 bool
 adm_is_cold_load (const adm_adapter_t *adapter)
 {
-  return adapter->held_ms == 0 || adapter->version < adapter->wanted;
+  return adapter->last_held_ms == 0 || adapter->version < adapter->min_version;
 }
 
 static bool
-waits_for_cold_load (const adm_adapter_t *adapter)
+needs_cold_load (const adm_adapter_t *adapter)
 {
   return adapter->waiting > 0 && adapter->state == ADM_ABSENT
          && adm_is_cold_load (adapter);
 }
 
 /// What a fetch of an adapter is worth: the requests that wait for it now, and
-/// those that will come while it is held.
+/// those that will come while it is adapters_held.
 double
 adm_load_value (const adm_table_t *table, const adm_adapter_t *adapter,
                 uint64_t now_ms)
 {
   bool is_timely = adm_load_is_timely (table, adapter, now_ms);
-  return adapter->waiting * (is_timely ? 1 : LATE_VALUE)
-         + HEAT_VALUE * adm_heat_at (adapter, now_ms);
+  return adapter->waiting * (is_timely ? 1 : LATE_REQUEST_VALUE)
+         + RECENT_REQUEST_VALUE
+               * adm_adapter_recent_requests (adapter, now_ms);
 }
 
 void
-adm_adapter_asked (adm_adapter_t *adapter, uint64_t now_ms)
+adm_adapter_record_request (adm_adapter_t *adapter, uint64_t now_ms)
 {
-  adapter->heat = adm_heat_at (adapter, now_ms) + 1;
-  adapter->heat_ms = now_ms;
+  adapter->recent_requests = adm_adapter_recent_requests (adapter, now_ms) + 1;
+  adapter->recent_requests_ms = now_ms;
   adapter->used_ms = now_ms;
 }
 
 /// Adapters whose fetch would begin before one of this value.
 static uint32_t
-fetches_ahead (const adm_table_t *table, double value, uint64_t now_ms)
+count_cold_loads_ahead (const adm_table_t *table, double value,
+                        uint64_t now_ms)
 {
-  double ahead = table->cold_coming;
+  double ahead = table->adapters_cold_loading;
   // Each of an adapter's requests counts its part: thousands of adapters are
   // remembered, of which few wait.
-  for (const adm_ask_t *ask = table->first; ask != NULL; ask = ask->next)
+  for (const adm_request_t *request = table->first; request != NULL;
+       request = request->next)
     {
-      const adm_adapter_t *a = ask->adapter;
-      if (a != NULL && waits_for_cold_load (a)
+      const adm_adapter_t *a = request->adapter;
+      if (a != NULL && needs_cold_load (a)
           && adm_load_value (table, a, now_ms) >= value)
         ahead += 1.0 / a->waiting;
     }
@@ -184,97 +188,100 @@
 adm_load_wait_ms (const adm_table_t *table, const adm_adapter_t *adapter,
                   uint64_t now_ms)
 {
-  if (adm_adapter_is_fit (adapter) || adapter->waiting > 0
-      || adapter->state == ADM_COMING || !adm_is_cold_load (adapter))
+  if (adm_adapter_is_servable (adapter) || adapter->waiting > 0
+      || adapter->state == ADM_LOADING || !adm_is_cold_load (adapter))
     return 0;
   double value = adm_load_value (table, adapter, now_ms) + 1;
-  return lns_wait_ms (&table->lanes, fetches_ahead (table, value, now_ms));
+  return ftl_limit_wait_ms (&table->fetch_limit,
+                            count_cold_loads_ahead (table, value, now_ms));
 }
 
 uint64_t
-adm_new_load_wait_ms (const adm_table_t *table, uint64_t now_ms)
+adm_new_adapter_load_wait_ms (const adm_table_t *table, uint64_t now_ms)
 {
-  return lns_wait_ms (&table->lanes, fetches_ahead (table, 1, now_ms));
+  return ftl_limit_wait_ms (&table->fetch_limit,
+                            count_cold_loads_ahead (table, 1, now_ms));
 }
 
 void
-adm_engine_restarted (adm_table_t *table)
+adm_handle_engine_restart (adm_table_t *table)
 {
   uint32_t at = 0;
   for (adm_adapter_t *a = kb_map_next (&table->adapters, &at); a != NULL;
        a = kb_map_next (&table->adapters, &at))
     {
-      a->held_ms = 0;
-      a->ordered_ms = 0;
+      a->last_held_ms = 0;
+      a->load_started_ms = 0;
       a->state = ADM_ABSENT;
       a->is_replacing = false;
     }
 }
 
 static void
-waiting_append (adm_table_t *table, adm_ask_t *ask)
+waiting_append (adm_table_t *table, adm_request_t *request)
 {
-  ask->prev = table->last;
-  ask->next = NULL;
+  request->prev = table->last;
+  request->next = NULL;
   if (table->last != NULL)
-    table->last->next = ask;
+    table->last->next = request;
   else
-    table->first = ask;
-  table->last = ask;
-  table->waiting_cost += rdg_cost (ask->prompt_tokens);
+    table->first = request;
+  table->last = request;
+  table->waiting_cost += rdg_cost (request->prompt_tokens);
   table->waiting++;
-  adm_adapter_t *adapter = ask->adapter;
+  adm_adapter_t *adapter = request->adapter;
   if (adapter == NULL)
     return;
-  if (adapter->waiting++ == 0 || ask->objective_ms > adapter->objective_ms)
-    adapter->objective_ms = ask->objective_ms;
+  if (adapter->waiting++ == 0 || request->objective_ms > adapter->objective_ms)
+    adapter->objective_ms = request->objective_ms;
 }
 
 void
-adm_waiting_remove (adm_table_t *table, adm_ask_t *ask)
+adm_waiting_remove (adm_table_t *table, adm_request_t *request)
 {
-  if (ask->prev != NULL)
-    ask->prev->next = ask->next;
+  if (request->prev != NULL)
+    request->prev->next = request->next;
   else
-    table->first = ask->next;
-  if (ask->next != NULL)
-    ask->next->prev = ask->prev;
+    table->first = request->next;
+  if (request->next != NULL)
+    request->next->prev = request->prev;
   else
-    table->last = ask->prev;
-  ask->next = NULL;
-  ask->prev = NULL;
+    table->last = request->prev;
+  request->next = NULL;
+  request->prev = NULL;
   table->waiting--;
   // Sums of fractions do not come back to zero by themselves.
   table->waiting_cost
       = table->waiting == 0
             ? 0
-            : table->waiting_cost - rdg_cost (ask->prompt_tokens);
-  if (ask->adapter != NULL)
-    ask->adapter->waiting--;
+            : table->waiting_cost - rdg_cost (request->prompt_tokens);
+  if (request->adapter != NULL)
+    request->adapter->waiting--;
 }
 
-adm_ask_t *
-adm_ask_add (adm_table_t *table, const adm_ask_t *given)
+adm_request_t *
+adm_request_add (adm_table_t *table, const adm_request_t *given)
 {
-  uint64_t key = ask_key (given->owner, given->id);
-  if (kb_map_get (&table->asks, key) != NULL)
+  uint64_t key = owned_request_key (given->owner, given->id);
+  if (kb_map_get (&table->requests, key) != NULL)
     return NULL;
-  adm_ask_t *ask = kb_alloc (sizeof *ask);
-  *ask = *given;
-  kb_map_put (&table->asks, key, ask);
-  waiting_append (table, ask);
-  return ask;
+  adm_request_t *request = kb_alloc (sizeof *request);
+  *request = *given;
+  kb_map_put (&table->requests, key, request);
+  waiting_append (table, request);
+  return request;
 }
 
 void
-adm_ask_begun (adm_table_t *table, adm_ask_t *ask, uint64_t now_ms)
+adm_request_record_first_event (adm_table_t *table, adm_request_t *request,
+                                uint64_t now_ms)
 {
-  if (!ask->is_reading)
+  if (!request->is_first_event_pending)
     return;
-  ask->is_reading = false;
-  aln_begun (&table->alone, &ask->alone, now_ms);
-  rdg_learn (&table->reading, ask->ahead_tokens,
-             (double)(now_ms - ask->granted_ms));
+  request->is_first_event_pending = false;
+  aln_begun (&table->alone, &request->alone, now_ms);
+  rdg_learn (&table->reading, request->ahead_tokens,
+             (double)(now_ms - request->granted_ms));
 }
 
 uint64_t
@@ -285,55 +292,59 @@
 }
 
 void
-adm_note_held (adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
+adm_request_record_hold_time (adm_table_t *table, const adm_request_t *request,
+                              uint64_t now_ms)
 {
-  if (ask->granted_ms == 0)
+  if (request->granted_ms == 0)
     return;
-  double held_ms = (double)(now_ms - ask->granted_ms);
-  table->held_for_ms += HELD_WEIGHT * (held_ms - table->held_for_ms);
+  double hold_ms = (double)(now_ms - request->granted_ms);
+  table->mean_hold_ms += HOLD_TIME_WEIGHT * (hold_ms - table->mean_hold_ms);
 }
 
 void
-adm_ask_remove (adm_table_t *table, adm_ask_t *ask)
-{
-  aln_ended (&table->alone, &ask->alone);
-  if (ask->is_reading)
-    rdg_take_back (&table->reading, rdg_cost (ask->prompt_tokens));
-  kb_map_remove (&table->asks, ask_key (ask->owner, ask->id));
-  if (ask->granted_ms == 0)
-    adm_waiting_remove (table, ask);
+adm_request_remove (adm_table_t *table, adm_request_t *request)
+{
+  aln_ended (&table->alone, &request->alone);
+  if (request->is_first_event_pending)
+    rdg_take_back (&table->reading, rdg_cost (request->prompt_tokens));
+  kb_map_remove (&table->requests,
+                 owned_request_key (request->owner, request->id));
+  if (request->granted_ms == 0)
+    adm_waiting_remove (table, request);
   else
     {
       table->granted--;
-      table->granted_tokens -= ask->tokens;
-      if (ask->adapter != NULL)
-        ask->adapter->pins--;
+      table->granted_kv_tokens -= request->kv_tokens_needed;
+      if (request->adapter != NULL)
+        request->adapter->pins--;
     }
-  free (ask);
+  free (request);
 }
 
 void
-adm_compare_begin (adm_table_t *table)
+adm_reconcile_begin (adm_table_t *table)
 {
-  table->compare_mark++;
+  table->current_reconcile_generation++;
 }
 
 void
-adm_compare_keep (adm_table_t *table, adm_ask_t *ask)
+adm_reconcile_keep (adm_table_t *table, adm_request_t *request)
 {
-  ask->compared = table->compare_mark;
+  request->reconcile_generation = table->current_reconcile_generation;
 }
 
 uint32_t
-adm_compare_end (adm_table_t *table, uint64_t owner)
+adm_reconcile_end (adm_table_t *table, uint64_t owner)
 {
   uint32_t forgotten = 0;
   uint32_t at = 0;
-  for (adm_ask_t *ask = kb_map_next (&table->asks, &at); ask != NULL;
-       ask = kb_map_next (&table->asks, &at))
-    if (ask->owner == owner && ask->compared != table->compare_mark)
+  for (adm_request_t *request = kb_map_next (&table->requests, &at);
+       request != NULL; request = kb_map_next (&table->requests, &at))
+    if (request->owner == owner
+        && request->reconcile_generation
+               != table->current_reconcile_generation)
       {
-        adm_ask_remove (table, ask);
+        adm_request_remove (table, request);
         forgotten++;
         // Removal moves entries; begin again.
         at = 0;
@@ -342,58 +353,61 @@
 }
 
 void
-adm_owner_gone (adm_table_t *table, uint64_t owner)
+adm_owner_remove (adm_table_t *table, uint64_t owner)
 {
-  adm_compare_begin (table);
-  adm_compare_end (table, owner);
+  adm_reconcile_begin (table);
+  adm_reconcile_end (table, owner);
 }
 
 void
 adm_report_begin (adm_table_t *table)
 {
-  table->report_mark++;
-  table->held = 0;
-  table->coming = 0;
-  table->cold_coming = 0;
+  table->current_report_generation++;
+  table->adapters_held = 0;
+  table->adapters_loading = 0;
+  table->adapters_cold_loading = 0;
 }
 
 /// A fetch that was ordered has arrived.
 static void
-note_arrival (adm_table_t *table, adm_adapter_t *adapter, uint64_t now_ms)
+record_load_time (adm_table_t *table, adm_adapter_t *adapter, uint64_t now_ms)
 {
-  if (adapter->ordered_ms == 0)
+  if (adapter->load_started_ms == 0)
     return;
   if (adapter->is_cold)
-    lns_learn (&table->lanes, (double)(now_ms - adapter->ordered_ms));
-  adapter->ordered_ms = 0;
+    ftl_limit_record_fetch (&table->fetch_limit,
+                            (double)(now_ms - adapter->load_started_ms));
+  adapter->load_started_ms = 0;
 }
 
 void
 adm_report_adapter (adm_table_t *table, uint64_t key, kb_slice_t name,
-                    uint32_t version, bool is_coming, uint64_t now_ms)
-{
-  adm_adapter_t *adapter = adm_adapter_need (table, key, name);
-  // A replacement is listed twice: the version held and the one that comes.
-  bool is_listed = adapter->mark == table->report_mark;
-  if (is_coming)
+                    uint32_t version, bool is_loading, uint64_t now_ms)
+{
+  adm_adapter_t *adapter = adm_adapter_get_or_add (table, key, name);
+  // A replacement is listed twice: the version adapters_held and the one that
+  // comes.
+  bool is_listed
+      = adapter->report_generation == table->current_report_generation;
+  if (is_loading)
     {
-      table->coming++;
-      table->cold_coming += adapter->is_cold;
+      table->adapters_loading++;
+      table->adapters_cold_loading += adapter->is_cold;
       adapter->is_replacing = is_listed && adapter->state == ADM_HELD;
       if (adapter->is_replacing)
         return;
-      adapter->state = ADM_COMING;
+      adapter->state = ADM_LOADING;
     }
   else
     {
-      table->held++;
-      note_arrival (table, adapter, now_ms);
+      table->adapters_held++;
+      record_load_time (table, adapter, now_ms);
       adapter->state = ADM_HELD;
       adapter->is_replacing = false;
       adapter->version = version;
-      adapter->held_ms = now_ms;
+      adapter->last_held_ms = now_ms;
     }
-  adapter->mark = table->report_mark;
+  adapter->report_generation = table->current_report_generation;
 }
 
 void
@@ -402,34 +416,35 @@
   uint32_t at = 0;
   for (adm_adapter_t *a = kb_map_next (&table->adapters, &at); a != NULL;
        a = kb_map_next (&table->adapters, &at))
-    if (a->mark != table->report_mark)
+    if (a->report_generation != table->current_report_generation)
       a->state = ADM_ABSENT;
 }
 
 void
-adm_load_begun (adm_table_t *table, adm_adapter_t *adapter, uint64_t now_ms)
+adm_record_load_started (adm_table_t *table, adm_adapter_t *adapter,
+                         uint64_t now_ms)
 {
   adapter->is_cold = adm_is_cold_load (adapter);
-  adapter->ordered_ms = now_ms;
-  table->coming++;
-  table->cold_coming += adapter->is_cold;
-  adapter->retry_ms = now_ms + ORDER_RETRY_MS;
+  adapter->load_started_ms = now_ms;
+  table->adapters_loading++;
+  table->adapters_cold_loading += adapter->is_cold;
+  adapter->next_order_ms = now_ms + ORDER_RETRY_MS;
   if (adapter->state == ADM_ABSENT)
-    adapter->state = ADM_COMING;
+    adapter->state = ADM_LOADING;
   else if (adapter->state == ADM_HELD)
     adapter->is_replacing = true;
 }
 
 void
-adm_unload_done (adm_table_t *table, adm_adapter_t *adapter)
+adm_record_unloaded (adm_table_t *table, adm_adapter_t *adapter)
 {
   if (adapter->state == ADM_HELD)
-    table->held--;
+    table->adapters_held--;
   adapter->state = ADM_ABSENT;
 }
 
 void
-adm_order_pending (adm_adapter_t *adapter, uint64_t now_ms)
+adm_delay_order (adm_adapter_t *adapter, uint64_t now_ms)
 {
-  adapter->retry_ms = now_ms + ORDER_RETRY_MS;
+  adapter->next_order_ms = now_ms + ORDER_RETRY_MS;
 }
--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -8,17 +8,18 @@
 enum
 {
   /// From the end of reading to the first event at the caller.
-  FIRST_EVENT_MS = 60,
-  /// While requests in time have wanted more than there is for as long, none
-  /// is left for late ones. Half of the shortest objective seen.
-  PRESSED_MS = 400,
+  FIRST_EVENT_DELAY_MS = 60,
+  /// While requests in time have min_version more than there is for as long,
+  /// none is left for late ones. Half of the shortest objective seen.
+  MIN_SATURATION_MS = 400,
   /// Engines that may send a request on because their slots are taken for too
   /// long. A hop takes some 4 ms.
-  ELSEWHERE_MOST = 3,
+  MAX_REDIRECTS = 3,
 };
 
 void
-adm_press_note (adm_press_t *press, bool is_timely, bool fits, uint64_t now_ms)
+adm_saturation_update (adm_saturation_t *press, bool is_timely, bool fits,
+                       uint64_t now_ms)
 {
   if (!is_timely)
     press->since_ms = 0;
@@ -27,31 +28,34 @@
 }
 
 bool
-adm_press_lasts (const adm_press_t *press, uint64_t now_ms)
+adm_saturation_is_sustained (const adm_saturation_t *press, uint64_t now_ms)
 {
-  return press->since_ms > 0 && now_ms - press->since_ms > PRESSED_MS;
+  return press->since_ms > 0 && now_ms - press->since_ms > MIN_SATURATION_MS;
 }
 
 bool
-adm_is_pressed (const adm_table_t *table, uint64_t now_ms)
+adm_is_saturated (const adm_table_t *table, uint64_t now_ms)
 {
-  return adm_press_lasts (&table->grant_press, now_ms);
+  return adm_saturation_is_sustained (&table->grant_saturation, now_ms);
 }
 
 bool
 adm_load_is_timely (const adm_table_t *table, const adm_adapter_t *adapter,
                     uint64_t now_ms)
 {
-  return now_ms + (uint64_t)table->lanes.fetch_ms + FIRST_EVENT_MS
+  return now_ms + (uint64_t)table->fetch_limit.mean_fetch_ms
+             + FIRST_EVENT_DELAY_MS
          <= adapter->objective_ms;
 }
 
 bool
-adm_is_timely (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
+adm_is_timely (const adm_table_t *table, const adm_request_t *request,
+               uint64_t now_ms)
 {
   double reading_ms
-      = rdg_cost (ask->prompt_tokens) / table->reading.tokens_per_ms;
-  return now_ms + (uint64_t)reading_ms + FIRST_EVENT_MS <= ask->objective_ms;
+      = rdg_cost (request->prompt_tokens) / table->reading.tokens_per_ms;
+  return now_ms + (uint64_t)reading_ms + FIRST_EVENT_DELAY_MS
+         <= request->objective_ms;
 }
 
 // What is late in any case takes only the capacity that no request in time
@@ -59,8 +63,8 @@
 // late: on six drawn sites past saturation 18 and 26 % of the answers came
 // late oldest first, 10 and 18 % so, and mean worth rose by 0.039 and 0.063.
 bool
-adm_is_before (const adm_table_t *table, const adm_ask_t *a,
-               const adm_ask_t *b, uint64_t now_ms)
+adm_is_before (const adm_table_t *table, const adm_request_t *a,
+               const adm_request_t *b, uint64_t now_ms)
 {
   bool is_a_timely = adm_is_timely (table, a, now_ms);
   bool is_b_timely = adm_is_timely (table, b, now_ms);
@@ -72,53 +76,59 @@
 /// Prompts that are read before the one of a request: those of its own class
 /// and, as far as these may pass it, those of more urgent ones.
 static double
-cost_ahead (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
+cost_ahead (const adm_table_t *table, const adm_request_t *request,
+            uint64_t now_ms)
 {
   double own = rdg_left (&table->reading, now_ms);
   double urgent = 0;
-  for (const adm_ask_t *other = table->first; other != NULL;
+  for (const adm_request_t *other = table->first; other != NULL;
        other = other->next)
     {
-      if (other == ask || !adm_is_before (table, other, ask, now_ms))
+      if (other == request || !adm_is_before (table, other, request, now_ms))
         continue;
       double cost = rdg_cost (other->prompt_tokens);
-      if (other->priority < ask->priority)
+      if (other->priority < request->priority)
         urgent += cost;
       else
         own += cost;
     }
-  double most = ADM_URGENT_PARTS * (own + rdg_cost (ask->prompt_tokens));
-  return own + fmin (urgent, most);
+  double max_urgent
+      = ADM_URGENT_SHARE_RATIO * (own + rdg_cost (request->prompt_tokens));
+  return own + fmin (urgent, max_urgent);
 }
 
 /// Waiting requests that take a place before this one.
 static uint32_t
-count_ahead (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
+count_ahead (const adm_table_t *table, const adm_request_t *request,
+             uint64_t now_ms)
 {
   uint32_t count = 0;
-  for (const adm_ask_t *other = table->first; other != NULL;
+  for (const adm_request_t *other = table->first; other != NULL;
        other = other->next)
-    count += other != ask && adm_adapter_is_fit (other->adapter)
-             && adm_is_before (table, other, ask, now_ms);
+    count += other != request && adm_adapter_is_servable (other->adapter)
+             && adm_is_before (table, other, request, now_ms);
   return count;
 }
 
 /// Time until a slot and memory are free, when places are given back as fast
 /// as they were.
 static double
-room_wait_ms (const adm_table_t *table, const adm_ask_t *ask, uint32_t ahead)
+capacity_wait_ms (const adm_table_t *table, const adm_request_t *request,
+                  uint32_t ahead)
 {
   if (table->granted == 0)
     return 0;
   double wait_ms = 0;
   if (table->granted + ahead >= table->options.slots)
-    wait_ms = table->held_for_ms / table->granted
+    wait_ms = table->mean_hold_ms / table->granted
               * (table->granted + ahead + 1 - table->options.slots);
-  double limit = ADM_MEMORY_PART * table->options.kv_tokens;
-  double over = (double)(table->granted_tokens + ask->tokens) - limit;
+  double limit = ADM_MAX_KV_FRACTION * table->options.kv_tokens;
+  double over
+      = (double)(table->granted_kv_tokens + request->kv_tokens_needed) - limit;
   if (limit > 0 && over > 0)
     {
-      double freed_per_ms = (double)table->granted_tokens / table->held_for_ms;
+      double freed_per_ms
+          = (double)table->granted_kv_tokens / table->mean_hold_ms;
       double memory_ms = over / freed_per_ms;
       wait_ms = fmax (wait_ms, memory_ms);
     }
@@ -127,48 +137,51 @@
 
 /// Time until there is room, and the engine takes one more request.
 static double
-place_wait_ms (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
+place_wait_ms (const adm_table_t *table, const adm_request_t *request,
+               uint64_t now_ms)
 {
-  uint32_t ahead = count_ahead (table, ask, now_ms);
+  uint32_t ahead = count_ahead (table, request, now_ms);
   double limit_ms = (double)bkp_meter_wait_ms (&table->meter, ahead, now_ms);
-  return fmax (room_wait_ms (table, ask, ahead), limit_ms);
+  return fmax (capacity_wait_ms (table, request, ahead), limit_ms);
 }
 
 adm_forecast_t
-adm_forecast (const adm_table_t *table, const adm_ask_t *ask, uint64_t now_ms)
+adm_forecast (const adm_table_t *table, const adm_request_t *request,
+              uint64_t now_ms)
 {
   adm_forecast_t forecast = { 0 };
-  if (ask->adapter != NULL)
-    forecast.load_ms = adm_load_wait_ms (table, ask->adapter, now_ms);
+  if (request->adapter != NULL)
+    forecast.load_ms = adm_load_wait_ms (table, request->adapter, now_ms);
   double rate = table->reading.tokens_per_ms;
   double pace = rate * pce_part (&table->reading.pace);
-  double wait_ms = cost_ahead (table, ask, now_ms) / pace;
-  double place_ms = place_wait_ms (table, ask, now_ms);
+  double wait_ms = cost_ahead (table, request, now_ms) / pace;
+  double place_ms = place_wait_ms (table, request, now_ms);
   forecast.place_ms = (uint64_t)place_ms;
   wait_ms = fmax (wait_ms, place_ms);
   wait_ms = fmax (wait_ms, (double)forecast.load_ms);
-  wait_ms += rdg_cost (ask->prompt_tokens) / rate;
-  forecast.first_ms = (uint64_t)wait_ms + FIRST_EVENT_MS;
+  wait_ms += rdg_cost (request->prompt_tokens) / rate;
+  forecast.first_ms = (uint64_t)wait_ms + FIRST_EVENT_DELAY_MS;
   return forecast;
 }
 
 const char *
-adm_refusal (const adm_table_t *table, const adm_ask_t *ask,
-             const adm_forecast_t *forecast, uint64_t now_ms)
+adm_refusal_reason (const adm_table_t *table, const adm_request_t *request,
+                    const adm_forecast_t *forecast, uint64_t now_ms)
 {
-  bool can_be_timely = ask->objective_ms > now_ms;
-  uint64_t limit_ms = (can_be_timely ? ask->objective_ms : ask->due_ms);
+  bool can_be_timely = request->objective_ms > now_ms;
+  uint64_t limit_ms
+      = (can_be_timely ? request->objective_ms : request->deadline_ms);
   limit_ms = limit_ms > now_ms ? limit_ms - now_ms : 0;
   if (forecast->load_ms > limit_ms
-      && forecast->load_ms > (uint64_t)table->lanes.fetch_ms)
+      && forecast->load_ms > (uint64_t)table->fetch_limit.mean_fetch_ms)
     return "load_queue";
   bool is_late = can_be_timely && forecast->first_ms > limit_ms;
-  if (is_late && adm_is_pressed (table, now_ms))
+  if (is_late && adm_is_saturated (table, now_ms))
     return "late_under_load";
   // Its slots are taken for longer than it has: another engine may have some
   // free. When several had none, it waits where it is.
   if (is_late && forecast->place_ms > limit_ms
-      && ask->declined < ELSEWHERE_MOST)
+      && request->decline_count < MAX_REDIRECTS)
     return "no_place_in_time";
   return NULL;
 }
--- a/src/coordination/lanes.c
+++ b/src/coordination/lanes.c
@@ -1,54 +1,54 @@
 #include "coordination/lanes.h"
 
 /// Before a fetch was measured.
-static const double FETCH_DEFAULT_MS = 250;
-static const double FETCH_WEIGHT = 0.2;
+static const double DEFAULT_FETCH_MS = 250;
+static const double MEAN_FETCH_WEIGHT = 0.2;
 /// Fetches up to this much over the best are at full speed: reports are read
 /// every 25 ms.
-static const double FULL_SPEED = 1.15;
+static const double MAX_FULL_SPEED_RATIO = 1.15;
 /// Ten fetches at full speed open one more lane; one that was slowed closes a
 /// third of them, so that a store that all press on is left again within a
 /// second.
-static const double OPEN_STEP = 0.1;
-static const double CLOSE_FACTOR = 0.7;
+static const double INCREASE_STEP = 0.1;
+static const double DECREASE_FACTOR = 0.7;
 /// The best time is forgotten by a tenth in a hundred fetches: another model's
 /// adapters may be larger.
-static const double BEST_DRIFT = 1.001;
+static const double MIN_FETCH_DRIFT = 1.001;
 
 void
-lns_lanes_init (lns_lanes_t *lanes, uint32_t most)
+ftl_limit_init (ftl_limit_t *limit, uint32_t max_fetches)
 {
-  *lanes = (lns_lanes_t){ .most = most > 0 ? most : 1,
-                          .lanes = 1,
-                          .fetch_ms = FETCH_DEFAULT_MS };
+  *limit = (ftl_limit_t){ .max_fetches = max_fetches > 0 ? max_fetches : 1,
+                          .limit = 1,
+                          .mean_fetch_ms = DEFAULT_FETCH_MS };
 }
 
 void
-lns_learn (lns_lanes_t *lanes, double took_ms)
+ftl_limit_record_fetch (ftl_limit_t *limit, double took_ms)
 {
-  lanes->fetch_ms += FETCH_WEIGHT * (took_ms - lanes->fetch_ms);
-  lanes->best_ms *= BEST_DRIFT;
-  if (lanes->best_ms <= 0 || took_ms < lanes->best_ms)
-    lanes->best_ms = took_ms;
-  if (took_ms <= FULL_SPEED * lanes->best_ms)
-    lanes->lanes += OPEN_STEP;
+  limit->mean_fetch_ms += MEAN_FETCH_WEIGHT * (took_ms - limit->mean_fetch_ms);
+  limit->min_fetch_ms *= MIN_FETCH_DRIFT;
+  if (limit->min_fetch_ms <= 0 || took_ms < limit->min_fetch_ms)
+    limit->min_fetch_ms = took_ms;
+  if (took_ms <= MAX_FULL_SPEED_RATIO * limit->min_fetch_ms)
+    limit->limit += INCREASE_STEP;
   else
-    lanes->lanes *= CLOSE_FACTOR;
-  if (lanes->lanes > lanes->most)
-    lanes->lanes = lanes->most;
-  if (lanes->lanes < 1)
-    lanes->lanes = 1;
+    limit->limit *= DECREASE_FACTOR;
+  if (limit->limit > limit->max_fetches)
+    limit->limit = limit->max_fetches;
+  if (limit->limit < 1)
+    limit->limit = 1;
 }
 
 uint32_t
-lns_count (const lns_lanes_t *lanes)
+ftl_limit_count (const ftl_limit_t *limit)
 {
-  return (uint32_t)lanes->lanes;
+  return (uint32_t)limit->limit;
 }
 
 uint64_t
-lns_wait_ms (const lns_lanes_t *lanes, uint32_t ahead)
+ftl_limit_wait_ms (const ftl_limit_t *limit, uint32_t ahead)
 {
-  uint32_t turns = ahead / lns_count (lanes) + 1;
-  return (uint64_t)(turns * lanes->fetch_ms);
+  uint32_t turns = ahead / ftl_limit_count (limit) + 1;
+  return (uint64_t)(turns * limit->mean_fetch_ms);
 }
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -6,24 +6,24 @@
 #include "state/buf.h"
 
 /// Targets that an adapter is brought to first, by rendezvous weight. The
-/// same few targets over and over, so that their memory still holds it when
-/// it comes back.
+/// same few target_count over and over, so that their memory still holds it
+/// when it comes back.
 enum
 {
   HOME_RANKS = 2,
   /// Reading for this long pauses no stream noticeably; for as long as the
   /// second, an event comes 300 ms after the one before.
-  PAUSE_FREE_MS = 90,
-  PAUSE_FULL_MS = 220,
+  MIN_PAUSING_READ_MS = 90,
+  FULL_PAUSE_READ_MS = 220,
   MS_PER_S = 1000,
 };
 
 /// Targets that hold an adapter in demand get this many times the mean. On a
-/// day of 68 gateways and 120 engines with 12 slots, 0.885 of the requests
-/// were in time, weighted by what they are worth, with a spread of 300 ms, one
-/// and a half times the mean there; 0.910 with 800 ms; 0.919 with 1,600 ms,
-/// which brought 7 % more fetches and worse worst seconds.
-static const double IN_DEMAND = 4;
+/// day of 68 gateway_count and 120 engines with 12 slots, 0.885 of the
+/// requests were in time, weighted by what they are worth, with a spread of
+/// 300 ms, one and a half times the mean there; 0.910 with 800 ms; 0.919 with
+/// 1,600 ms, which brought 7 % more fetches and worse worst seconds.
+static const double IN_DEMAND_FACTOR = 4;
 
 void
 plc_costs_default (plc_costs_t *costs)
@@ -31,10 +31,10 @@
   *costs = (plc_costs_t){
     // A full batch slows each token by about a third and doubles the wait for
     // a first one.
-    .full_ms = 900,
-    .wait_ms = 2000,
-    .place_wait = 3,
-    .backlog = 2,
+    .full_batch_ms = 900,
+    .waiting_request_ms = 2000,
+    .place_wait_factor = 3,
+    .backlog_factor = 2,
     .first_rank_ms = 0,
     .second_rank_ms = 300,
     .other_rank_ms = 600,
@@ -42,9 +42,9 @@
     // awaited; about the time of a fetch keeps them together.
     .duplicate_ms = 300,
     // A tenth of a fetch, the order and the report.
-    .warm_ms = 60,
-    .coming_ms = 60,
-    .far_ms = 4,
+    .warm_load_ms = 60,
+    .loading_ms = 60,
+    .other_domain_ms = 4,
     .paused_stream_ms = 80,
     .failure_ms = 1500,
   };
@@ -59,7 +59,7 @@
 
 /// @return  How many usable views weigh more for this adapter.
 static uint32_t
-rank_of (const plc_view_t *views, uint32_t count, uint64_t adapter,
+rank_of (const plc_candidate_t *views, uint32_t count, uint64_t adapter,
          uint32_t at)
 {
   uint64_t weight = plc_weight (adapter, views[at].key);
@@ -72,7 +72,7 @@
 
 /// Whether a usable target has the adapter or will have it anyway.
 static bool
-is_anywhere (const plc_view_t *views, uint32_t count)
+is_held_or_expected (const plc_candidate_t *views, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
     if (views[i].is_usable && views[i].holding != PLC_ABSENT)
@@ -81,8 +81,8 @@
 }
 
 static double
-absent_cost (const plc_costs_t *costs, const plc_view_t *views, uint32_t count,
-             uint64_t adapter, uint32_t at, bool is_duplicate)
+absent_cost (const plc_costs_t *costs, const plc_candidate_t *views,
+             uint32_t count, uint64_t adapter, uint32_t at, bool is_duplicate)
 {
   double cost = views[at].load_wait_ms;
   if (is_duplicate)
@@ -99,7 +99,7 @@
 }
 
 static double
-holding_cost (const plc_costs_t *costs, const plc_view_t *views,
+holding_cost (const plc_costs_t *costs, const plc_candidate_t *views,
               uint32_t count, uint64_t adapter, uint32_t at, bool is_duplicate)
 {
   switch (views[at].holding)
@@ -107,11 +107,11 @@
     case PLC_HELD:
     case PLC_NOT_NEEDED:
       return 0;
-    case PLC_COMING:
-      return costs->coming_ms;
+    case PLC_LOADING:
+      return costs->loading_ms;
     case PLC_WARM:
-      return costs->warm_ms;
-    case PLC_AWAITED:
+      return costs->warm_load_ms;
+    case PLC_PENDING:
       return views[at].load_wait_ms;
     case PLC_ABSENT:
       break;
@@ -123,16 +123,17 @@
 /// what their callers accept; an engine with few streams loses less, also when
 /// the adapter has to be fetched there.
 static double
-pause_cost (const plc_costs_t *costs, const plc_view_t *v,
+pause_cost (const plc_costs_t *costs, const plc_candidate_t *v,
             uint32_t prompt_tokens)
 {
   if (v->tokens_per_ms <= 0)
     return 0;
   double reading_ms = rdg_cost (prompt_tokens) / v->tokens_per_ms;
-  double part = (reading_ms - PAUSE_FREE_MS) / (PAUSE_FULL_MS - PAUSE_FREE_MS);
+  double part = (reading_ms - MIN_PAUSING_READ_MS)
+                / (FULL_PAUSE_READ_MS - MIN_PAUSING_READ_MS);
   if (part <= 0)
     return 0;
-  return costs->paused_stream_ms * v->busy * (part < 1 ? part : 1);
+  return costs->paused_stream_ms * v->busy_slots * (part < 1 ? part : 1);
 }
 
 /// Time until a place is free for one more request, when places are given back
@@ -141,62 +142,64 @@
 /// adapter in demand were waited for until the requests were late, while half
 /// of the others were nearly empty.
 static double
-place_wait_ms (const plc_view_t *v, double slots)
+place_wait_ms (const plc_candidate_t *v, double slots)
 {
-  double ahead = (double)v->busy + v->waiting + 1 - slots;
-  double slot_ms = ahead > 0 ? ahead * v->held_for_ms / slots : 0;
+  double ahead = (double)v->busy_slots + v->waiting + 1 - slots;
+  double slot_ms = ahead > 0 ? ahead * v->mean_hold_ms / slots : 0;
   return fmax (slot_ms, v->start_wait_ms);
 }
 
 /// Where an adapter is there, each request is drawn for itself. Where it would
-/// have to be fetched, gateways agree: one fetch serves all who ask for it;
-/// and at least half of the spread is added, because the lowest of a hundred
-/// draws is always near zero, and a fetch would look cheaper than it is (4 %
-/// fewer fetches, and more in time).
+/// have to be fetched, gateway_count agree: one fetch serves all who ask for
+/// it; and at least half of the spread is added, because the lowest of a
+/// hundred draws is always near zero, and a fetch would look cheaper than it
+/// is (4 % fewer fetches, and more in time).
 static double
-spread_cost (const plc_costs_t *costs, const plc_view_t *v,
+spread_cost (const plc_costs_t *costs, const plc_candidate_t *v,
              const plc_request_t *request)
 {
   bool is_there = v->holding != PLC_ABSENT && v->holding != PLC_WARM;
-  uint64_t draw
-      = plc_weight (is_there ? request->draw : request->adapter, v->key);
+  uint64_t random_draw = plc_weight (
+      is_there ? request->random_draw : request->adapter, v->key);
   double slots = v->slots > 0 ? v->slots : 1;
-  double spread_ms = request->unseen * costs->full_ms / slots;
-  double part = (double)(UINT64_MAX - draw) / (double)UINT64_MAX;
+  double spread_ms
+      = request->unreported_requests * costs->full_batch_ms / slots;
+  double part = (double)(UINT64_MAX - random_draw) / (double)UINT64_MAX;
   return spread_ms * (is_there ? part : 0.5 + 0.5 * part);
 }
 
 double
-plc_unseen (const plc_load_t *load)
+plc_unreported_requests (const plc_load_t *load)
 {
-  if (load->targets == 0 || load->gateways < 2)
+  if (load->target_count == 0 || load->gateway_count < 2)
     return 0;
-  double others_per_s = load->own_per_s * (load->gateways - 1);
-  return IN_DEMAND * others_per_s * (double)load->word_ms / MS_PER_S
-         / load->targets;
+  double other_requests_per_s
+      = load->own_requests_per_s * (load->gateway_count - 1);
+  return IN_DEMAND_FACTOR * other_requests_per_s
+         * (double)load->report_interval_ms / MS_PER_S / load->target_count;
 }
 
 int32_t
-plc_choose (const plc_costs_t *costs, const plc_view_t *views, uint32_t count,
-            const plc_request_t *request)
+plc_choose (const plc_costs_t *costs, const plc_candidate_t *views,
+            uint32_t count, const plc_request_t *request)
 {
   int32_t best = PLC_NONE;
   double best_cost = 0;
-  // Asked once for all: 0.07 ms a choice at 600 targets, 0.34 ms when asked
-  // for each (mean of 2,000 choices).
-  bool is_duplicate = is_anywhere (views, count);
+  // Asked once for all: 0.07 ms a choice at 600 target_count, 0.34 ms when
+  // asked for each (mean of 2,000 choices).
+  bool is_duplicate = is_held_or_expected (views, count);
   for (uint32_t i = 0; i < count; i++)
     {
-      const plc_view_t *v = &views[i];
+      const plc_candidate_t *v = &views[i];
       if (!v->is_usable)
         continue;
       double slots = v->slots > 0 ? v->slots : 1;
-      double cost = costs->full_ms * v->busy / slots
-                    + costs->wait_ms * v->waiting / slots
-                    + costs->place_wait * place_wait_ms (v, slots)
-                    + costs->backlog * v->backlog_ms
-                    + costs->failure_ms * v->failures
-                    + (v->is_near ? 0 : costs->far_ms)
+      double cost = costs->full_batch_ms * v->busy_slots / slots
+                    + costs->waiting_request_ms * v->waiting / slots
+                    + costs->place_wait_factor * place_wait_ms (v, slots)
+                    + costs->backlog_factor * v->backlog_ms
+                    + costs->failure_ms * v->failure_rate
+                    + (v->is_same_domain ? 0 : costs->other_domain_ms)
                     + pause_cost (costs, v, request->prompt_tokens)
                     + spread_cost (costs, v, request)
                     + holding_cost (costs, views, count, request->adapter, i,
--- a/src/coordination/route.c
+++ b/src/coordination/route.c
@@ -8,7 +8,7 @@
 rt_options_default (rt_options_t *options)
 {
   *options = (rt_options_t){ .load_ms = 1000,
-                             .hint_half_ms = 1000,
+                             .report_half_life_ms = 1000,
                              .grow_permille = 900,
                              .shrink_permille = 250,
                              .width_hold_ms = 500,
@@ -18,7 +18,7 @@
 void
 rt_table_init (rt_table_t *table, const rt_options_t *options)
 {
-  *table = (rt_table_t){ .options = *options, .membership = 1 };
+  *table = (rt_table_t){ .options = *options, .membership_version = 1 };
 }
 
 void
@@ -36,15 +36,15 @@
 rt_target_add (rt_table_t *table, uint64_t id, uint64_t service,
                uint64_t domain, uint32_t max_batch)
 {
-  rt_target_t *known = kb_map_get (&table->by_id, id);
-  if (known != NULL)
+  rt_target_t *existing = kb_map_get (&table->by_id, id);
+  if (existing != NULL)
     {
-      if (known->service != service || known->domain != domain)
-        table->membership++;
-      known->service = service;
-      known->domain = domain;
-      known->max_batch = max_batch;
-      return (uint16_t)(known - table->targets);
+      if (existing->service != service || existing->domain != domain)
+        table->membership_version++;
+      existing->service = service;
+      existing->domain = domain;
+      existing->max_batch = max_batch;
+      return (uint16_t)(existing - table->targets);
     }
   uint16_t index = 0;
   while (index < table->target_count && table->targets[index].is_used)
@@ -59,7 +59,7 @@
                                          .domain = domain,
                                          .max_batch = max_batch };
   kb_map_put (&table->by_id, id, &table->targets[index]);
-  table->membership++;
+  table->membership_version++;
   return index;
 }
 
@@ -71,7 +71,7 @@
     return;
   kb_map_remove (&table->by_id, target->id);
   *target = (rt_target_t){ 0 };
-  table->membership++;
+  table->membership_version++;
 }
 
 void
@@ -143,7 +143,7 @@
           left--;
         }
     }
-  adapter->membership = table->membership;
+  adapter->membership_version = table->membership_version;
 }
 
 /// Keep the residency bits of targets that are still ranked.
@@ -176,7 +176,7 @@
       adapter->width = 1;
       kb_map_put (&table->adapters, key, adapter);
     }
-  if (adapter->membership != table->membership)
+  if (adapter->membership_version != table->membership_version)
     adapter_rerank (table, adapter, service);
   return adapter;
 }
@@ -191,8 +191,8 @@
 }
 
 static bool
-target_can_take (const rt_table_t *table, uint16_t index,
-                 const uint16_t *excluded, uint32_t excluded_count)
+target_is_available (const rt_table_t *table, uint16_t index,
+                     const uint16_t *excluded, uint32_t excluded_count)
 {
   return table->targets[index].state == RT_UP
          && !is_excluded (index, excluded, excluded_count);
@@ -206,10 +206,11 @@
 {
   const rt_options_t *o = &table->options;
   uint64_t age = now_ms - target->reported_ms;
-  uint64_t reported = (uint64_t)target->expected_wait_ms * o->hint_half_ms
-                      / (o->hint_half_ms + age);
+  uint64_t reported = (uint64_t)target->expected_wait_ms
+                      * o->report_half_life_ms
+                      / (o->report_half_life_ms + age);
   uint32_t batch = target->max_batch > 0 ? target->max_batch : 1;
-  uint64_t busy = target->running + target->sent_since;
+  uint64_t busy = target->running + target->sent_since_report;
   uint64_t queued = busy > batch ? busy - batch : 0;
   return reported + queued * o->service_ms / batch
          + busy * 20 / batch; // A part-full engine is a little slower.
@@ -226,7 +227,7 @@
   for (uint8_t i = 0; i < adapter->rank_count && seen < adapter->width; i++)
     {
       uint16_t index = adapter->ranks[i];
-      if (!target_can_take (table, index, excluded, excluded_count))
+      if (!target_is_available (table, index, excluded, excluded_count))
         continue;
       seen++;
       uint64_t cost = target_wait_ms (table, &table->targets[index], now_ms);
@@ -256,7 +257,7 @@
       uint16_t index = (uint16_t)((start + i) % table->target_count);
       if (table->targets[index].is_used
           && table->targets[index].service == service
-          && target_can_take (table, index, excluded, excluded_count))
+          && target_is_available (table, index, excluded, excluded_count))
         return index;
     }
   return RT_NONE;
@@ -286,10 +287,10 @@
   if (adapter == 0)
     return choose_of_two (table, service, excluded, excluded_count, now_ms,
                           random);
-  rt_adapter_t *known = adapter_get (table, service, adapter);
-  known->used_ms = now_ms;
+  rt_adapter_t *existing = adapter_get (table, service, adapter);
+  existing->used_ms = now_ms;
   uint16_t index
-      = choose_ranked (table, known, excluded, excluded_count, now_ms);
+      = choose_ranked (table, existing, excluded, excluded_count, now_ms);
   if (index != RT_NONE)
     return index;
   return choose_of_two (table, service, excluded, excluded_count, now_ms,
@@ -306,15 +307,15 @@
 }
 
 void
-rt_note_sent (rt_table_t *table, uint16_t index, uint64_t adapter)
+rt_record_sent (rt_table_t *table, uint16_t index, uint64_t adapter)
 {
-  table->targets[index].sent_since++;
-  rt_adapter_t *known = kb_map_get (&table->adapters, adapter);
-  if (adapter == 0 || known == NULL)
+  table->targets[index].sent_since_report++;
+  rt_adapter_t *existing = kb_map_get (&table->adapters, adapter);
+  if (adapter == 0 || existing == NULL)
     return;
-  int rank = adapter_rank_of (known, index);
+  int rank = adapter_rank_of (existing, index);
   if (rank >= 0)
-    known->loading |= (uint16_t)(1u << rank);
+    existing->loading |= (uint16_t)(1u << rank);
 }
 
 static void
@@ -322,64 +323,66 @@
                       uint64_t now_ms)
 {
   const rt_options_t *o = &table->options;
-  if (now_ms - adapter->changed_ms < o->width_hold_ms)
+  if (now_ms - adapter->width_changed_ms < o->width_hold_ms)
     return;
   if (adapter->demand_permille > o->grow_permille
       && adapter->width < adapter->rank_count)
     {
-      uint32_t wanted
+      uint32_t new_width
           = (adapter->width * adapter->demand_permille + o->grow_permille - 1)
             / o->grow_permille;
-      if (wanted > adapter->width * 2u)
-        wanted = adapter->width * 2u;
+      if (new_width > adapter->width * 2u)
+        new_width = adapter->width * 2u;
       adapter->width
-          = (uint8_t)(wanted < adapter->rank_count ? wanted
-                                                   : adapter->rank_count);
-      adapter->changed_ms = now_ms;
+          = (uint8_t)(new_width < adapter->rank_count ? new_width
+                                                      : adapter->rank_count);
+      adapter->width_changed_ms = now_ms;
     }
   else if (adapter->demand_permille < o->shrink_permille && adapter->width > 1)
     {
       adapter->width--;
-      adapter->changed_ms = now_ms;
+      adapter->width_changed_ms = now_ms;
     }
 }
 
 void
-rt_note_end (rt_table_t *table, uint16_t index, uint64_t adapter,
-             bool is_resident, uint32_t demand_permille, uint64_t now_ms)
+rt_record_end (rt_table_t *table, uint16_t index, uint64_t adapter,
+               bool is_resident, uint32_t demand_permille, uint64_t now_ms)
 {
-  rt_adapter_t *known = kb_map_get (&table->adapters, adapter);
-  if (adapter == 0 || known == NULL)
+  rt_adapter_t *existing = kb_map_get (&table->adapters, adapter);
+  if (adapter == 0 || existing == NULL)
     return;
-  int rank = adapter_rank_of (known, index);
+  int rank = adapter_rank_of (existing, index);
   if (rank < 0)
     return;
   uint16_t bit = (uint16_t)(1u << rank);
-  known->loading &= (uint16_t)~bit;
+  existing->loading &= (uint16_t)~bit;
   if (is_resident)
-    known->resident |= bit;
+    existing->resident |= bit;
   else
-    known->resident &= (uint16_t)~bit;
-  known->demand_permille = (known->demand_permille * 3 + demand_permille) / 4;
-  if (demand_permille > known->demand_permille)
-    known->demand_permille = demand_permille;
-  adapter_adjust_width (table, known, now_ms);
+    existing->resident &= (uint16_t)~bit;
+  existing->demand_permille
+      = (existing->demand_permille * 3 + demand_permille) / 4;
+  if (demand_permille > existing->demand_permille)
+    existing->demand_permille = demand_permille;
+  adapter_adjust_width (table, existing, now_ms);
 }
 
 void
-rt_note_load (rt_table_t *table, uint16_t index, uint32_t queue_len,
-              uint32_t running, uint32_t expected_wait_ms, uint64_t now_ms)
+rt_record_load_report (rt_table_t *table, uint16_t index, uint32_t queue_len,
+                       uint32_t running, uint32_t expected_wait_ms,
+                       uint64_t now_ms)
 {
   rt_target_t *target = &table->targets[index];
   target->queue_len = queue_len;
   target->running = running;
   target->expected_wait_ms = expected_wait_ms;
   target->reported_ms = now_ms;
-  target->sent_since = 0;
+  target->sent_since_report = 0;
 }
 
 void
-rt_note_cold (rt_table_t *table, uint16_t index)
+rt_clear_residency (rt_table_t *table, uint16_t index)
 {
   uint32_t at = 0;
   rt_adapter_t *adapter;
@@ -392,7 +395,7 @@
 }
 
 void
-rt_forget_idle (rt_table_t *table, uint64_t before_ms)
+rt_remove_idle_adapters (rt_table_t *table, uint64_t before_ms)
 {
   // A removal may move entries past the cursor, so the scan starts over; the
   // bound keeps one call short and the next call goes on.
--- a/src/coordination/sched.c
+++ b/src/coordination/sched.c
@@ -64,11 +64,11 @@
 }
 
 static void
-group_list (sch_queue_t *queue, sch_group_t *group)
+group_activate (sch_queue_t *queue, sch_group_t *group)
 {
-  if (group->is_listed)
+  if (group->is_active)
     return;
-  group->is_listed = true;
+  group->is_active = true;
   group->prev = NULL;
   group->next = queue->active;
   if (queue->active != NULL)
@@ -77,11 +77,11 @@
 }
 
 static void
-group_unlist (sch_queue_t *queue, sch_group_t *group)
+group_deactivate (sch_queue_t *queue, sch_group_t *group)
 {
-  if (!group->is_listed)
+  if (!group->is_active)
     return;
-  group->is_listed = false;
+  group->is_active = false;
   if (group->prev != NULL)
     group->prev->next = group->next;
   else
@@ -96,7 +96,7 @@
 {
   if (group->waiting > 0 || group->running > 0 || group->failed_loads > 0)
     return;
-  group_unlist (queue, group);
+  group_deactivate (queue, group);
   kb_map_remove (&queue->groups, group_key (group->adapter));
   free (group);
 }
@@ -125,11 +125,11 @@
     return (double)item->enqueued_us;
   sch_workspace_t *workspace = workspace_get (queue, item->workspace);
   uint8_t c = item->priority_class;
-  double start = workspace->last_tag[c] > queue->virtual_time[c]
-                     ? workspace->last_tag[c]
+  double start = workspace->finish_tags[c] > queue->virtual_time[c]
+                     ? workspace->finish_tags[c]
                      : queue->virtual_time[c];
   uint32_t weight = item->weight > 0 ? item->weight : 1;
-  workspace->last_tag[c] = start + (double)(item->cost + 1) / weight;
+  workspace->finish_tags[c] = start + (double)(item->cost + 1) / weight;
   return start;
 }
 
@@ -138,7 +138,7 @@
 {
   uint8_t c = item->priority_class;
   sch_item_t *after = group->tails[c];
-  while (after != NULL && after->tag > item->tag)
+  while (after != NULL && after->start_tag > item->start_tag)
     after = after->prev;
   item->prev = after;
   item->next = after != NULL ? after->next : group->heads[c];
@@ -153,7 +153,7 @@
 }
 
 static void
-group_take (sch_group_t *group, sch_item_t *item)
+group_remove_item (sch_group_t *group, sch_item_t *item)
 {
   uint8_t c = item->priority_class;
   if (item->prev != NULL)
@@ -178,36 +178,37 @@
   sch_group_t *group = group_get (queue, item->adapter);
   item->group = group;
   item->is_running = false;
-  item->tag = item_tag (queue, item);
+  item->start_tag = item_tag (queue, item);
   group_insert (group, item);
   group->waiting++;
-  group_list (queue, group);
+  group_activate (queue, group);
   queue->waiting++;
   queue->waiting_by_class[item->priority_class]++;
 }
 
 static void
-queue_take (sch_queue_t *queue, sch_item_t *item)
+queue_remove_item (sch_queue_t *queue, sch_item_t *item)
 {
   sch_group_t *group = item->group;
-  group_take (group, item);
+  group_remove_item (group, item);
   group->waiting--;
   queue->waiting--;
   queue->waiting_by_class[item->priority_class]--;
   if (group->waiting == 0)
-    group_unlist (queue, group);
+    group_deactivate (queue, group);
 }
 
 void
 sch_remove (sch_queue_t *queue, sch_item_t *item)
 {
   sch_group_t *group = item->group;
-  queue_take (queue, item);
+  queue_remove_item (queue, item);
   item->group = NULL;
   group_release (queue, group);
 }
 
-/// @return  The group's best waiting item: lowest class, then lowest tag.
+/// @return  The group's best waiting item: lowest class, then lowest
+/// start_tag.
 static sch_item_t *
 group_head (const sch_group_t *group)
 {
@@ -222,8 +223,8 @@
 {
   if (a->priority_class != b->priority_class)
     return a->priority_class < b->priority_class;
-  if (a->tag != b->tag)
-    return a->tag < b->tag;
+  if (a->start_tag != b->start_tag)
+    return a->start_tag < b->start_tag;
   return a->enqueued_us < b->enqueued_us;
 }
 
@@ -334,14 +335,14 @@
 {
   const sch_queue_t *queue;
   uint8_t priority_class; ///< Of the work that wants the slot.
-} wanted_arg_t;
+} eviction_arg_t;
 
 /// An adapter with waiting work is kept, unless all that work is of a lower
 /// class than the work that wants the slot.
 static bool
 adapter_is_wanted (void *arg, uint64_t key)
 {
-  const wanted_arg_t *wanted = arg;
+  const eviction_arg_t *wanted = arg;
   const sch_group_t *group = group_find (wanted->queue, key);
   if (group == NULL || group->waiting == 0)
     return false;
@@ -361,14 +362,14 @@
 
 /// Whether a slot may be drained for a load.
 static bool
-slot_may_drain (const sch_queue_t *queue, const slt_slot_t *slot,
+slot_can_drain (const sch_queue_t *queue, const slt_slot_t *slot,
                 const sch_action_t *load, uint64_t now_us)
 {
-  uint8_t its_class = slot_class (queue, slot);
-  if (its_class < load->priority_class)
+  uint8_t slot_priority = slot_class (queue, slot);
+  if (slot_priority < load->priority_class)
     return false;
   // Work of a worse class gives way at once; equals share by time.
-  if (its_class > load->priority_class)
+  if (slot_priority > load->priority_class)
     return true;
   return now_us - load->item->enqueued_us >= queue->options.drain_after_us
          && now_us - slot->state_us >= queue->options.drain_after_us;
@@ -380,7 +381,7 @@
 /// requests end: the one of the worst class, then the one that has had its
 /// slot longest.
 static void
-drain_one (sch_queue_t *queue, const sch_action_t *load, uint64_t now_us)
+start_drain (sch_queue_t *queue, const sch_action_t *load, uint64_t now_us)
 {
   slt_slot_t *best = NULL;
   uint8_t best_class = 0;
@@ -391,16 +392,16 @@
         continue;
       if (slot->is_draining || slot->state != SLT_RESIDENT)
         return; // Room is already on its way.
-      if (!slot_may_drain (queue, slot, load, now_us))
+      if (!slot_can_drain (queue, slot, load, now_us))
         continue;
-      uint8_t its_class = slot_class (queue, slot);
+      uint8_t slot_priority = slot_class (queue, slot);
       if (best != NULL
-          && (its_class < best_class
-              || (its_class == best_class
+          && (slot_priority < best_class
+              || (slot_priority == best_class
                   && slot->state_us >= best->state_us)))
         continue;
       best = slot;
-      best_class = its_class;
+      best_class = slot_priority;
     }
   if (best == NULL)
     return;
@@ -412,7 +413,7 @@
 /// Without this its requests could neither run, since it takes no work, nor
 /// be loaded, since it is resident: they would wait for ever.
 static void
-drain_stop (sch_queue_t *queue)
+cancel_drains (sch_queue_t *queue)
 {
   for (uint32_t i = 0; i < queue->slots->cap; i++)
     queue->slots->slots[i].is_draining = false;
@@ -427,13 +428,13 @@
     return (sch_action_t){ .kind = SCH_IDLE };
   if (slt_has_free (queue->slots))
     return load;
-  wanted_arg_t wanted = { queue, load.priority_class };
+  eviction_arg_t wanted = { queue, load.priority_class };
   slt_slot_t *victim = slt_choose_victim (
       queue->slots, queue->options.is_naive ? NULL : adapter_is_wanted,
       &wanted);
   if (victim == NULL && !queue->options.is_naive)
     {
-      drain_one (queue, &load, now_us);
+      start_drain (queue, &load, now_us);
       return (sch_action_t){ .kind = SCH_IDLE };
     }
   if (victim == NULL)
@@ -461,12 +462,12 @@
 }
 
 sch_action_t
-sch_next (sch_queue_t *queue, uint64_t now_us, bool may_load)
+sch_next_action (sch_queue_t *queue, uint64_t now_us, bool may_load)
 {
   if (queue->options.is_naive)
     return next_naive (queue, now_us, may_load);
   if (queue->has_draining && sch_wanted_load (queue, now_us).kind == SCH_IDLE)
-    drain_stop (queue);
+    cancel_drains (queue);
   if (queue->running < queue->options.max_batch)
     {
       sch_item_t *item = best_runnable (queue);
@@ -479,20 +480,20 @@
 }
 
 void
-sch_note_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
+sch_begin_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
 {
-  queue_take (queue, item);
+  queue_remove_item (queue, item);
   item->is_running = true;
   item->group->running++;
   queue->running++;
-  if (queue->virtual_time[item->priority_class] < item->tag)
-    queue->virtual_time[item->priority_class] = item->tag;
+  if (queue->virtual_time[item->priority_class] < item->start_tag)
+    queue->virtual_time[item->priority_class] = item->start_tag;
   if (item->adapter != 0)
     slt_pin (queue->slots, slt_find (queue->slots, item->adapter), now_us);
 }
 
 void
-sch_note_end (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
+sch_end_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
 {
   sch_group_t *group = item->group;
   assert (item->is_running);
@@ -506,15 +507,15 @@
 }
 
 void
-sch_note_load_begin (sch_queue_t *queue, uint64_t adapter, uint64_t now_us)
+sch_begin_load (sch_queue_t *queue, uint64_t adapter, uint64_t now_us)
 {
   slt_begin_load (queue->slots, adapter, now_us);
   queue->loading++;
 }
 
 void
-sch_note_load_end (sch_queue_t *queue, uint64_t adapter, bool is_loaded,
-                   uint64_t now_us)
+sch_end_load (sch_queue_t *queue, uint64_t adapter, bool is_loaded,
+              uint64_t now_us)
 {
   slt_end_load (queue->slots, adapter, is_loaded, now_us);
   if (queue->loading > 0)
@@ -561,14 +562,14 @@
 }
 
 sch_item_t *
-sch_first_of (const sch_queue_t *queue, uint64_t adapter)
+sch_first_waiting (const sch_queue_t *queue, uint64_t adapter)
 {
   const sch_group_t *group = group_find (queue, adapter);
   return group == NULL ? NULL : group_head (group);
 }
 
 sch_item_t *
-sch_first_late (const sch_queue_t *queue, uint64_t now_us)
+sch_first_expired (const sch_queue_t *queue, uint64_t now_us)
 {
   for (sch_group_t *g = queue->active; g != NULL; g = g->next)
     for (int c = 0; c < SCH_CLASSES; c++)
--- a/src/coordination/sched.h
+++ b/src/coordination/sched.h
@@ -24,7 +24,7 @@
   uint32_t cost; ///< Expected work, such as tokens.
   uint64_t enqueued_us;
   uint64_t deadline_us;
-  double tag; ///< Virtual start time within its class.
+  double start_tag; ///< Virtual start time within its class.
   struct sch_item *next;
   struct sch_item *prev;
   struct sch_group *group;
@@ -35,7 +35,7 @@
 typedef struct sch_group
 {
   uint64_t adapter;
-  sch_item_t *heads[SCH_CLASSES]; ///< Ordered by tag.
+  sch_item_t *heads[SCH_CLASSES]; ///< Ordered by start_tag.
   sch_item_t *tails[SCH_CLASSES];
   uint32_t waiting;
   uint32_t running;
@@ -43,7 +43,7 @@
   uint64_t retry_load_us; ///< No load before this.
   struct sch_group *next;
   struct sch_group *prev;
-  bool is_listed;
+  bool is_active;
 } sch_group_t;
 
 typedef enum
@@ -77,7 +77,7 @@
 typedef struct
 {
   uint64_t workspace;
-  double last_tag[SCH_CLASSES];
+  double finish_tags[SCH_CLASSES];
 } sch_workspace_t;
 
 typedef struct
@@ -108,15 +108,15 @@
 /// Decide the next step. The caller carries it out and calls the matching
 /// sch_note function before it asks again.
 /// @param may_load  Whether a load may start now.
-sch_action_t sch_next (sch_queue_t *queue, uint64_t now_us, bool may_load);
+sch_action_t sch_next_action (sch_queue_t *queue, uint64_t now_us,
+                              bool may_load);
 /// The item of an SCH_RUN action starts; its adapter is pinned.
-void sch_note_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us);
+void sch_begin_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us);
 /// A running item ended; its adapter is unpinned.
-void sch_note_end (sch_queue_t *queue, sch_item_t *item, uint64_t now_us);
-void sch_note_load_begin (sch_queue_t *queue, uint64_t adapter,
-                          uint64_t now_us);
-void sch_note_load_end (sch_queue_t *queue, uint64_t adapter, bool is_loaded,
-                        uint64_t now_us);
+void sch_end_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us);
+void sch_begin_load (sch_queue_t *queue, uint64_t adapter, uint64_t now_us);
+void sch_end_load (sch_queue_t *queue, uint64_t adapter, bool is_loaded,
+                   uint64_t now_us);
 /// @param service_ms  Expected time of one run.
 /// @return  Expected wait of new work of a class, milliseconds: only what is
 ///          served before it counts.
@@ -127,9 +127,9 @@
 /// @return  How often in a row the load of this adapter failed.
 uint32_t sch_failed_loads (const sch_queue_t *queue, uint64_t adapter);
 /// First waiting item of an adapter, for ending a group whose load failed.
-sch_item_t *sch_first_of (const sch_queue_t *queue, uint64_t adapter);
+sch_item_t *sch_first_waiting (const sch_queue_t *queue, uint64_t adapter);
 /// First waiting item whose deadline has passed, or NULL.
-sch_item_t *sch_first_late (const sch_queue_t *queue, uint64_t now_us);
+sch_item_t *sch_first_expired (const sch_queue_t *queue, uint64_t now_us);
 /// @return  The adapter whose load is most wanted, with its class and waiting
 ///          count; kind SCH_IDLE when no load is wanted.
 sch_action_t sch_wanted_load (const sch_queue_t *queue, uint64_t now_us);
--- a/src/coordination/slots.c
+++ b/src/coordination/slots.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  VISIT_US = 2000000,
+  VISIT_GAP_US = 2000000,
   VISIT_WINDOW = 32
 };
 
@@ -85,7 +85,7 @@
       slot = &table->slots[i];
   *slot = (slt_slot_t){ .key = key,
                         .state = SLT_LOADING,
-                        .credit = table->floor + 1,
+                        .keep_score = table->score_floor + 1,
                         .used_us = now_us,
                         .state_us = now_us };
   table->len++;
@@ -136,12 +136,12 @@
 }
 
 static bool
-victim_is_better (const slt_table_t *table, const slt_slot_t *a,
+is_better_victim (const slt_table_t *table, const slt_slot_t *a,
                   const slt_slot_t *b)
 {
-  if (table->is_lru || a->credit == b->credit)
+  if (table->is_lru || a->keep_score == b->keep_score)
     return a->used_us < b->used_us;
-  return a->credit < b->credit;
+  return a->keep_score < b->keep_score;
 }
 
 slt_slot_t *
@@ -159,7 +159,7 @@
       if (is_wanted != NULL && !slot->is_draining
           && is_wanted (arg, slot->key))
         continue;
-      if (best == NULL || victim_is_better (table, slot, best))
+      if (best == NULL || is_better_victim (table, slot, best))
         best = slot;
     }
   return best;
@@ -171,8 +171,8 @@
   assert (slot->pins == 0 && slot->state == SLT_RESIDENT);
   slot->state = SLT_UNLOADING;
   slot->state_us = now_us;
-  if (slot->credit > table->floor)
-    table->floor = slot->credit;
+  if (slot->keep_score > table->score_floor)
+    table->score_floor = slot->keep_score;
 }
 
 void
@@ -180,13 +180,13 @@
 {
   assert (slot->state == SLT_RESIDENT);
   // A batch of requests for one adapter is one visit.
-  bool is_new_visit = slot->pins == 0 && now_us - slot->used_us > VISIT_US;
+  bool is_new_visit = slot->pins == 0 && now_us - slot->used_us > VISIT_GAP_US;
   slot->pins++;
   slot->used_us = now_us;
   uint32_t visits = is_new_visit || visits_get (table, slot->key) == 0
                         ? visits_add (table, slot->key)
                         : visits_get (table, slot->key);
-  slot->credit = table->floor + visits;
+  slot->keep_score = table->score_floor + visits;
 }
 
 void
--- a/src/coordination/slots.h
+++ b/src/coordination/slots.h
@@ -22,9 +22,9 @@
 {
   uint64_t key;
   slt_state_t state;
-  uint32_t pins;    ///< Requests running with it; never evicted above zero.
-  bool is_draining; ///< Gets no new work, so that its slot comes free.
-  double credit;    ///< Eviction order: the lowest goes first.
+  uint32_t pins;     ///< Requests running with it; never evicted above zero.
+  bool is_draining;  ///< Gets no new work, so that its slot comes free.
+  double keep_score; ///< Eviction order: the lowest goes first.
   uint64_t used_us;
   uint64_t state_us; ///< When the state last changed.
 } slt_slot_t;
@@ -37,8 +37,8 @@
   kb_map_t by_key;
   kb_map_t visits; ///< Decayed visit counts of adapters seen, resident or not.
   uint32_t visit_total;
-  double floor; ///< Credit of the last eviction; ageing of the others.
-  bool is_lru;  ///< Baseline: plain least recently used.
+  double score_floor; ///< Credit of the last eviction; ageing of the others.
+  bool is_lru;        ///< Baseline: plain least recently used.
 } slt_table_t;
 
 void slt_table_init (slt_table_t *table, uint32_t cap);
--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -50,8 +50,8 @@
   for (;;)
     {
       bool may_order = !agent->order.is_busy && !agent->is_fence_in_doubt;
-      sch_action_t action = sch_next (&agent->queue, tmr_now_us (),
-                                      may_order && agent->wish.is_granted);
+      sch_action_t action = sch_next_action (
+          &agent->queue, tmr_now_us (), may_order && agent->wish.is_granted);
       if (action.kind == SCH_RUN)
         {
           agt_request_t *r = (agt_request_t *)action.item;
--- a/src/daemon/agent_engine.c
+++ b/src/daemon/agent_engine.c
@@ -62,7 +62,7 @@
 refuse_group (agt_agent_t *agent, uint64_t adapter, const char *reason)
 {
   sch_item_t *item;
-  while ((item = sch_first_of (&agent->queue, adapter)) != NULL)
+  while ((item = sch_first_waiting (&agent->queue, adapter)) != NULL)
     agt_run_refuse ((agt_request_t *)item, reason, RETRY_ELSEWHERE_MS);
 }
 
@@ -74,7 +74,7 @@
   uint64_t now_us = tmr_now_us ();
   bool is_loaded = status == KB_OK;
   agent->order.is_busy = false;
-  sch_note_load_end (&agent->queue, adapter, is_loaded, now_us);
+  sch_end_load (&agent->queue, adapter, is_loaded, now_us);
   agt_gate_give_back (agent);
   if (is_loaded)
     {
@@ -106,12 +106,12 @@
 agt_engine_load (agt_agent_t *agent, uint64_t adapter)
 {
   agt_request_t *first
-      = (agt_request_t *)sch_first_of (&agent->queue, adapter);
+      = (agt_request_t *)sch_first_waiting (&agent->queue, adapter);
   uint64_t now_us = tmr_now_us ();
   agent->order = (agt_order_t){
     .is_busy = true, .is_load = true, .adapter = adapter, .started_us = now_us
   };
-  sch_note_load_begin (&agent->queue, adapter, now_us);
+  sch_begin_load (&agent->queue, adapter, now_us);
   agent->engine.vtable->load (&agent->engine, first->model, first->source,
                               agent->fence, load_done, agent);
 }
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -202,7 +202,7 @@
   agt_agent_t *agent = r->agent;
   uint64_t now_us = tmr_now_us ();
   r->run = NULL;
-  sch_note_end (&agent->queue, &r->item, now_us);
+  sch_end_run (&agent->queue, &r->item, now_us);
   double took_ms = (double)(now_us - r->started_us) / 1000;
   agent->service_ms = agent->service_ms * 0.9 + took_ms * 0.1;
 }
@@ -412,7 +412,7 @@
 {
   uint64_t now_us = tmr_now_us ();
   request_stop_stall (r, now_us);
-  sch_note_run (&agent->queue, &r->item, now_us);
+  sch_begin_run (&agent->queue, &r->item, now_us);
   bkp_meter_start (&agent->meter, now_us / 1000);
   clm_runner_note (&agent->claims, r->attempt, CLM_RUN_STARTED, tmr_now_ms ());
   r->started_us = now_us;
@@ -484,7 +484,7 @@
 {
   uint64_t now_us = tmr_now_us ();
   sch_item_t *item;
-  while ((item = sch_first_late (&agent->queue, now_us)) != NULL)
+  while ((item = sch_first_expired (&agent->queue, now_us)) != NULL)
     agt_run_refuse ((agt_request_t *)item, "the deadline passed in the queue",
                     REFUSE_RETRY_MS);
 }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -28,14 +28,14 @@
 static void
 gate_pump (ent_entry_t *entry)
 {
-  const gat_wish_t *wish;
+  const gat_request_t *wish;
   while ((wish = gat_next (&entry->gate, tmr_now_us ())) != NULL)
     {
       ent_vm_t *vm = kb_map_get (&entry->vms, wish->agent);
       msg_t msg = { .type = MSG_GATE_GRANT };
       msg.gate_grant.id = wish->id;
       if (vm == NULL || dmn_send (entry->daemon, vm->name, &msg) != KB_OK)
-        gat_done (&entry->gate, wish->agent, wish->id);
+        gat_end_load (&entry->gate, wish->agent, wish->id);
     }
   uint64_t wait_us = gat_wait_us (&entry->gate, tmr_now_us ());
   if (wait_us > 0)
@@ -46,8 +46,9 @@
 static void
 on_gate_ask (ent_entry_t *entry, ent_vm_t *vm, const msg_gate_ask_t *ask)
 {
-  gat_ask (&entry->gate, vm->id, ask->id, (uint8_t)ask->priority_class,
-           (uint32_t)ask->waiting, tmr_now_us ());
+  gat_request_load (&entry->gate, vm->id, ask->id,
+                    (uint8_t)ask->priority_class, (uint32_t)ask->waiting,
+                    tmr_now_us ());
   gate_pump (entry);
 }
 
@@ -84,7 +85,7 @@
       on_gate_ask (entry, vm, &msg->gate_ask);
       break;
     case MSG_GATE_DONE:
-      gat_done (&entry->gate, vm->id, msg->gate_done.id);
+      gat_end_load (&entry->gate, vm->id, msg->gate_done.id);
       gate_pump (entry);
       break;
     default:
@@ -149,7 +150,7 @@
     return;
   mem_vm_note_disconnect (&vm->mem);
   ent_vm_update (entry, vm);
-  gat_drop_agent (&entry->gate, vm->id);
+  gat_remove_agent (&entry->gate, vm->id);
 }
 
 static void
@@ -190,7 +191,7 @@
   ent_claims_tick (entry, now);
   gate_pump (entry); // Grants whose holders died expire here.
   if (entry->ticks % FORGET_ADAPTERS_TICKS == 0 && now > ADAPTER_IDLE_MS)
-    rt_forget_idle (&entry->routes, now - ADAPTER_IDLE_MS);
+    rt_remove_idle_adapters (&entry->routes, now - ADAPTER_IDLE_MS);
   met_set (met_counter ("knapweedbay_requests_in_progress", ""),
            entry->request_count);
   check_drain (entry, now);
@@ -293,7 +294,7 @@
                   (uint64_t)s->claim_window_ms);
   gat_options_t gate_options = { .rate_per_s = s->load_rate_per_s,
                                  .concurrency = (uint32_t)s->load_concurrency,
-                                 .hold_limit_us = GRANT_HOLD_US };
+                                 .max_hold_us = GRANT_HOLD_US };
   gat_gate_init (&entry.gate, &gate_options, tmr_now_us ());
   kb_status_t status
       = dmn_init (daemon, &entry_role, &link_events, &entry, error);
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -124,7 +124,7 @@
       clm_owner_runner_lost (&entry->owner, vm->id, former, now);
       ent_request_vm_lost (entry, vm, true);
       if (vm->route != RT_NONE)
-        rt_note_cold (&entry->routes, vm->route);
+        rt_clear_residency (&entry->routes, vm->route);
     }
   else if (was_silent && !vm->is_entry)
     ent_request_vm_back (entry, vm);
@@ -157,9 +157,9 @@
   vm->report = *pong;
   vm->revision = pong->revision;
   if (vm->route != RT_NONE)
-    rt_note_load (&entry->routes, vm->route, (uint32_t)pong->queue_len,
-                  (uint32_t)pong->running, (uint32_t)pong->expected_wait_ms,
-                  tmr_now_ms ());
+    rt_record_load_report (&entry->routes, vm->route,
+                           (uint32_t)pong->queue_len, (uint32_t)pong->running,
+                           (uint32_t)pong->expected_wait_ms, tmr_now_ms ());
   if (pong->state == MSG_STATE_LEAVING)
     vm->mem.says = MEM_SAYS_LEAVING;
   // Its target was leaving, and goes on in another life.
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -289,7 +289,7 @@
       return;
     }
   if (r->vm->route != RT_NONE && r->stage == ENT_SENT)
-    rt_note_sent (&entry->routes, r->vm->route, r->adapter_id);
+    rt_record_sent (&entry->routes, r->vm->route, r->adapter_id);
 }
 
 void
@@ -465,11 +465,12 @@
   if (vm == NULL || vm->route == RT_NONE)
     return;
   uint64_t now = tmr_now_ms ();
-  rt_note_load (&entry->routes, vm->route, (uint32_t)end->queue_len,
-                (uint32_t)end->running, (uint32_t)end->expected_wait_ms, now);
+  rt_record_load_report (&entry->routes, vm->route, (uint32_t)end->queue_len,
+                         (uint32_t)end->running,
+                         (uint32_t)end->expected_wait_ms, now);
   if (r != NULL && r->stage == ENT_SENT && end->outcome != MSG_OUTCOME_NOT_RUN)
-    rt_note_end (&entry->routes, vm->route, r->adapter_id,
-                 end->is_resident != 0, (uint32_t)end->demand_permille, now);
+    rt_record_end (&entry->routes, vm->route, r->adapter_id,
+                   end->is_resident != 0, (uint32_t)end->demand_permille, now);
   if (end->state == MSG_STATE_LEAVING)
     {
       vm->mem.says = MEM_SAYS_LEAVING;
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -97,9 +97,9 @@
       if (a->key != r->adapter_key)
         continue;
       if (a->state == MSG_ADAPTER_COMING)
-        return PLC_COMING;
+        return PLC_LOADING;
       if (a->state == MSG_ADAPTER_AWAITED)
-        return PLC_AWAITED;
+        return PLC_PENDING;
       return a->version >= newest ? PLC_HELD : PLC_ABSENT;
     }
   return rct_was_held (&target->recent, r->adapter_key, newest) ? PLC_WARM
@@ -126,34 +126,34 @@
 
 static void
 describe (const gtw_gateway_t *gateway, const gtw_request_t *r,
-          const gtw_target_t *target, uint32_t newest, plc_view_t *out)
+          const gtw_target_t *target, uint32_t newest, plc_candidate_t *out)
 {
   plc_holding_t holding
       = r->is_engine ? holding_of (r, target, newest) : PLC_NOT_NEEDED;
-  *out = (plc_view_t){
+  *out = (plc_candidate_t){
     .key = target->place_key,
     .is_usable = is_usable (r, target) && is_worth_it (r, holding),
-    .is_near
+    .is_same_domain
     = strcmp (target->told.domain, gateway->host.settings.failure_domain) == 0,
     .holding = holding,
     .slots
     = r->is_engine && target->slots > 0 ? target->slots : target->told.slots,
-    .busy
+    .busy_slots
     = r->is_engine ? target->granted + target->asked_since : target->active,
     .waiting = r->is_engine ? target->waiting : 0,
-    .held_for_ms = r->is_engine ? target->held_for_ms : 0,
+    .mean_hold_ms = r->is_engine ? target->held_for_ms : 0,
     .start_wait_ms = start_wait_of (gateway, r, target),
     .tokens_per_ms = r->is_engine ? target->tokens_per_ms : 0,
     .load_wait_ms = target->load_wait_ms,
     .backlog_ms = r->is_engine ? backlog_of (target) : 0,
-    .failures = failures_at (target, gtw_now_ms (gateway)),
+    .failure_rate = failures_at (target, gtw_now_ms (gateway)),
   };
 }
 
 gtw_target_t *
 gtw_target_choose (gtw_gateway_t *gateway, const gtw_request_t *r)
 {
-  static plc_view_t views[MAX_CANDIDATES];
+  static plc_candidate_t views[MAX_CANDIDATES];
   static gtw_target_t *targets[MAX_CANDIDATES];
   uint32_t count = 0;
   gateway->placed += r->is_engine;
@@ -169,14 +169,17 @@
       targets[count++] = t;
     }
   uint64_t key = r->adapter_key != 0 ? r->adapter_key : (uint64_t)rand ();
-  plc_load_t load = { .own_per_s = gateway->placed_per_s,
-                      .gateways = gateway->gateway_count,
-                      .targets = count,
-                      .word_ms = trn_tell_pause_ms (gateway->gateway_count) };
-  plc_request_t request = { .adapter = key,
-                            .prompt_tokens = r->said.prompt_tokens,
-                            .draw = (uint64_t)rand (),
-                            .unseen = r->is_engine ? plc_unseen (&load) : 0 };
+  plc_load_t load
+      = { .own_requests_per_s = gateway->placed_per_s,
+          .gateway_count = gateway->gateway_count,
+          .target_count = count,
+          .report_interval_ms = trn_tell_pause_ms (gateway->gateway_count) };
+  plc_request_t request
+      = { .adapter = key,
+          .prompt_tokens = r->said.prompt_tokens,
+          .random_draw = (uint64_t)rand (),
+          .unreported_requests
+          = r->is_engine ? plc_unreported_requests (&load) : 0 };
   int32_t best = plc_choose (&gateway->costs, views, count, &request);
   return best == PLC_NONE ? NULL : targets[best];
 }
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -45,7 +45,7 @@
           log_int (&line, "silent_ms", (int64_t)(now_ms - gateway->heard_ms));
           log_end (&line);
         }
-      adm_owner_gone (&s->table, gateway->id);
+      adm_owner_remove (&s->table, gateway->id);
       *gateway = s->gateways[--s->gateway_count];
     }
   qrt_lapse (&s->quarantine, now_ms);
@@ -66,7 +66,7 @@
 sidecar_on_stop (hst_host_t *host)
 {
   scr_sidecar_t *s = (scr_sidecar_t *)host;
-  s->table.is_open = false;
+  s->table.is_engine_ready = false;
   scr_tell_state (s, NULL);
   scr_pump (s);
   tmr_after (&host->timers, &s->exit_timer, EXIT_MS, sidecar_exit, s);
@@ -86,14 +86,14 @@
   met_set (met_counter ("knapweedbay_places", "state=\"waiting\""),
            s->table.waiting);
   met_set (met_counter ("knapweedbay_adapters", "state=\"held\""),
-           s->table.held);
+           s->table.adapters_held);
   met_set (met_counter ("knapweedbay_adapters", "state=\"coming\""),
-           s->table.coming);
+           s->table.adapters_loading);
   met_set (met_counter ("knapweedbay_engine_condition", ""), s->condition);
   met_set (met_counter ("knapweedbay_pace_percent", ""),
            (int64_t)(PERCENT * pce_part (&s->table.reading.pace)));
   met_set (met_counter ("knapweedbay_engine_pressed", ""),
-           adm_is_pressed (&s->table, scr_now_ms (s)));
+           adm_is_saturated (&s->table, scr_now_ms (s)));
   met_set (met_counter ("knapweedbay_gateways", ""), s->gateway_count);
   met_set (met_counter ("knapweedbay_config_revision", ""),
            s->config == NULL ? 0 : (int64_t)s->config->revision);
@@ -113,8 +113,8 @@
                         .condition = MSG_ENGINE_DOWN };
   adm_options_t options = { .slots = DEFAULT_SLOTS,
                             .adapter_slots = DEFAULT_ADAPTER_SLOTS,
-                            .max_cold = MAX_COLD,
-                            .max_coming = MAX_COMING };
+                            .max_cold_loads = MAX_COLD,
+                            .max_loads_in_progress = MAX_COMING };
   adm_table_init (&s->table, &options);
   qrt_table_init (&s->quarantine);
   rto_init (&s->order_timeout, ORDER_TIMEOUT_LEAST_MS, ORDER_TIMEOUT_MOST_MS);
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -62,7 +62,7 @@
   uint32_t report_failures;
 
   /// The order under way.
-  adm_kind_t order_kind;
+  adm_action_kind_t order_kind;
   uint64_t order_adapter; ///< Key; zero: the model.
   uint64_t ordered_ms;
   rto_timeout_t order_timeout;
@@ -106,7 +106,7 @@
 void scr_on_message (hst_host_t *host, kb_slice_t peer, const msg_t *msg);
 /// @return  The service of this engine, or NULL before a configuration.
 const svc_service_t *scr_own_service (const scr_sidecar_t *s);
-void scr_grant (scr_sidecar_t *s, const adm_ask_t *ask);
+void scr_grant (scr_sidecar_t *s, const adm_request_t *ask);
 void scr_decline (scr_sidecar_t *s, kb_slice_t peer, uint64_t id,
                   const char *reason, uint64_t retry_after_ms);
 
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -43,7 +43,7 @@
                   "sidecar", "order"))
     return;
   log_text (&line, "operation",
-            s->order_kind == ADM_DO_UNLOAD ? "unload" : "load");
+            s->order_kind == ADM_ACTION_UNLOAD ? "unload" : "load");
   log_text (&line, "adapter", adapter == NULL ? "" : adapter->name);
   log_int (&line, "seq", (int64_t)s->seq);
   log_text (&line, "outcome", order_end_name (end));
@@ -89,13 +89,13 @@
   note_order_time (s, end);
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, s->order_adapter);
   log_order (s, adapter, end);
-  bool is_fetch = s->order_kind == ADM_DO_LOAD && s->order_adapter != 0;
+  bool is_fetch = s->order_kind == ADM_ACTION_LOAD && s->order_adapter != 0;
   if (end == EGN_ORDER_UNKNOWN && is_fetch)
     lto_note (&s->late_orders, engine_hash (s), s->seq, s->ordered_ms);
   bool is_done = end == EGN_ORDER_ACCEPTED || end == EGN_ORDER_HOLDS;
   if (is_done)
     s->seq++;
-  bool is_unload = s->order_kind == ADM_DO_UNLOAD;
+  bool is_unload = s->order_kind == ADM_ACTION_UNLOAD;
   // An unload that is only accepted keeps its room until the last run with it
   // ends, which the report tells. An engine that is ordered to hold more than
   // it has room for crashes.
@@ -105,11 +105,11 @@
   if (end == EGN_ORDER_UNKNOWN)
     adapter = NULL;
   if (adapter != NULL && is_pending)
-    adm_order_pending (adapter, scr_now_ms (s));
+    adm_delay_order (adapter, scr_now_ms (s));
   else if (adapter != NULL && is_unload)
-    adm_unload_done (&s->table, adapter);
+    adm_record_unloaded (&s->table, adapter);
   else if (adapter != NULL)
-    adm_load_begun (&s->table, adapter, scr_now_ms (s));
+    adm_record_load_started (&s->table, adapter, scr_now_ms (s));
   if (is_done)
     {
       scr_state_changed (s);
@@ -124,7 +124,8 @@
 
 /// Order the engine to fetch or drop an adapter.
 static void
-order_adapter (scr_sidecar_t *s, adm_kind_t kind, const adm_adapter_t *adapter)
+order_adapter (scr_sidecar_t *s, adm_action_kind_t kind,
+               const adm_adapter_t *adapter)
 {
   char model[EGN_KEY_BYTES];
   snprintf (model, sizeof model, "%s", adapter->name);
@@ -132,13 +133,14 @@
   if (slash == NULL)
     return;
   *slash = '\0';
-  egn_order_t order = { .is_load = kind == ADM_DO_LOAD,
-                        .model = model,
-                        .adapter = slash + 1,
-                        .version = kind == ADM_DO_LOAD ? adapter->wanted : 0 };
+  egn_order_t order
+      = { .is_load = kind == ADM_ACTION_LOAD,
+          .model = model,
+          .adapter = slash + 1,
+          .version = kind == ADM_ACTION_LOAD ? adapter->min_version : 0 };
   s->order_kind = kind;
   s->order_adapter = adapter->key;
-  if (kind == ADM_DO_LOAD)
+  if (kind == ADM_ACTION_LOAD)
     MET_INC ("knapweedbay_orders_total", "operation=\"load\"");
   else
     MET_INC ("knapweedbay_orders_total", "operation=\"unload\"");
@@ -155,38 +157,39 @@
 void
 scr_pump (scr_sidecar_t *s)
 {
-  s->table.reserved = lto_reserved (&s->late_orders, engine_hash (s), s->seq,
-                                    scr_now_ms (s));
+  s->table.reserved_adapter_slots = lto_reserved (
+      &s->late_orders, engine_hash (s), s->seq, scr_now_ms (s));
   for (;;)
     {
       // Without the configuration the places for adapters are not known; an
       // engine that is ordered to hold more than it can crashes.
       bool may_order = !s->is_calling && s->has_report && !s->is_engine_busy
                        && !s->host.is_stopping && s->config != NULL;
-      adm_action_t action = adm_next (&s->table, may_order, scr_now_ms (s));
+      adm_action_t action
+          = adm_next_action (&s->table, may_order, scr_now_ms (s));
       switch (action.kind)
         {
-        case ADM_DO_NOTHING:
+        case ADM_ACTION_NONE:
           if (s->table.waiting > 0)
             tmr_after (&s->host.timers, &s->pace_timer, PACE_MS, pump_again,
                        s);
           return;
-        case ADM_DO_GRANT:
-          scr_grant (s, action.ask);
+        case ADM_ACTION_GRANT:
+          scr_grant (s, action.request);
           scr_state_changed (s);
           break;
-        case ADM_DO_DECLINE:
+        case ADM_ACTION_DECLINE:
           {
             const scr_gateway_t *gateway
-                = scr_gateway_find (s, action.ask->owner);
+                = scr_gateway_find (s, action.request->owner);
             if (gateway != NULL)
-              scr_decline (s, kb_slice_str (gateway->name), action.ask->id,
+              scr_decline (s, kb_slice_str (gateway->name), action.request->id,
                            action.reason, action.retry_after_ms);
-            adm_ask_remove (&s->table, action.ask);
+            adm_request_remove (&s->table, action.request);
             break;
           }
-        case ADM_DO_LOAD:
-        case ADM_DO_UNLOAD:
+        case ADM_ACTION_LOAD:
+        case ADM_ACTION_UNLOAD:
           order_adapter (s, action.kind, action.adapter);
           return;
         }
@@ -231,7 +234,7 @@
   if (s->model_ordered_ms > 0 && now_ms - s->model_ordered_ms < pause_ms)
     return;
   s->model_ordered_ms = now_ms;
-  s->order_kind = ADM_DO_LOAD;
+  s->order_kind = ADM_ACTION_LOAD;
   s->order_adapter = 0;
   egn_order_t order = { .is_load = true, .model = model };
   MET_INC ("knapweedbay_orders_total", "operation=\"load_model\"");
@@ -284,7 +287,7 @@
   s->who = (inc_t){ 0 };
   s->identified_ms = 0;
   lto_restarted (&s->late_orders);
-  adm_engine_restarted (&s->table);
+  adm_handle_engine_restart (&s->table);
   bkp_limit_t none = { .at_ms = tmr_boot_ms () };
   bkp_meter_told (&s->table.meter, &none, scr_now_ms (s));
   scr_state_changed (s);
@@ -318,8 +321,8 @@
   s->seq = report->seq;
   s->is_engine_busy = report->is_busy;
   s->is_model_held = report->model_count > 0;
-  uint32_t held = s->table.held;
-  uint32_t coming = s->table.coming;
+  uint32_t held = s->table.adapters_held;
+  uint32_t coming = s->table.adapters_loading;
   adm_report_begin (&s->table);
   for (uint32_t i = 0; i < report->adapter_count; i++)
     {
@@ -327,10 +330,10 @@
       adm_report_adapter (&s->table, a->key, kb_slice_str (a->name),
                           a->version, a->is_coming, scr_now_ms (s));
       adm_adapter_t *adapter = kb_map_get (&s->table.adapters, a->key);
-      adm_adapter_want (adapter, ver_newest (&s->versions, a->key));
+      adm_adapter_require_version (adapter, ver_newest (&s->versions, a->key));
     }
   adm_report_end (&s->table);
-  if (held != s->table.held || coming != s->table.coming)
+  if (held != s->table.adapters_held || coming != s->table.adapters_loading)
     scr_state_changed (s);
   if (s->is_model_held)
     identify_engine (s);
@@ -361,7 +364,7 @@
   scr_pump (s);
   if (s->is_calling)
     return;
-  uint64_t pause_ms = s->table.coming > 0 ? POLL_COMING_MS
+  uint64_t pause_ms = s->table.adapters_loading > 0 ? POLL_COMING_MS
                       : s->table.granted > 0 || s->table.waiting > 0
                           ? POLL_BUSY_MS
                           : POLL_IDLE_MS;
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -107,7 +107,7 @@
     return;
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, item->key);
   if (adapter != NULL)
-    adm_adapter_want (adapter, item->version);
+    adm_adapter_require_version (adapter, item->version);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "adapter_version"))
     {
@@ -146,14 +146,14 @@
 }
 
 void
-scr_grant (scr_sidecar_t *s, const adm_ask_t *ask)
+scr_grant (scr_sidecar_t *s, const adm_request_t *ask)
 {
   const scr_gateway_t *gateway = scr_gateway_find (s, ask->owner);
   if (gateway == NULL)
     return;
-  uint64_t load_us = ask->load_from_ms == 0
+  uint64_t load_us = ask->load_wait_start_ms == 0
                          ? 0
-                         : (ask->granted_ms - ask->load_from_ms) * 1000;
+                         : (ask->granted_ms - ask->load_wait_start_ms) * 1000;
   msg_t msg
       = { .type = MSG_PLACE_GRANT,
           .place_grant
@@ -176,15 +176,15 @@
 {
   uint64_t owner = scr_name_id (peer);
   uint32_t made_good = 0;
-  adm_compare_begin (&s->table);
+  adm_reconcile_begin (&s->table);
   for (uint32_t at = 0; at + sizeof (msg_place_ref_t) <= packed.len_bytes;
        at += sizeof (msg_place_ref_t))
     {
       msg_place_ref_t ref;
       memcpy (&ref, packed.ptr + at, sizeof ref);
-      adm_ask_t *ask = adm_ask_find (&s->table, owner, ref.id);
+      adm_request_t *ask = adm_request_find (&s->table, owner, ref.id);
       if (ask != NULL)
-        adm_compare_keep (&s->table, ask);
+        adm_reconcile_keep (&s->table, ask);
       if (ref.is_granted || (ask != NULL && ask->granted_ms == 0))
         continue;
       if (ask != NULL)
@@ -193,7 +193,7 @@
         scr_decline (s, peer, ref.id, "not_heard", 0);
       made_good++;
     }
-  uint32_t released = adm_compare_end (&s->table, owner);
+  uint32_t released = adm_reconcile_end (&s->table, owner);
   log_event_t line;
   if (made_good + released == 0
       || !log_begin (&line, LOG_INFO, "sidecar", "places_reconciled"))
@@ -237,7 +237,7 @@
     return;
   bool is_new = gateway->incarnation != state->incarnation;
   if (is_new)
-    adm_owner_gone (&s->table, gateway->id);
+    adm_owner_remove (&s->table, gateway->id);
   gateway->incarnation = state->incarnation;
   gateway->revision = state->revision;
   gateway->versions_known = state->versions_known;
@@ -265,8 +265,8 @@
   log_str (&line, "id", attempt);
   log_text (&line, "reason", reason);
   log_int (&line, "wait_ms", (int64_t)wait_ms);
-  log_int (&line, "fetch_ms", (int64_t)s->table.lanes.fetch_ms);
-  log_int (&line, "fetches", s->table.coming);
+  log_int (&line, "fetch_ms", (int64_t)s->table.fetch_limit.mean_fetch_ms);
+  log_int (&line, "fetches", s->table.adapters_loading);
   log_int (&line, "waiting", s->table.waiting);
   log_int (&line, "granted", s->table.granted);
   log_int (&line, "backlog_ms",
@@ -284,31 +284,33 @@
       return;
     }
   uint64_t now_ms = scr_now_ms (s);
-  adm_ask_t ask
-      = { .id = given->id,
-          .owner = scr_name_id (peer),
-          .priority = (uint32_t)given->priority,
-          .declined = (uint32_t)given->declined,
-          .alone.is_alone = given->is_alone != 0,
-          .tokens = (uint32_t)(given->prompt_tokens + given->output_tokens),
-          .prompt_tokens = (uint32_t)given->prompt_tokens,
-          .arrived_ms = now_ms,
-          .due_ms = now_ms + given->left_ms,
-          .objective_ms = now_ms + given->objective_ms };
+  adm_request_t ask = { .id = given->id,
+                        .owner = scr_name_id (peer),
+                        .priority = (uint32_t)given->priority,
+                        .decline_count = (uint32_t)given->declined,
+                        .alone.is_alone = given->is_alone != 0,
+                        .kv_tokens_needed = (uint32_t)(given->prompt_tokens
+                                                       + given->output_tokens),
+                        .prompt_tokens = (uint32_t)given->prompt_tokens,
+                        .arrived_ms = now_ms,
+                        .deadline_ms = now_ms + given->left_ms,
+                        .objective_ms = now_ms + given->objective_ms };
   if (given->adapter.len_bytes > 0)
     {
       char name[EGN_KEY_BYTES];
       uint64_t key = ver_key (given->model, given->adapter, name, sizeof name);
-      ask.adapter = adm_adapter_need (&s->table, key, kb_slice_str (name));
-      adm_adapter_want (ask.adapter, ver_newest (&s->versions, key));
-      adm_adapter_want (ask.adapter, (uint32_t)given->version);
-      if (!adm_adapter_is_fit (ask.adapter))
-        ask.load_from_ms = now_ms;
+      ask.adapter
+          = adm_adapter_get_or_add (&s->table, key, kb_slice_str (name));
+      adm_adapter_require_version (ask.adapter,
+                                   ver_newest (&s->versions, key));
+      adm_adapter_require_version (ask.adapter, (uint32_t)given->version);
+      if (!adm_adapter_is_servable (ask.adapter))
+        ask.load_wait_start_ms = now_ms;
     }
   adm_forecast_t forecast = adm_forecast (&s->table, &ask, now_ms);
-  const char *reason = adm_refusal (&s->table, &ask, &forecast, now_ms);
+  const char *reason = adm_refusal_reason (&s->table, &ask, &forecast, now_ms);
   if (ask.adapter != NULL)
-    adm_adapter_asked (ask.adapter, now_ms);
+    adm_adapter_record_request (ask.adapter, now_ms);
   if (reason != NULL)
     {
       log_decline (s, given->attempt, reason, forecast.first_ms);
@@ -316,7 +318,7 @@
       return;
     }
   ask.forecast_ms = now_ms + forecast.first_ms;
-  if (adm_ask_add (&s->table, &ask) == NULL)
+  if (adm_request_add (&s->table, &ask) == NULL)
     return;
   scr_pump (s);
 }
@@ -325,19 +327,20 @@
 take_release (scr_sidecar_t *s, kb_slice_t peer,
               const msg_place_release_t *given)
 {
-  adm_ask_t *ask = adm_ask_find (&s->table, scr_name_id (peer), given->id);
+  adm_request_t *ask
+      = adm_request_find (&s->table, scr_name_id (peer), given->id);
   if (ask == NULL)
     return;
   pce_note_stream (&s->table.reading.pace, (uint32_t)given->gaps,
                    given->gaps_ms, scr_now_ms (s));
-  adm_note_held (&s->table, ask, scr_now_ms (s));
-  adm_ask_remove (&s->table, ask);
+  adm_request_record_hold_time (&s->table, ask, scr_now_ms (s));
+  adm_request_remove (&s->table, ask);
   scr_pump (s);
 }
 
 /// How wrong the forecast was that let a request in.
 static void
-observe_forecast (const adm_ask_t *ask, uint64_t now_ms)
+observe_forecast (const adm_request_t *ask, uint64_t now_ms)
 {
   static const char name[] = "knapweedbay_forecast_error_ms";
   if (now_ms >= ask->forecast_ms)
@@ -351,12 +354,12 @@
 static void
 take_begun (scr_sidecar_t *s, kb_slice_t peer, uint64_t id)
 {
-  adm_ask_t *ask = adm_ask_find (&s->table, scr_name_id (peer), id);
+  adm_request_t *ask = adm_request_find (&s->table, scr_name_id (peer), id);
   if (ask == NULL)
     return;
-  if (ask->is_reading)
+  if (ask->is_first_event_pending)
     observe_forecast (ask, scr_now_ms (s));
-  adm_ask_begun (&s->table, ask, scr_now_ms (s));
+  adm_request_record_first_event (&s->table, ask, scr_now_ms (s));
   scr_pump (s);
 }
 
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_tell.c
@@ -33,7 +33,7 @@
     {
     case ADM_HELD:
       return MSG_ADAPTER_HELD;
-    case ADM_COMING:
+    case ADM_LOADING:
       return MSG_ADAPTER_COMING;
     case ADM_ABSENT:
       break;
@@ -96,8 +96,9 @@
         .gateway_count = s->gateway_count,
         .backlog_us = adm_backlog_us (&s->table, scr_now_ms (s)),
         .tokens_per_s = (uint64_t)(s->table.reading.tokens_per_ms * MS_PER_S),
-        .load_wait_ms = adm_new_load_wait_ms (&s->table, scr_now_ms (s)),
-        .held_for_ms = (uint64_t)s->table.held_for_ms,
+        .load_wait_ms
+        = adm_new_adapter_load_wait_ms (&s->table, scr_now_ms (s)),
+        .held_for_ms = (uint64_t)s->table.mean_hold_ms,
         .start_wait_ms = bkp_meter_wait_ms (&s->table.meter, s->table.waiting,
                                             scr_now_ms (s)),
         .start_every_ms = start_every_ms (s),
@@ -154,6 +155,6 @@
       log_end (&line);
     }
   s->condition = condition;
-  s->table.is_open = condition == MSG_ENGINE_READY;
+  s->table.is_engine_ready = condition == MSG_ENGINE_READY;
   scr_state_changed (s);
 }
--- a/test/unit/lanes_test.cc
+++ b/test/unit/lanes_test.cc
@@ -12,53 +12,55 @@
 namespace
 {
 
-TEST (Lanes, OneAtFirst)
+TEST (Lanes, StartsAtOne)
 {
-  lns_lanes_t lanes;
-  lns_lanes_init (&lanes, 3);
-  EXPECT_EQ (lns_count (&lanes), 1u);
-  EXPECT_EQ (lns_wait_ms (&lanes, 0), 250u);
-  EXPECT_EQ (lns_wait_ms (&lanes, 2), 750u);
+  ftl_limit_t limit;
+  ftl_limit_init (&limit, 3);
+  EXPECT_EQ (ftl_limit_count (&limit), 1u);
+  EXPECT_EQ (ftl_limit_wait_ms (&limit, 0), 250u);
+  EXPECT_EQ (ftl_limit_wait_ms (&limit, 2), 750u);
 }
 
 // A large fleet leaves the weight store half idle, and yet requests wait for
 // the one fetch that their engine has under way.
-TEST (Lanes, MoreWhileFetchesAreAtFullSpeed)
+TEST (Lanes, IncreasesWhileFetchesAreAtFullSpeed)
 {
-  lns_lanes_t lanes;
-  lns_lanes_init (&lanes, 3);
+  ftl_limit_t limit;
+  ftl_limit_init (&limit, 3);
   for (int i = 0; i < 40; i++)
-    lns_learn (&lanes, 288 + i % 3 * 12);
-  EXPECT_EQ (lns_count (&lanes), 3u);
+    ftl_limit_record_fetch (&limit, 288 + i % 3 * 12);
+  EXPECT_EQ (ftl_limit_count (&limit), 3u);
 }
 
 // All engines press on the store: three fetches each take three times as long
-// and help nobody, and which of them is the most urgent no longer counts.
-TEST (Lanes, FewerWhenTheStoreIsPressed)
+// and help nobody, and which of them is the max_fetches urgent no longer
+// counts.
+TEST (Lanes, DecreasesWhenTheStoreIsSaturated)
 {
-  lns_lanes_t lanes;
-  lns_lanes_init (&lanes, 3);
+  ftl_limit_t limit;
+  ftl_limit_init (&limit, 3);
   for (int i = 0; i < 40; i++)
-    lns_learn (&lanes, 250);
+    ftl_limit_record_fetch (&limit, 250);
   for (int i = 0; i < 4; i++)
-    lns_learn (&lanes, 600);
-  EXPECT_EQ (lns_count (&lanes), 1u);
+    ftl_limit_record_fetch (&limit, 600);
+  EXPECT_EQ (ftl_limit_count (&limit), 1u);
 }
 
 /// Mean time in milliseconds from asking to arrival at engines that share a
 /// store; adapters are asked for at random engines.
 double
-mean_wait_ms (int engines, double per_s, double store_lanes, uint32_t most)
+mean_wait_ms (int engines, double per_s, double store_concurrency,
+              uint32_t max_fetches)
 {
   struct Engine
   {
-    lns_lanes_t lanes;
-    std::vector<std::pair<double, double>> under_way; // Left, asked at.
+    ftl_limit_t limit;
+    std::vector<std::pair<double, double>> in_progress; // Left, asked at.
     std::vector<double> queue;
   };
   std::vector<Engine> all ((size_t)engines);
   for (auto &e : all)
-    lns_lanes_init (&e.lanes, most);
+    ftl_limit_init (&e.limit, max_fetches);
   std::srand (7);
   double due = 0;
   double sum_ms = 0;
@@ -67,27 +69,29 @@
     {
       for (due += per_s * 0.005; due >= 1; due -= 1)
         all[(size_t)(std::rand () % engines)].queue.push_back (now_ms);
-      double under_way = 0;
+      double in_progress = 0;
       for (auto &e : all)
-        under_way += (double)e.under_way.size ();
-      double pace = under_way > store_lanes ? store_lanes / under_way : 1;
+        in_progress += (double)e.in_progress.size ();
+      double pace = in_progress > store_concurrency
+                        ? store_concurrency / in_progress
+                        : 1;
       for (auto &e : all)
         {
           std::vector<std::pair<double, double>> still;
-          for (auto &[left_ms, asked_ms] : e.under_way)
+          for (auto &[left_ms, asked_ms] : e.in_progress)
             if (left_ms - 5 * pace > 0)
               still.emplace_back (left_ms - 5 * pace, asked_ms);
             else
               {
                 sum_ms += now_ms - asked_ms;
                 count++;
-                lns_learn (&e.lanes, 250 / pace);
+                ftl_limit_record_fetch (&e.limit, 250 / pace);
               }
-          e.under_way = still;
+          e.in_progress = still;
           while (!e.queue.empty ()
-                 && e.under_way.size () < lns_count (&e.lanes))
+                 && e.in_progress.size () < ftl_limit_count (&e.limit))
             {
-              e.under_way.emplace_back (250, e.queue.front ());
+              e.in_progress.emplace_back (250, e.queue.front ());
               e.queue.erase (e.queue.begin ());
             }
         }
@@ -98,7 +102,7 @@
 // Measured by this test: 46 engines that ask for half of what the store brings
 // wait 357 ms with one lane each and 258 ms so; nine engines that ask for nine
 // tenths of it 704 and 460 ms.
-TEST (Lanes, HelpWhereTheStoreHasRoom)
+TEST (Lanes, ShortensWaitsWhenTheStoreHasCapacity)
 {
   double one_ms = mean_wait_ms (46, 90, 48, 1);
   double some_ms = mean_wait_ms (46, 90, 48, 3);
--- a/test/unit/load_test.cc
+++ b/test/unit/load_test.cc
@@ -39,7 +39,7 @@
 
 // Measured by this test: in time 0.123 plain and 0.857 ours, callers that left
 // 0.589 and 0.000, fetches 1,367 and 1,145.
-TEST (Load, CallersGetMoreThanFromThePlainVersion)
+TEST (Load, GoodputExceedsTheBaseline)
 {
   Outcome plain = lab::play (small_site (), Policy::PLAIN);
   Outcome ours = lab::play (small_site (), Policy::OURS);
@@ -120,7 +120,7 @@
 
 // Three times as many callers come as the engines can read prompts for.
 // Whoever is let in late makes the next one late: goodput fell as load rose.
-TEST (Load, GoodputHoldsPastWhatEnginesCanRead)
+TEST (Load, GoodputHoldsAboveTheReadingCapacity)
 {
   Deployment d = engine_bound ();
   EXPECT_STREQ (lab::bound_of (d), "reading");
@@ -129,7 +129,7 @@
 
 // The same where each request wants an adapter that nobody holds, and the
 // weight store brings one of three.
-TEST (Load, GoodputHoldsPastWhatTheWeightStoreBrings)
+TEST (Load, GoodputHoldsAboveTheWeightStoreCapacity)
 {
   Deployment d = store_bound ();
   EXPECT_STREQ (lab::bound_of (d), "store");
@@ -138,7 +138,7 @@
 
 // Loss of all power: engines come back empty at one moment, and their callers
 // with them. From five seconds after it on callers are served as before.
-TEST (Load, LatenessEndsSoonAfterALossOfPower)
+TEST (Load, RecoversSoonAfterAPowerLoss)
 {
   Deployment d = engine_bound ();
   d.day_ms = 30000;
@@ -153,7 +153,7 @@
 }
 
 // The same on deployments that nobody chose.
-TEST (Load, DrawnDeploymentsAreServedWithoutCollapse)
+TEST (Load, RandomDeploymentsDoNotCollapse)
 {
   for (uint64_t seed : { 3, 11 })
     {
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -14,13 +14,13 @@
 namespace
 {
 
-plc_view_t
+plc_candidate_t
 view (uint64_t key, plc_holding_t holding = PLC_ABSENT)
 {
-  plc_view_t v = {};
+  plc_candidate_t v = {};
   v.key = key;
   v.is_usable = true;
-  v.is_near = true;
+  v.is_same_domain = true;
   v.holding = holding;
   v.slots = 32;
   v.load_wait_ms = 250;
@@ -36,7 +36,7 @@
     plc_costs_default (&costs);
   }
   int32_t
-  choose (const std::vector<plc_view_t> &views, uint64_t adapter = 99,
+  choose (const std::vector<plc_candidate_t> &views, uint64_t adapter = 99,
           uint32_t prompt_tokens = 800)
   {
     plc_request_t request = {};
@@ -50,58 +50,58 @@
 
 TEST_F (PlaceTest, NothingUsable)
 {
-  plc_view_t v = view (1);
+  plc_candidate_t v = view (1);
   v.is_usable = false;
   EXPECT_EQ (choose ({ v }), PLC_NONE);
   EXPECT_EQ (choose ({}), PLC_NONE);
 }
 
-TEST_F (PlaceTest, ATargetThatTakesNoMoreNowComesLater)
+TEST_F (PlaceTest, ARateLimitedTargetIsChosenLast)
 {
-  plc_view_t limited = view (1, PLC_HELD);
+  plc_candidate_t limited = view (1, PLC_HELD);
   limited.start_wait_ms = 400;
   EXPECT_EQ (choose ({ limited, view (2, PLC_HELD) }), 1);
   EXPECT_EQ (choose ({ limited }), 0);
 }
 
-TEST_F (PlaceTest, PrefersTheHolder)
+TEST_F (PlaceTest, PrefersATargetThatHoldsTheAdapter)
 {
   EXPECT_EQ (choose ({ view (1), view (2, PLC_HELD), view (3) }), 1);
 }
 
-TEST_F (PlaceTest, AColdAdapterAlwaysGoesToItsHome)
+TEST_F (PlaceTest, AnAbsentAdapterAlwaysGoesToItsHome)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> views;
   for (uint64_t key = 1; key <= 9; key++)
     views.push_back (view (key));
   int32_t home = choose (views);
-  views[(size_t)home].busy = 3;
+  views[(size_t)home].busy_slots = 3;
   EXPECT_EQ (choose (views), home);
 }
 
-TEST_F (PlaceTest, AnOverloadedHolderIsRelieved)
+TEST_F (PlaceTest, AnOverloadedHolderIsAvoided)
 {
-  plc_view_t holder = view (1, PLC_HELD);
+  plc_candidate_t holder = view (1, PLC_HELD);
   holder.backlog_ms = 2000;
   EXPECT_EQ (choose ({ holder, view (2) }), 1);
 }
 
 TEST_F (PlaceTest, AFailingTargetIsAvoidedWhileOthersAreFree)
 {
-  plc_view_t grey = view (1, PLC_NOT_NEEDED);
-  grey.failures = 0.4;
-  plc_view_t busy = view (2, PLC_NOT_NEEDED);
-  busy.busy = 8;
-  EXPECT_EQ (choose ({ grey, busy }), 1);
+  plc_candidate_t grey = view (1, PLC_NOT_NEEDED);
+  grey.failure_rate = 0.4;
+  plc_candidate_t busy_slots = view (2, PLC_NOT_NEEDED);
+  busy_slots.busy_slots = 8;
+  EXPECT_EQ (choose ({ grey, busy_slots }), 1);
 }
 
 // Two callers ask for the same rare adapter through different gateways. It is
-// asked for at an engine that is busy with other fetches; the second gateway
-// saw it nowhere, had it fetched at an idle engine as well, and the fetches of
-// both took turns at the weight store.
-TEST_F (PlaceTest, AnAwaitedAdapterIsNotFetchedTwice)
+// asked for at an engine that is busy_slots with other fetches; the second
+// gateway saw it nowhere, had it fetched at an idle engine as well, and the
+// fetches of both took turns at the weight store.
+TEST_F (PlaceTest, APendingAdapterIsNotFetchedTwice)
 {
-  plc_view_t awaited = view (1, PLC_AWAITED);
+  plc_candidate_t awaited = view (1, PLC_PENDING);
   awaited.load_wait_ms = 500;
   EXPECT_EQ (choose ({ awaited, view (2), view (3) }), 0);
   awaited.load_wait_ms = 2000;
@@ -111,9 +111,9 @@
 // A rare adapter was dropped at its engine, which can load it again from its
 // own memory in 25 ms. Its home by weight is another engine, as the engines
 // were others when it came first, and would fetch it from the weight store.
-TEST_F (PlaceTest, AnAdapterGoesBackToTheEngineThatHeldIt)
+TEST_F (PlaceTest, PrefersTheEngineThatHeldTheAdapterBefore)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> views;
   for (uint64_t key = 1; key <= 9; key++)
     views.push_back (view (key));
   size_t home = (size_t)choose (views);
@@ -127,10 +127,10 @@
 // stand still while it is read.
 TEST_F (PlaceTest, ALongPromptGoesWhereFewStreamsRun)
 {
-  plc_view_t holder = view (1, PLC_HELD);
-  holder.busy = 12;
+  plc_candidate_t holder = view (1, PLC_HELD);
+  holder.busy_slots = 12;
   holder.tokens_per_ms = 38;
-  plc_view_t quiet = view (2);
+  plc_candidate_t quiet = view (2);
   quiet.tokens_per_ms = 38;
   EXPECT_EQ (choose ({ holder, quiet }, 99, 800), 0);
   EXPECT_EQ (choose ({ holder, quiet }, 99, 7000), 1);
@@ -138,8 +138,8 @@
 
 TEST_F (PlaceTest, NearTargetsWinWhenEqual)
 {
-  plc_view_t far = view (1, PLC_NOT_NEEDED);
-  far.is_near = false;
+  plc_candidate_t far = view (1, PLC_NOT_NEEDED);
+  far.is_same_domain = false;
   EXPECT_EQ (choose ({ far, view (2, PLC_NOT_NEEDED) }), 1);
 }
 
@@ -148,21 +148,22 @@
 // Sixty-eight gateways know the same of eight equal holders until the next
 // word, and each chooses the cheapest one: without a spread it is the same for
 // all of them.
-TEST_F (PlaceTest, EqualHoldersAreDrawnApart)
+TEST_F (PlaceTest, EqualHoldersShareTheRequests)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> views;
   for (uint64_t key = 1; key <= 8; key++)
     views.push_back (view (key, PLC_HELD));
-  for (double unseen : { 0.0, 10.0 })
+  for (double unreported_requests : { 0.0, 10.0 })
     {
       std::vector<int> chosen (views.size ());
-      for (uint64_t draw = 1; draw <= 68; draw++)
+      for (uint64_t random_draw = 1; random_draw <= 68; random_draw++)
         {
-          plc_request_t request = { 99, 800, draw, unseen };
+          plc_request_t request
+              = { 99, 800, random_draw, unreported_requests };
           chosen[(size_t)plc_choose (&costs, views.data (), 8, &request)]++;
         }
       int most = *std::max_element (chosen.begin (), chosen.end ());
-      if (unseen > 0)
+      if (unreported_requests > 0)
         EXPECT_LE (most, 3 * 68 / 8);
       else
         EXPECT_EQ (most, 68);
@@ -172,24 +173,26 @@
 TEST (Unseen, GrowsWithLoadAndAge)
 {
   plc_load_t load = { 8, 68, 120, 400 };
-  double unseen = plc_unseen (&load);
-  EXPECT_NEAR (unseen, 4 * 8 * 67 * 0.4 / 120, 1e-9);
-  load.word_ms = 100;
-  EXPECT_NEAR (plc_unseen (&load), unseen / 4, 1e-9);
-  load.gateways = 1;
-  EXPECT_EQ (plc_unseen (&load), 0) << "its own requests are seen";
+  double unreported_requests = plc_unreported_requests (&load);
+  EXPECT_NEAR (unreported_requests, 4 * 8 * 67 * 0.4 / 120, 1e-9);
+  load.report_interval_ms = 100;
+  EXPECT_NEAR (plc_unreported_requests (&load), unreported_requests / 4, 1e-9);
+  load.gateway_count = 1;
+  EXPECT_EQ (plc_unreported_requests (&load), 0)
+      << "its own requests are seen";
 }
 
 // An adapter that is nowhere must be fetched once, also when many gateways
 // want it at the same moment.
 TEST_F (PlaceTest, GatewaysAgreeWhereAnAdapterIsFetched)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> views;
   for (uint64_t key = 1; key <= 40; key++)
     views.push_back (view (key));
   plc_request_t request = { 99, 800, 1, 10 };
   int32_t first = plc_choose (&costs, views.data (), 40, &request);
-  for (request.draw = 2; request.draw <= 68; request.draw++)
+  for (request.random_draw = 2; request.random_draw <= 68;
+       request.random_draw++)
     EXPECT_EQ (plc_choose (&costs, views.data (), 40, &request), first);
 }
 
@@ -206,10 +209,10 @@
     ENGINES = 16,
     SLOTS = 12,
     RUN_MS = 1300,
-    WORD_MS = 400,
-    AIM_MS = 800,
+    REPORT_INTERVAL_MS = 400,
+    OBJECTIVE_MS = 800,
     /// Three quarters of what the engines can do.
-    PER_S = ENGINES * SLOTS * 1000 / RUN_MS * 3 / 4,
+    REQUESTS_PER_S = ENGINES * SLOTS * 1000 / RUN_MS * 3 / 4,
     SECONDS = 60,
   };
 
@@ -217,14 +220,16 @@
   double
   late_share (bool is_spread)
   {
-    plc_load_t load = { (double)PER_S / GATEWAYS, GATEWAYS, ENGINES, WORD_MS };
-    double unseen = is_spread ? plc_unseen (&load) : 0;
-    std::vector<plc_view_t> views;
+    plc_load_t load = { (double)REQUESTS_PER_S / GATEWAYS, GATEWAYS, ENGINES,
+                        REPORT_INTERVAL_MS };
+    double unreported_requests
+        = is_spread ? plc_unreported_requests (&load) : 0;
+    std::vector<plc_candidate_t> views;
     for (uint64_t key = 1; key <= ENGINES; key++)
       {
-        plc_view_t v = view (key, PLC_HELD);
+        plc_candidate_t v = view (key, PLC_HELD);
         v.slots = SLOTS;
-        v.held_for_ms = RUN_MS;
+        v.mean_hold_ms = RUN_MS;
         views.push_back (v);
       }
     // When each place of each engine is free again.
@@ -232,21 +237,21 @@
                                               std::vector<double> (SLOTS, 0));
     std::vector<std::vector<double>> starts (ENGINES);
     std::mt19937 random (1);
-    std::exponential_distribution<double> gap (PER_S / 1000.0);
+    std::exponential_distribution<double> gap (REQUESTS_PER_S / 1000.0);
     std::uniform_real_distribution<double> run (0.4, 1.6);
     double now_ms = 0;
-    double word_ms = 0;
+    double next_report_ms = 0;
     int late = 0;
     int count = 0;
     while (now_ms < SECONDS * 1000)
       {
         now_ms += gap (random);
-        if (now_ms >= word_ms)
+        if (now_ms >= next_report_ms)
           {
-            word_ms = now_ms + WORD_MS;
-            tell (&views, free_ms, starts, now_ms);
+            next_report_ms = now_ms + REPORT_INTERVAL_MS;
+            update_views (&views, free_ms, starts, now_ms);
           }
-        plc_request_t request = { 99, 200, random (), unseen };
+        plc_request_t request = { 99, 200, random (), unreported_requests };
         auto at
             = (size_t)plc_choose (&costs, views.data (), ENGINES, &request);
         auto place
@@ -255,31 +260,31 @@
         *place = start_ms + RUN_MS * run (random);
         starts[at].push_back (start_ms);
         count++;
-        late += start_ms - now_ms > AIM_MS;
+        late += start_ms - now_ms > OBJECTIVE_MS;
       }
     return (double)late / count;
   }
 
 private:
   static void
-  tell (std::vector<plc_view_t> *views,
-        const std::vector<std::vector<double>> &free_ms,
-        const std::vector<std::vector<double>> &starts, double now_ms)
+  update_views (std::vector<plc_candidate_t> *views,
+                const std::vector<std::vector<double>> &free_ms,
+                const std::vector<std::vector<double>> &starts, double now_ms)
   {
     for (size_t i = 0; i < views->size (); i++)
       {
-        plc_view_t &v = (*views)[i];
-        v.busy = 0;
+        plc_candidate_t &v = (*views)[i];
+        v.busy_slots = 0;
         v.waiting = 0;
         for (double ms : free_ms[i])
-          v.busy += ms > now_ms;
+          v.busy_slots += ms > now_ms;
         for (double ms : starts[i])
           v.waiting += ms > now_ms;
       }
   }
 };
 
-TEST_F (StaleLoad, FewAreLateThoughLoadIsKnownLate)
+TEST_F (StaleLoad, FewAreLateWithStaleLoadReports)
 {
   double without = late_share (false);
   double with = late_share (true);
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -63,7 +63,7 @@
   for (int i = 0; i < 10; i++)
     {
       uint16_t t = rt_choose (table, 1, 42, nullptr, 0, now, 1);
-      rt_note_end (table, t, 42, true, 3000, now);
+      rt_record_end (table, t, 42, true, 3000, now);
       now += 600;
     }
   auto *adapter
@@ -72,7 +72,7 @@
   for (int i = 0; i < 60; i++)
     {
       uint16_t t = rt_choose (table, 1, 42, nullptr, 0, now, 1);
-      rt_note_end (table, t, 42, true, 10, now);
+      rt_record_end (table, t, 42, true, 10, now);
       now += 600;
     }
   EXPECT_EQ (adapter->width, 1);
@@ -156,29 +156,29 @@
   auto *gate = new gat_gate_t;
   gat_options_t options = { 2, 1, 5000000 };
   gat_gate_init (gate, &options, 0);
-  gat_ask (gate, 1, 1, 4, 50, 0);
-  gat_ask (gate, 2, 1, 0, 1, 0);
-  const gat_wish_t *wish = gat_next (gate, 1);
+  gat_request_load (gate, 1, 1, 4, 50, 0);
+  gat_request_load (gate, 2, 1, 0, 1, 0);
+  const gat_request_t *wish = gat_next (gate, 1);
   ASSERT_NE (wish, nullptr);
   EXPECT_EQ (wish->agent, 2u); // The better class, though less waits.
   EXPECT_EQ (gat_next (gate, 2), nullptr);
-  gat_done (gate, 2, 1);
+  gat_end_load (gate, 2, 1);
   EXPECT_EQ (gat_next (gate, 3), nullptr); // The rate.
   EXPECT_GT (gat_wait_us (gate, 3), 400000u);
   wish = gat_next (gate, 600000);
   ASSERT_NE (wish, nullptr);
-  gat_ask (gate, 3, 1, 4, 1, 600000);
+  gat_request_load (gate, 3, 1, 4, 1, 600000);
   // Agent 1 dies with its grant: the hold limit frees the gate.
   EXPECT_EQ (gat_next (gate, 2000000), nullptr);
   wish = gat_next (gate, 6000000);
   ASSERT_NE (wish, nullptr);
   EXPECT_EQ (wish->agent, 3u);
-  gat_drop_agent (gate, 3);
+  gat_remove_agent (gate, 3);
   EXPECT_EQ (gate->granted, 0u);
   delete gate;
 }
 
-TEST (Member, ListAndOwnWord)
+TEST (Member, ListedAndReportedState)
 {
   mem_options_t options = { 1000, 5000 };
   mem_vm_t vm = {};
--- a/test/unit/sched_test.cc
+++ b/test/unit/sched_test.cc
@@ -52,8 +52,8 @@
   void
   load (uint64_t adapter, uint64_t now_us = 0)
   {
-    sch_note_load_begin (&queue, adapter, now_us);
-    sch_note_load_end (&queue, adapter, true, now_us);
+    sch_begin_load (&queue, adapter, now_us);
+    sch_end_load (&queue, adapter, true, now_us);
   }
   sch_options_t options;
   slt_table_t slots;
@@ -66,19 +66,19 @@
   load (1);
   load (2);
   add (1, 5);
-  sch_item_t *officer = add (2, 0, 10);
-  EXPECT_EQ (sch_next (&queue, 20, true).item, officer);
+  sch_item_t *urgent = add (2, 0, 10);
+  EXPECT_EQ (sch_next_action (&queue, 20, true).item, urgent);
 }
 
-// A licensing officer waits for a load while a reseller's request could run.
+// A licensing urgent waits for a load while a reseller's request could run.
 // The place would stay empty otherwise, so the reseller runs; but the load
-// goes to the officer although more resellers wait.
+// goes to the urgent although more resellers wait.
 TEST_F (SchedTest, LoadsFollowTheClass)
 {
   for (int i = 0; i < 5; i++)
     add (7, 5);
   add (8, 0, 10);
-  sch_action_t action = sch_next (&queue, 20, true);
+  sch_action_t action = sch_next_action (&queue, 20, true);
   EXPECT_EQ (action.kind, SCH_LOAD);
   EXPECT_EQ (action.adapter, 8u);
 }
@@ -87,10 +87,10 @@
 {
   load (1);
   load (2);
-  sch_note_run (&queue, add (1, 1), 1);
-  sch_note_run (&queue, add (2, 1), 1);
+  sch_begin_run (&queue, add (1, 1), 1);
+  sch_begin_run (&queue, add (2, 1), 1);
   add (3, 1, 2);
-  EXPECT_EQ (sch_next (&queue, 3, true).kind, SCH_IDLE);
+  EXPECT_EQ (sch_next_action (&queue, 3, true).kind, SCH_IDLE);
   EXPECT_EQ (slt_choose_victim (&slots, nullptr, nullptr), nullptr);
 }
 
@@ -102,55 +102,55 @@
   load (2, 0);
   sch_item_t *one = add (1, 1);
   sch_item_t *two = add (2, 1);
-  sch_note_run (&queue, one, 1);
-  sch_note_run (&queue, two, 1);
+  sch_begin_run (&queue, one, 1);
+  sch_begin_run (&queue, two, 1);
   add (1, 1, 2);
   add (2, 1, 2);
   add (3, 1, 2);
   queue.options.max_batch = 2;
-  EXPECT_EQ (sch_next (&queue, 3, true).kind, SCH_IDLE);
-  EXPECT_EQ (sch_next (&queue, 3000000, true).kind, SCH_IDLE);
+  EXPECT_EQ (sch_next_action (&queue, 3, true).kind, SCH_IDLE);
+  EXPECT_EQ (sch_next_action (&queue, 3000000, true).kind, SCH_IDLE);
   EXPECT_TRUE (slt_find (&slots, 1)->is_draining
                || slt_find (&slots, 2)->is_draining);
   sch_item_t *ended = slt_find (&slots, 1)->is_draining ? one : two;
   uint64_t drained = ended->adapter;
-  sch_note_end (&queue, ended, 3000001);
+  sch_end_run (&queue, ended, 3000001);
   queue.options.max_batch = 1;
-  sch_action_t action = sch_next (&queue, 3000002, true);
+  sch_action_t action = sch_next_action (&queue, 3000002, true);
   EXPECT_EQ (action.kind, SCH_EVICT);
   EXPECT_EQ (action.adapter, drained);
 }
 
 // An adapter is drained for a request that is then given up. Its own waiting
 // requests could neither run nor be loaded again and would wait for ever.
-TEST_F (SchedTest, DrainEndsWithTheWant)
+TEST_F (SchedTest, DrainEndsWhenNoLoadIsWanted)
 {
   load (1);
   load (2);
-  sch_note_run (&queue, add (1, 1), 1);
-  sch_note_run (&queue, add (2, 1), 1);
-  sch_item_t *waits_1 = add (1, 1, 2);
+  sch_begin_run (&queue, add (1, 1), 1);
+  sch_begin_run (&queue, add (2, 1), 1);
+  sch_item_t *waiter_1 = add (1, 1, 2);
   add (2, 1, 2);
-  sch_item_t *wants = add (3, 0, 2);
+  sch_item_t *load_waiter = add (3, 0, 2);
   queue.options.max_batch = 2;
-  sch_next (&queue, 3, true);
+  sch_next_action (&queue, 3, true);
   ASSERT_TRUE (queue.has_draining);
-  sch_remove (&queue, wants);
+  sch_remove (&queue, load_waiter);
   queue.options.max_batch = 4;
-  sch_action_t action = sch_next (&queue, 4, true);
+  sch_action_t action = sch_next_action (&queue, 4, true);
   EXPECT_EQ (action.kind, SCH_RUN);
-  EXPECT_EQ (action.item, waits_1);
+  EXPECT_EQ (action.item, waiter_1);
 }
 
 TEST_F (SchedTest, FailedLoadBacksOff)
 {
   add (1, 1);
-  EXPECT_EQ (sch_next (&queue, 1, true).kind, SCH_LOAD);
-  sch_note_load_begin (&queue, 1, 1);
-  sch_note_load_end (&queue, 1, false, 2);
+  EXPECT_EQ (sch_next_action (&queue, 1, true).kind, SCH_LOAD);
+  sch_begin_load (&queue, 1, 1);
+  sch_end_load (&queue, 1, false, 2);
   EXPECT_EQ (sch_failed_loads (&queue, 1), 1u);
-  EXPECT_EQ (sch_next (&queue, 3, true).kind, SCH_IDLE);
-  EXPECT_EQ (sch_next (&queue, 300000, true).kind, SCH_LOAD);
+  EXPECT_EQ (sch_next_action (&queue, 3, true).kind, SCH_IDLE);
+  EXPECT_EQ (sch_next_action (&queue, 300000, true).kind, SCH_LOAD);
 }
 
 TEST_F (SchedTest, WeightsShareAClass)
@@ -163,17 +163,17 @@
   int heavy = 0;
   for (int i = 0; i < 40; i++)
     {
-      sch_action_t action = sch_next (&queue, 1, true);
+      sch_action_t action = sch_next_action (&queue, 1, true);
       ASSERT_EQ (action.kind, SCH_RUN);
       heavy += action.item->workspace == 1;
-      sch_note_run (&queue, action.item, 1);
-      sch_note_end (&queue, action.item, 1);
+      sch_begin_run (&queue, action.item, 1);
+      sch_end_run (&queue, action.item, 1);
     }
   EXPECT_NEAR (heavy, 30, 2);
 }
 
-// Early refusal compared the whole queue with an officer's deadline although
-// the officer overtakes all of it, and refused officers in a burst of uploads.
+// Early refusal compared the whole queue with an urgent's deadline although
+// the urgent overtakes all of it, and refused officers in a burst of uploads.
 TEST_F (SchedTest, ExpectedWaitCountsOnlyWhatComesFirst)
 {
   load (1);
@@ -210,22 +210,22 @@
             continue;
           if (best == nullptr || item->priority_class < best->priority_class
               || (item->priority_class == best->priority_class
-                  && (item->tag < best->tag
-                      || (item->tag == best->tag
+                  && (item->start_tag < best->start_tag
+                      || (item->start_tag == best->start_tag
                           && item->enqueued_us < best->enqueued_us))))
             best = item;
         }
-      sch_action_t action = sch_next (&queue, (uint64_t)i, false);
+      sch_action_t action = sch_next_action (&queue, (uint64_t)i, false);
       ASSERT_EQ (action.kind, best == nullptr ? SCH_IDLE : SCH_RUN);
       if (best == nullptr)
         continue;
       ASSERT_EQ (action.item->priority_class, best->priority_class);
-      ASSERT_EQ (action.item->tag, best->tag);
+      ASSERT_EQ (action.item->start_tag, best->start_tag);
       ASSERT_EQ (action.item->enqueued_us, best->enqueued_us);
       if (rng () % 2 == 0)
         {
-          sch_note_run (&queue, action.item, (uint64_t)i);
-          sch_note_end (&queue, action.item, (uint64_t)i);
+          sch_begin_run (&queue, action.item, (uint64_t)i);
+          sch_end_run (&queue, action.item, (uint64_t)i);
           waiting.erase (
               std::find (waiting.begin (), waiting.end (), action.item));
         }
--- a/tools/bench.c
+++ b/tools/bench.c
@@ -105,8 +105,8 @@
   sch_item_t *items = kb_alloc (waiting * sizeof *items);
   for (uint32_t i = 0; i < 8; i++)
     {
-      sch_note_load_begin (queue, i + 1, 0);
-      sch_note_load_end (queue, i + 1, true, 0);
+      sch_begin_load (queue, i + 1, 0);
+      sch_end_load (queue, i + 1, true, 0);
     }
   for (uint32_t i = 0; i < waiting; i++)
     {
@@ -126,11 +126,11 @@
   uint64_t start = tmr_now_us ();
   for (uint32_t i = 0; i < ROUNDS; i++)
     {
-      sch_action_t action = sch_next (queue, 1000 + i, false);
+      sch_action_t action = sch_next_action (queue, 1000 + i, false);
       if (action.kind != SCH_RUN)
         break;
-      sch_note_run (queue, action.item, i);
-      sch_note_end (queue, action.item, i);
+      sch_begin_run (queue, action.item, i);
+      sch_end_run (queue, action.item, i);
       sch_add (queue, action.item);
     }
   double ns = (double)(tmr_now_us () - start) * 1000 / ROUNDS;
@@ -288,7 +288,7 @@
   gat_options_t options = { 1e9, 1, 1000000 };
   gat_gate_init (gate, &options, 0);
   for (uint32_t i = 0; i < wishes; i++)
-    gat_ask (gate, i + 1, 1, (uint8_t)(i % 4), i, 1);
+    gat_request_load (gate, i + 1, 1, (uint8_t)(i % 4), i, 1);
   enum
   {
     ROUNDS = 20000
@@ -296,12 +296,12 @@
   uint64_t start = tmr_now_us ();
   for (uint64_t i = 0; i < ROUNDS; i++)
     {
-      const gat_wish_t *wish = gat_next (gate, 1000 + i);
+      const gat_request_t *wish = gat_next (gate, 1000 + i);
       if (wish == NULL)
         break;
       uint64_t agent = wish->agent;
-      gat_done (gate, agent, 1);
-      gat_ask (gate, agent, 1, 2, 1, 1000 + i);
+      gat_end_load (gate, agent, 1);
+      gat_request_load (gate, agent, 1, 2, 1, 1000 + i);
     }
   char name[64];
   snprintf (name, sizeof name, "gate_cycle_ns_%uw", wishes);
--- a/tools/lab/model.cc
+++ b/tools/lab/model.cc
@@ -50,7 +50,7 @@
   bool is_late = false;
   int engine = -1;
   bool runs = false;
-  adm_ask_t *ask = nullptr;
+  adm_request_t *ask = nullptr;
 };
 
 struct Fetch
@@ -74,7 +74,7 @@
   uint64_t up_ms = 0;                              ///< Down before that.
   uint64_t report_ms = 0;
   // As told to the gateways.
-  plc_view_t told = {};
+  plc_candidate_t told = {};
   std::map<int, plc_holding_t> told_adapters;
   uint32_t asked_since = 0;
   double asked_tokens = 0;
@@ -95,13 +95,13 @@
     options.slots = d.slots;
     options.kv_tokens = d.kv_tokens;
     options.adapter_slots = d.adapter_places;
-    options.max_cold = 3;
-    options.max_coming = 4;
+    options.max_cold_loads = 3;
+    options.max_loads_in_progress = 4;
     for (auto &e : engines_)
       {
         adm_table_init (&e.table, &options);
         pce_accept (&e.table.reading.pace, d.gap_ms);
-        e.table.is_open = true;
+        e.table.is_engine_ready = true;
       }
   }
   ~Site ()
@@ -213,8 +213,8 @@
     e.pieces.clear ();
     e.step_end_ms = 0;
     e.up_ms = now_ + for_ms;
-    adm_engine_restarted (&e.table);
-    e.table.is_open = false;
+    adm_handle_engine_restart (&e.table);
+    e.table.is_engine_ready = false;
     e.told.is_usable = false;
   }
   int
@@ -298,15 +298,15 @@
     r.engine = up[at];
     engines_[(size_t)r.engine].queue.push_back (r.id);
   }
-  plc_view_t
+  plc_candidate_t
   view_of (const Request &r, int at)
   {
     Engine &e = engines_[(size_t)at];
-    plc_view_t v = e.told;
+    plc_candidate_t v = e.told;
     v.key = (uint64_t)at + 1;
     v.is_usable = e.told.is_usable && r.tried.count (at) == 0;
-    v.is_near = at % d_.domains == r.domain;
-    v.busy += e.asked_since;
+    v.is_same_domain = at % d_.domains == r.domain;
+    v.busy_slots += e.asked_since;
     double rate = v.tokens_per_ms > 0 ? v.tokens_per_ms : 1;
     v.backlog_ms += e.asked_tokens / rate;
     auto it = e.told_adapters.find (r.adapter);
@@ -323,7 +323,7 @@
     uint64_t retry_ms = 0;
     for (int tries = 0; tries < kMaxTries; tries++)
       {
-        std::vector<plc_view_t> views;
+        std::vector<plc_candidate_t> views;
         for (int i = 0; i < d_.engines; i++)
           views.push_back (view_of (r, i));
         plc_request_t request = {};
@@ -347,31 +347,31 @@
     Engine &e = engines_[(size_t)at];
     e.asked_since++;
     e.asked_tokens += r.prompt;
-    if (!e.table.is_open)
+    if (!e.table.is_engine_ready)
       return false;
     std::string name = name_of (r.adapter);
-    adm_ask_t given = {};
+    adm_request_t given = {};
     given.id = r.id;
     given.owner = 1;
-    given.adapter = adm_adapter_need (
+    given.adapter = adm_adapter_get_or_add (
         &e.table, key_of (r.adapter),
         kb_slice_t{ name.data (), (uint32_t)name.size () });
     given.priority = r.kind->priority;
-    given.tokens = (uint32_t)(r.prompt + r.output);
+    given.kv_tokens_needed = (uint32_t)(r.prompt + r.output);
     given.prompt_tokens = (uint32_t)r.prompt;
     given.arrived_ms = now_;
-    given.due_ms = r.due_ms;
+    given.deadline_ms = r.due_ms;
     given.objective_ms = r.arrived_ms + r.kind->aim_ms;
     adm_forecast_t forecast = adm_forecast (&e.table, &given, now_);
-    adm_adapter_asked (given.adapter, now_);
-    if (adm_refusal (&e.table, &given, &forecast, now_) != nullptr)
+    adm_adapter_record_request (given.adapter, now_);
+    if (adm_refusal_reason (&e.table, &given, &forecast, now_) != nullptr)
       {
         *retry_ms = std::max (*retry_ms, forecast.first_ms);
         return false;
       }
     r.engine = at;
-    r.load_from_ms = adm_adapter_is_fit (given.adapter) ? 0 : now_;
-    r.ask = adm_ask_add (&e.table, &given);
+    r.load_from_ms = adm_adapter_is_servable (given.adapter) ? 0 : now_;
+    r.ask = adm_request_add (&e.table, &given);
     return true;
   }
   /// Callers come back once, as late as they accept.
@@ -449,7 +449,7 @@
   {
     if (e.up_ms > now_)
       return;
-    e.table.is_open = true;
+    e.table.is_engine_ready = true;
     if (now_ >= e.report_ms + kReportMs)
       report (e);
     if (now_ % kPumpMs == 0)
@@ -461,13 +461,14 @@
   void
   tell (Engine &e)
   {
-    e.told.is_usable = e.table.is_open;
+    e.told.is_usable = e.table.is_engine_ready;
     e.told.slots = e.table.options.slots;
-    e.told.busy = e.table.granted;
+    e.told.busy_slots = e.table.granted;
     e.told.waiting = e.table.waiting;
     e.told.tokens_per_ms = e.table.reading.tokens_per_ms;
     e.told.backlog_ms = (double)adm_backlog_us (&e.table, now_) / 1000;
-    e.told.load_wait_ms = (double)adm_new_load_wait_ms (&e.table, now_);
+    e.told.load_wait_ms
+        = (double)adm_new_adapter_load_wait_ms (&e.table, now_);
     e.told_adapters.clear ();
     uint32_t at = 0;
     for (auto *a = (adm_adapter_t *)kb_map_next (&e.table.adapters, &at);
@@ -475,9 +476,9 @@
          a = (adm_adapter_t *)kb_map_next (&e.table.adapters, &at))
       if (a->state != ADM_ABSENT || a->waiting > 0)
         e.told_adapters[atoi (a->name + 3)] = a->state == ADM_HELD ? PLC_HELD
-                                              : a->state == ADM_COMING
-                                                  ? PLC_COMING
-                                                  : PLC_AWAITED;
+                                              : a->state == ADM_LOADING
+                                                  ? PLC_LOADING
+                                                  : PLC_PENDING;
     e.asked_since = 0;
     e.asked_tokens = 0;
   }
@@ -508,13 +509,13 @@
     for (;;)
       {
         bool may_order = e.busy_until_ms <= now_;
-        adm_action_t action = adm_next (&e.table, may_order, now_);
-        if (action.kind == ADM_DO_NOTHING)
+        adm_action_t action = adm_next_action (&e.table, may_order, now_);
+        if (action.kind == ADM_ACTION_NONE)
           return;
-        if (action.kind == ADM_DO_GRANT)
-          start (e, action.ask->id);
-        else if (action.kind == ADM_DO_DECLINE)
-          decline (action.ask->id, at);
+        if (action.kind == ADM_ACTION_GRANT)
+          start (e, action.request->id);
+        else if (action.kind == ADM_ACTION_DECLINE)
+          decline (action.request->id, at);
         else
           order (e, action);
       }
@@ -533,7 +534,7 @@
   drop_ask (Request &r)
   {
     if (r.ask != nullptr)
-      adm_ask_remove (&engines_[(size_t)r.engine].table, r.ask);
+      adm_request_remove (&engines_[(size_t)r.engine].table, r.ask);
     r.ask = nullptr;
   }
   void
@@ -546,14 +547,14 @@
         return;
       }
     int adapter = atoi (action.adapter->name + 3);
-    if (action.kind == ADM_DO_UNLOAD)
+    if (action.kind == ADM_ACTION_UNLOAD)
       {
         e.held.erase (adapter);
-        adm_unload_done (&e.table, action.adapter);
+        adm_record_unloaded (&e.table, action.adapter);
         return;
       }
     fetch (e, adapter);
-    adm_load_begun (&e.table, action.adapter, now_);
+    adm_record_load_started (&e.table, action.adapter, now_);
   }
   void
   fetch (Engine &e, int adapter)
@@ -696,7 +697,7 @@
       {
         r.first_ms = now_;
         if (r.ask != nullptr)
-          adm_ask_begun (&e.table, r.ask, now_);
+          adm_request_record_first_event (&e.table, r.ask, now_);
       }
     else
       r.longest_gap_ms = std::max (r.longest_gap_ms, now_ - r.event_ms);
@@ -721,7 +722,7 @@
         uint32_t gaps = (uint32_t)((r.output - 1) / d_.stride);
         pce_note_stream (&e.table.reading.pace, gaps, r.event_ms - r.first_ms,
                          now_);
-        adm_note_held (&e.table, r.ask, now_);
+        adm_request_record_hold_time (&e.table, r.ask, now_);
       }
     drop_ask (r);
     requests_.erase (r.id);
--- a/tools/replay/sim.c
+++ b/tools/replay/sim.c
@@ -233,10 +233,10 @@
 note_load (sim_t *s, uint32_t entry, uint32_t e)
 {
   engine_t *engine = &s->engines[e];
-  rt_note_load (&s->routes[entry], (uint16_t)e, engine->queue.waiting,
-                engine->queue.running,
-                (uint32_t)expected_wait_ms (engine, RPL_CLASSES),
-                s->now_us / 1000);
+  rt_record_load_report (&s->routes[entry], (uint16_t)e, engine->queue.waiting,
+                         engine->queue.running,
+                         (uint32_t)expected_wait_ms (engine, RPL_CLASSES),
+                         s->now_us / 1000);
 }
 
 /// Place a request at a target, or end it when none can take it.
@@ -254,7 +254,7 @@
     }
   job->engine = e;
   job->excluded[job->tries++] = e;
-  rt_note_sent (routes, e, key);
+  rt_record_sent (routes, e, key);
   push (s, s->now_us + HOP_US, EV_ENQUEUE, job->request->id - 1, 0);
 }
 
@@ -342,7 +342,7 @@
       job->stall_us += s->now_us - job->stall_since_us;
       job->stall_since_us = 0;
     }
-  sch_note_run (&engine->queue, &job->item, s->now_us);
+  sch_begin_run (&engine->queue, &job->item, s->now_us);
   job->started_us = s->now_us;
   engine->running[engine->running_count++] = job;
 }
@@ -435,12 +435,12 @@
   s->store_active--;
   s->out->loads++;
   bool is_valid = engine->is_up;
-  sch_note_load_end (&engine->queue, engine->loading_key, is_valid, s->now_us);
+  sch_end_load (&engine->queue, engine->loading_key, is_valid, s->now_us);
   if (is_valid)
     group_stop_stall (s, engine, engine->loading_key);
   if (engine->has_grant)
     {
-      gat_done (s->gate, e + 1, 1);
+      gat_end_load (s->gate, e + 1, 1);
       engine->has_grant = false;
     }
 }
@@ -471,7 +471,7 @@
 {
   engine_t *engine = &s->engines[e];
   store_advance (s);
-  sch_note_load_begin (&engine->queue, key, s->now_us);
+  sch_begin_load (&engine->queue, key, s->now_us);
   engine->is_loading = true;
   engine->loading_key = key;
   // The bound's one engine stands for all: its loads run one after another at
@@ -488,7 +488,7 @@
 static void
 gate_pump (sim_t *s)
 {
-  const gat_wish_t *wish;
+  const gat_request_t *wish;
   while ((wish = gat_next (s->gate, s->now_us)) != NULL)
     {
       uint32_t e = (uint32_t)wish->agent - 1;
@@ -512,7 +512,7 @@
   if (wanted.kind == SCH_IDLE)
     {
       if (engine->has_grant || engine->is_asking)
-        gat_done (s->gate, e + 1, 1);
+        gat_end_load (s->gate, e + 1, 1);
       engine->has_grant = false;
       engine->is_asking = false;
       return;
@@ -520,8 +520,8 @@
   if (engine->has_grant)
     return;
   engine->is_asking = true;
-  gat_ask (s->gate, e + 1, 1, wanted.priority_class, wanted.waiting,
-           s->now_us);
+  gat_request_load (s->gate, e + 1, 1, wanted.priority_class, wanted.waiting,
+                    s->now_us);
   gate_pump (s);
 }
 
@@ -532,13 +532,13 @@
   uint32_t first = s->arrived;
   uint32_t count = s->trace->request_count;
   for (uint32_t i = 0; i < engine->slots.cap; i++)
-    engine->slots.slots[i].credit = -1e18;
+    engine->slots.slots[i].keep_score = -1e18;
   for (uint32_t k = count; k > first; k--)
     {
       const rpl_request_t *r = &s->trace->requests[k - 1];
       slt_slot_t *slot = slt_find (&engine->slots, adapter_key (r));
       if (slot != NULL)
-        slot->credit = -(double)r->at_us;
+        slot->keep_score = -(double)r->at_us;
     }
 }
 
@@ -548,7 +548,7 @@
   if (s->policy != RPL_OURS)
     return;
   sch_item_t *late;
-  while ((late = sch_first_late (&engine->queue, s->now_us)) != NULL)
+  while ((late = sch_first_expired (&engine->queue, s->now_us)) != NULL)
     {
       job_t *job = (job_t *)late;
       sch_remove (&engine->queue, late);
@@ -570,8 +570,8 @@
       if (s->policy == RPL_BOUND && !slt_has_free (&engine->slots)
           && sch_wanted_load (&engine->queue, s->now_us).kind != SCH_IDLE)
         bound_set_credits (s, engine);
-      sch_action_t action = sch_next (&engine->queue, s->now_us,
-                                      may_load && !engine->is_loading);
+      sch_action_t action = sch_next_action (&engine->queue, s->now_us,
+                                             may_load && !engine->is_loading);
       if (action.kind == SCH_IDLE)
         break;
       if (action.kind == SCH_RUN)
@@ -612,14 +612,14 @@
           continue;
         }
       uint64_t key = job->item.adapter;
-      sch_note_end (&engine->queue, &job->item, s->now_us);
+      sch_end_run (&engine->queue, &job->item, s->now_us);
       engine->service_ms = engine->service_ms * 0.9
                            + (double)(s->now_us - job->started_us) / 10000;
       note_load (s, job->entry, e);
-      rt_note_end (&s->routes[job->entry], (uint16_t)e, key,
-                   is_resident (engine, key),
-                   sch_demand (&engine->queue, key) * 1000 / s->batch,
-                   s->now_us / 1000);
+      rt_record_end (&s->routes[job->entry], (uint16_t)e, key,
+                     is_resident (engine, key),
+                     sch_demand (&engine->queue, key) * 1000 / s->batch,
+                     s->now_us / 1000);
       job_end (s, job, true);
     }
   engine->running_count = kept;
@@ -639,7 +639,7 @@
   uint32_t count = 0;
   for (uint32_t i = 0; i < engine->running_count; i++)
     {
-      sch_note_end (&engine->queue, &engine->running[i]->item, s->now_us);
+      sch_end_run (&engine->queue, &engine->running[i]->item, s->now_us);
       again[count++] = engine->running[i];
     }
   engine->running_count = 0;
@@ -676,7 +676,7 @@
     {
       rt_target_set_state (&s->routes[i], (uint16_t)e,
                            is_up ? RT_UP : RT_DOWN);
-      rt_note_cold (&s->routes[i], (uint16_t)e);
+      rt_clear_residency (&s->routes[i], (uint16_t)e);
     }
 }
 
