--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -18,19 +18,19 @@
 };
 
 void
-adm_saturation_update (adm_saturation_t *press, bool is_timely, bool fits,
+adm_saturation_update (adm_saturation_t *saturation, bool is_timely, bool fits,
                        uint64_t now_ms)
 {
   if (!is_timely)
-    press->since_ms = 0;
-  else if (!fits && press->since_ms == 0)
-    press->since_ms = now_ms > 0 ? now_ms : 1;
+    saturation->since_ms = 0;
+  else if (!fits && saturation->since_ms == 0)
+    saturation->since_ms = now_ms > 0 ? now_ms : 1;
 }
 
 bool
-adm_saturation_is_sustained (const adm_saturation_t *press, uint64_t now_ms)
+adm_saturation_is_sustained (const adm_saturation_t *saturation, uint64_t now_ms)
 {
-  return press->since_ms > 0 && now_ms - press->since_ms > MIN_SATURATION_MS;
+  return saturation->since_ms > 0 && now_ms - saturation->since_ms > MIN_SATURATION_MS;
 }
 
 bool
--- a/src/coordination/gate.c
+++ b/src/coordination/gate.c
@@ -95,7 +95,7 @@
 }
 
 const gat_request_t *
-gat_next (gat_gate_t *gate, uint64_t now_us)
+gat_grant_next (gat_gate_t *gate, uint64_t now_us)
 {
   gate_expire (gate, now_us);
   gate_fill (gate, now_us);
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -57,37 +57,37 @@
   return kb_hash (pair, sizeof pair, 0);
 }
 
-/// @return  How many usable views weigh more for this adapter.
+/// @return  How many usable candidates weigh more for this adapter.
 static uint32_t
-rank_of (const plc_candidate_t *views, uint32_t count, uint64_t adapter,
+rank_of (const plc_candidate_t *candidates, uint32_t count, uint64_t adapter,
          uint32_t at)
 {
-  uint64_t weight = plc_weight (adapter, views[at].key);
+  uint64_t weight = plc_weight (adapter, candidates[at].key);
   uint32_t rank = 0;
   for (uint32_t i = 0; i < count && rank < HOME_RANKS; i++)
-    if (i != at && plc_weight (adapter, views[i].key) > weight)
+    if (i != at && plc_weight (adapter, candidates[i].key) > weight)
       rank++;
   return rank;
 }
 
 /// Whether a usable target has the adapter or will have it anyway.
 static bool
-is_held_or_expected (const plc_candidate_t *views, uint32_t count)
+is_held_or_expected (const plc_candidate_t *candidates, uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    if (views[i].is_usable && views[i].holding != PLC_ABSENT)
+    if (candidates[i].is_usable && candidates[i].holding != PLC_ABSENT)
       return true;
   return false;
 }
 
 static double
-absent_cost (const plc_costs_t *costs, const plc_candidate_t *views,
+absent_cost (const plc_costs_t *costs, const plc_candidate_t *candidates,
              uint32_t count, uint64_t adapter, uint32_t at, bool is_duplicate)
 {
-  double cost = views[at].load_wait_ms;
+  double cost = candidates[at].load_wait_ms;
   if (is_duplicate)
     cost += costs->duplicate_ms;
-  switch (rank_of (views, count, adapter, at))
+  switch (rank_of (candidates, count, adapter, at))
     {
     case 0:
       return cost + costs->first_rank_ms;
@@ -99,10 +99,10 @@
 }
 
 static double
-holding_cost (const plc_costs_t *costs, const plc_candidate_t *views,
+holding_cost (const plc_costs_t *costs, const plc_candidate_t *candidates,
               uint32_t count, uint64_t adapter, uint32_t at, bool is_duplicate)
 {
-  switch (views[at].holding)
+  switch (candidates[at].holding)
     {
     case PLC_HELD:
     case PLC_NOT_NEEDED:
@@ -112,11 +112,11 @@
     case PLC_WARM:
       return costs->warm_load_ms;
     case PLC_PENDING:
-      return views[at].load_wait_ms;
+      return candidates[at].load_wait_ms;
     case PLC_ABSENT:
       break;
     }
-  return absent_cost (costs, views, count, adapter, at, is_duplicate);
+  return absent_cost (costs, candidates, count, adapter, at, is_duplicate);
 }
 
 /// A prompt that is read for long pauses every stream of its engine beyond
@@ -180,17 +180,17 @@
 }
 
 int32_t
-plc_choose (const plc_costs_t *costs, const plc_candidate_t *views,
+plc_choose (const plc_costs_t *costs, const plc_candidate_t *candidates,
             uint32_t count, const plc_request_t *request)
 {
   int32_t best = PLC_NONE;
   double best_cost = 0;
   // Asked once for all: 0.07 ms a choice at 600 target_count, 0.34 ms when
   // asked for each (mean of 2,000 choices).
-  bool is_duplicate = is_held_or_expected (views, count);
+  bool is_duplicate = is_held_or_expected (candidates, count);
   for (uint32_t i = 0; i < count; i++)
     {
-      const plc_candidate_t *v = &views[i];
+      const plc_candidate_t *v = &candidates[i];
       if (!v->is_usable)
         continue;
       double slots = v->slots > 0 ? v->slots : 1;
@@ -202,7 +202,7 @@
                     + (v->is_same_domain ? 0 : costs->other_domain_ms)
                     + pause_cost (costs, v, request->prompt_tokens)
                     + spread_cost (costs, v, request)
-                    + holding_cost (costs, views, count, request->adapter, i,
+                    + holding_cost (costs, candidates, count, request->adapter, i,
                                     is_duplicate);
       if (best == PLC_NONE || cost < best_cost)
         {
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -29,7 +29,7 @@
 gate_pump (ent_entry_t *entry)
 {
   const gat_request_t *wish;
-  while ((wish = gat_next (&entry->gate, tmr_now_us ())) != NULL)
+  while ((wish = gat_grant_next (&entry->gate, tmr_now_us ())) != NULL)
     {
       ent_vm_t *vm = kb_map_get (&entry->vms, wish->agent);
       msg_t msg = { .type = MSG_GATE_GRANT };
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -15,7 +15,7 @@
 {
 
 plc_candidate_t
-view (uint64_t key, plc_holding_t holding = PLC_ABSENT)
+candidate (uint64_t key, plc_holding_t holding = PLC_ABSENT)
 {
   plc_candidate_t v = {};
   v.key = key;
@@ -36,13 +36,13 @@
     plc_costs_default (&costs);
   }
   int32_t
-  choose (const std::vector<plc_candidate_t> &views, uint64_t adapter = 99,
+  choose (const std::vector<plc_candidate_t> &candidates, uint64_t adapter = 99,
           uint32_t prompt_tokens = 800)
   {
     plc_request_t request = {};
     request.adapter = adapter;
     request.prompt_tokens = prompt_tokens;
-    return plc_choose (&costs, views.data (), (uint32_t)views.size (),
+    return plc_choose (&costs, candidates.data (), (uint32_t)candidates.size (),
                        &request);
   }
   plc_costs_t costs;
@@ -50,7 +50,7 @@
 
 TEST_F (PlaceTest, NothingUsable)
 {
-  plc_candidate_t v = view (1);
+  plc_candidate_t v = candidate (1);
   v.is_usable = false;
   EXPECT_EQ (choose ({ v }), PLC_NONE);
   EXPECT_EQ (choose ({}), PLC_NONE);
@@ -58,39 +58,39 @@
 
 TEST_F (PlaceTest, ARateLimitedTargetIsChosenLast)
 {
-  plc_candidate_t limited = view (1, PLC_HELD);
+  plc_candidate_t limited = candidate (1, PLC_HELD);
   limited.start_wait_ms = 400;
-  EXPECT_EQ (choose ({ limited, view (2, PLC_HELD) }), 1);
+  EXPECT_EQ (choose ({ limited, candidate (2, PLC_HELD) }), 1);
   EXPECT_EQ (choose ({ limited }), 0);
 }
 
 TEST_F (PlaceTest, PrefersATargetThatHoldsTheAdapter)
 {
-  EXPECT_EQ (choose ({ view (1), view (2, PLC_HELD), view (3) }), 1);
+  EXPECT_EQ (choose ({ candidate (1), candidate (2, PLC_HELD), candidate (3) }), 1);
 }
 
 TEST_F (PlaceTest, AnAbsentAdapterAlwaysGoesToItsHome)
 {
-  std::vector<plc_candidate_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 9; key++)
-    views.push_back (view (key));
-  int32_t home = choose (views);
-  views[(size_t)home].busy_slots = 3;
-  EXPECT_EQ (choose (views), home);
+    candidates.push_back (candidate (key));
+  int32_t home = choose (candidates);
+  candidates[(size_t)home].busy_slots = 3;
+  EXPECT_EQ (choose (candidates), home);
 }
 
 TEST_F (PlaceTest, AnOverloadedHolderIsAvoided)
 {
-  plc_candidate_t holder = view (1, PLC_HELD);
+  plc_candidate_t holder = candidate (1, PLC_HELD);
   holder.backlog_ms = 2000;
-  EXPECT_EQ (choose ({ holder, view (2) }), 1);
+  EXPECT_EQ (choose ({ holder, candidate (2) }), 1);
 }
 
 TEST_F (PlaceTest, AFailingTargetIsAvoidedWhileOthersAreFree)
 {
-  plc_candidate_t grey = view (1, PLC_NOT_NEEDED);
+  plc_candidate_t grey = candidate (1, PLC_NOT_NEEDED);
   grey.failure_rate = 0.4;
-  plc_candidate_t busy_slots = view (2, PLC_NOT_NEEDED);
+  plc_candidate_t busy_slots = candidate (2, PLC_NOT_NEEDED);
   busy_slots.busy_slots = 8;
   EXPECT_EQ (choose ({ grey, busy_slots }), 1);
 }
@@ -101,11 +101,11 @@
 // fetches of both took turns at the weight store.
 TEST_F (PlaceTest, APendingAdapterIsNotFetchedTwice)
 {
-  plc_candidate_t awaited = view (1, PLC_PENDING);
+  plc_candidate_t awaited = candidate (1, PLC_PENDING);
   awaited.load_wait_ms = 500;
-  EXPECT_EQ (choose ({ awaited, view (2), view (3) }), 0);
+  EXPECT_EQ (choose ({ awaited, candidate (2), candidate (3) }), 0);
   awaited.load_wait_ms = 2000;
-  EXPECT_NE (choose ({ awaited, view (2), view (3) }), 0);
+  EXPECT_NE (choose ({ awaited, candidate (2), candidate (3) }), 0);
 }
 
 // A rare adapter was dropped at its engine, which can load it again from its
@@ -113,24 +113,24 @@
 // were others when it came first, and would fetch it from the weight store.
 TEST_F (PlaceTest, PrefersTheEngineThatHeldTheAdapterBefore)
 {
-  std::vector<plc_candidate_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 9; key++)
-    views.push_back (view (key));
-  size_t home = (size_t)choose (views);
+    candidates.push_back (candidate (key));
+  size_t home = (size_t)choose (candidates);
   size_t other = home == 0 ? 1 : 0;
-  views[other].holding = PLC_WARM;
-  views[other].load_wait_ms = 1000;
-  EXPECT_EQ (choose (views), (int32_t)other);
+  candidates[other].holding = PLC_WARM;
+  candidates[other].load_wait_ms = 1000;
+  EXPECT_EQ (choose (candidates), (int32_t)other);
 }
 
 // One caller sends a very long prompt, and a dozen streams of the same engine
 // stand still while it is read.
 TEST_F (PlaceTest, ALongPromptGoesWhereFewStreamsRun)
 {
-  plc_candidate_t holder = view (1, PLC_HELD);
+  plc_candidate_t holder = candidate (1, PLC_HELD);
   holder.busy_slots = 12;
   holder.tokens_per_ms = 38;
-  plc_candidate_t quiet = view (2);
+  plc_candidate_t quiet = candidate (2);
   quiet.tokens_per_ms = 38;
   EXPECT_EQ (choose ({ holder, quiet }, 99, 800), 0);
   EXPECT_EQ (choose ({ holder, quiet }, 99, 7000), 1);
@@ -138,9 +138,9 @@
 
 TEST_F (PlaceTest, NearTargetsWinWhenEqual)
 {
-  plc_candidate_t far = view (1, PLC_NOT_NEEDED);
+  plc_candidate_t far = candidate (1, PLC_NOT_NEEDED);
   far.is_same_domain = false;
-  EXPECT_EQ (choose ({ far, view (2, PLC_NOT_NEEDED) }), 1);
+  EXPECT_EQ (choose ({ far, candidate (2, PLC_NOT_NEEDED) }), 1);
 }
 
 // A target that is lost makes every request go twice, the targets that are
@@ -150,17 +150,17 @@
 // all of them.
 TEST_F (PlaceTest, EqualHoldersShareTheRequests)
 {
-  std::vector<plc_candidate_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 8; key++)
-    views.push_back (view (key, PLC_HELD));
+    candidates.push_back (candidate (key, PLC_HELD));
   for (double unreported_requests : { 0.0, 10.0 })
     {
-      std::vector<int> chosen (views.size ());
+      std::vector<int> chosen (candidates.size ());
       for (uint64_t random_draw = 1; random_draw <= 68; random_draw++)
         {
           plc_request_t request
               = { 99, 800, random_draw, unreported_requests };
-          chosen[(size_t)plc_choose (&costs, views.data (), 8, &request)]++;
+          chosen[(size_t)plc_choose (&costs, candidates.data (), 8, &request)]++;
         }
       int most = *std::max_element (chosen.begin (), chosen.end ());
       if (unreported_requests > 0)
@@ -186,14 +186,14 @@
 // want it at the same moment.
 TEST_F (PlaceTest, GatewaysAgreeWhereAnAdapterIsFetched)
 {
-  std::vector<plc_candidate_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 40; key++)
-    views.push_back (view (key));
+    candidates.push_back (candidate (key));
   plc_request_t request = { 99, 800, 1, 10 };
-  int32_t first = plc_choose (&costs, views.data (), 40, &request);
+  int32_t first = plc_choose (&costs, candidates.data (), 40, &request);
   for (request.random_draw = 2; request.random_draw <= 68;
        request.random_draw++)
-    EXPECT_EQ (plc_choose (&costs, views.data (), 40, &request), first);
+    EXPECT_EQ (plc_choose (&costs, candidates.data (), 40, &request), first);
 }
 
 // An adapter in demand is held by a few engines with twelve slots. Engines
@@ -224,13 +224,13 @@
                         REPORT_INTERVAL_MS };
     double unreported_requests
         = is_spread ? plc_unreported_requests (&load) : 0;
-    std::vector<plc_candidate_t> views;
+    std::vector<plc_candidate_t> candidates;
     for (uint64_t key = 1; key <= ENGINES; key++)
       {
-        plc_candidate_t v = view (key, PLC_HELD);
+        plc_candidate_t v = candidate (key, PLC_HELD);
         v.slots = SLOTS;
         v.mean_hold_ms = RUN_MS;
-        views.push_back (v);
+        candidates.push_back (v);
       }
     // When each place of each engine is free again.
     std::vector<std::vector<double>> free_ms (ENGINES,
@@ -249,11 +249,11 @@
         if (now_ms >= next_report_ms)
           {
             next_report_ms = now_ms + REPORT_INTERVAL_MS;
-            update_views (&views, free_ms, starts, now_ms);
+            update_candidates (&candidates, free_ms, starts, now_ms);
           }
         plc_request_t request = { 99, 200, random (), unreported_requests };
         auto at
-            = (size_t)plc_choose (&costs, views.data (), ENGINES, &request);
+            = (size_t)plc_choose (&costs, candidates.data (), ENGINES, &request);
         auto place
             = std::min_element (free_ms[at].begin (), free_ms[at].end ());
         double start_ms = std::max (now_ms, *place);
@@ -267,13 +267,13 @@
 
 private:
   static void
-  update_views (std::vector<plc_candidate_t> *views,
+  update_candidates (std::vector<plc_candidate_t> *candidates,
                 const std::vector<std::vector<double>> &free_ms,
                 const std::vector<std::vector<double>> &starts, double now_ms)
   {
-    for (size_t i = 0; i < views->size (); i++)
+    for (size_t i = 0; i < candidates->size (); i++)
       {
-        plc_candidate_t &v = (*views)[i];
+        plc_candidate_t &v = (*candidates)[i];
         v.busy_slots = 0;
         v.waiting = 0;
         for (double ms : free_ms[i])
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -158,19 +158,19 @@
   gat_gate_init (gate, &options, 0);
   gat_request_load (gate, 1, 1, 4, 50, 0);
   gat_request_load (gate, 2, 1, 0, 1, 0);
-  const gat_request_t *wish = gat_next (gate, 1);
+  const gat_request_t *wish = gat_grant_next (gate, 1);
   ASSERT_NE (wish, nullptr);
   EXPECT_EQ (wish->agent, 2u); // The better class, though less waits.
-  EXPECT_EQ (gat_next (gate, 2), nullptr);
+  EXPECT_EQ (gat_grant_next (gate, 2), nullptr);
   gat_end_load (gate, 2, 1);
-  EXPECT_EQ (gat_next (gate, 3), nullptr); // The rate.
+  EXPECT_EQ (gat_grant_next (gate, 3), nullptr); // The rate.
   EXPECT_GT (gat_wait_us (gate, 3), 400000u);
-  wish = gat_next (gate, 600000);
+  wish = gat_grant_next (gate, 600000);
   ASSERT_NE (wish, nullptr);
   gat_request_load (gate, 3, 1, 4, 1, 600000);
   // Agent 1 dies with its grant: the hold limit frees the gate.
-  EXPECT_EQ (gat_next (gate, 2000000), nullptr);
-  wish = gat_next (gate, 6000000);
+  EXPECT_EQ (gat_grant_next (gate, 2000000), nullptr);
+  wish = gat_grant_next (gate, 6000000);
   ASSERT_NE (wish, nullptr);
   EXPECT_EQ (wish->agent, 3u);
   gat_remove_agent (gate, 3);
--- a/tools/bench.c
+++ b/tools/bench.c
@@ -296,7 +296,7 @@
   uint64_t start = tmr_now_us ();
   for (uint64_t i = 0; i < ROUNDS; i++)
     {
-      const gat_request_t *wish = gat_next (gate, 1000 + i);
+      const gat_request_t *wish = gat_grant_next (gate, 1000 + i);
       if (wish == NULL)
         break;
       uint64_t agent = wish->agent;
--- a/tools/replay/sim.c
+++ b/tools/replay/sim.c
@@ -489,7 +489,7 @@
 gate_pump (sim_t *s)
 {
   const gat_request_t *wish;
-  while ((wish = gat_next (s->gate, s->now_us)) != NULL)
+  while ((wish = gat_grant_next (s->gate, s->now_us)) != NULL)
     {
       uint32_t e = (uint32_t)wish->agent - 1;
       s->engines[e].has_grant = true;
