--- a/src/coordination/admit.h
+++ b/src/coordination/admit.h
@@ -10,7 +10,7 @@
 
 #include "coordination/alone.h"
 #include "coordination/backpressure.h"
-#include "coordination/lanes.h"
+#include "coordination/fetch_limit.h"
 #include "coordination/reading.h"
 #include "state/buf.h"
 #include "state/map.h"
--- a/src/coordination/admit_defs.h
+++ b/src/coordination/admit_defs.h
@@ -27,8 +27,8 @@
 /// Note the first in a queue.
 /// @param is_timely  There is one, and it can be in time.
 /// @param fits       There is capacity for it now.
-void adm_saturation_update (adm_saturation_t *saturation, bool is_timely, bool fits,
-                            uint64_t now_ms);
+void adm_saturation_update (adm_saturation_t *saturation, bool is_timely,
+                            bool fits, uint64_t now_ms);
 /// @return  Whether requests in time have min_version more than there is for a
 ///          while.
 bool adm_saturation_is_sustained (const adm_saturation_t *saturation,
--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -28,9 +28,11 @@
 }
 
 bool
-adm_saturation_is_sustained (const adm_saturation_t *saturation, uint64_t now_ms)
+adm_saturation_is_sustained (const adm_saturation_t *saturation,
+                             uint64_t now_ms)
 {
-  return saturation->since_ms > 0 && now_ms - saturation->since_ms > MIN_SATURATION_MS;
+  return saturation->since_ms > 0
+         && now_ms - saturation->since_ms > MIN_SATURATION_MS;
 }
 
 bool
--- a/src/coordination/lanes.c
+++ b/src/coordination/fetch_limit.c
@@ -1,4 +1,4 @@
-#include "coordination/lanes.h"
+#include "coordination/fetch_limit.h"
 
 /// Before a fetch was measured.
 static const double DEFAULT_FETCH_MS = 250;
--- a/src/coordination/lanes.h
+++ b/src/coordination/fetch_limit.h
@@ -3,8 +3,8 @@
 /// engines share the store: up to some number of fetches each runs at full
 /// speed, beyond it all take longer in proportion. That number is not told;
 /// how long the own fetches take shows whether it is exceeded. No I/O.
-#ifndef KB_COORDINATION_LANES_H
-#define KB_COORDINATION_LANES_H
+#ifndef KB_COORDINATION_FETCH_LIMIT_H
+#define KB_COORDINATION_FETCH_LIMIT_H
 
 #include <stdint.h>
 
--- a/src/coordination/gate.h
+++ b/src/coordination/gate.h
@@ -55,7 +55,8 @@
 /// Grant the max_tokens wanted load if the rate and the concurrency allow it.
 /// @return  The granted request, or NULL.
 const gat_request_t *gat_grant_next (gat_gate_t *gate, uint64_t now_us);
-/// @return  Microseconds until gat_grant_next may grant again; zero: on the next
+/// @return  Microseconds until gat_grant_next may grant again; zero: on the
+/// next
 ///          ask or done.
 uint64_t gat_wait_us (gat_gate_t *gate, uint64_t now_us);
 
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -202,8 +202,8 @@
                     + (v->is_same_domain ? 0 : costs->other_domain_ms)
                     + pause_cost (costs, v, request->prompt_tokens)
                     + spread_cost (costs, v, request)
-                    + holding_cost (costs, candidates, count, request->adapter, i,
-                                    is_duplicate);
+                    + holding_cost (costs, candidates, count, request->adapter,
+                                    i, is_duplicate);
       if (best == PLC_NONE || cost < best_cost)
         {
           best = (int32_t)i;
--- a/src/coordination/place.h
+++ b/src/coordination/place.h
@@ -99,8 +99,9 @@
 double plc_unreported_requests (const plc_load_t *load);
 
 /// @return  Index of the cheapest usable candidate, or PLC_NONE.
-int32_t plc_choose (const plc_costs_t *costs, const plc_candidate_t *candidates,
-                    uint32_t count, const plc_request_t *request);
+int32_t plc_choose (const plc_costs_t *costs,
+                    const plc_candidate_t *candidates, uint32_t count,
+                    const plc_request_t *request);
 /// @return  Weight of a target in the rendezvous ranking of an adapter.
 uint64_t plc_weight (uint64_t adapter, uint64_t target);
 
--- a/test/unit/lanes_test.cc
+++ b/test/unit/fetch_limit_test.cc
@@ -6,7 +6,7 @@
 
 extern "C"
 {
-#include "coordination/lanes.h"
+#include "coordination/fetch_limit.h"
 }
 
 namespace
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -36,14 +36,14 @@
     plc_costs_default (&costs);
   }
   int32_t
-  choose (const std::vector<plc_candidate_t> &candidates, uint64_t adapter = 99,
-          uint32_t prompt_tokens = 800)
+  choose (const std::vector<plc_candidate_t> &candidates,
+          uint64_t adapter = 99, uint32_t prompt_tokens = 800)
   {
     plc_request_t request = {};
     request.adapter = adapter;
     request.prompt_tokens = prompt_tokens;
-    return plc_choose (&costs, candidates.data (), (uint32_t)candidates.size (),
-                       &request);
+    return plc_choose (&costs, candidates.data (),
+                       (uint32_t)candidates.size (), &request);
   }
   plc_costs_t costs;
 };
@@ -66,7 +66,8 @@
 
 TEST_F (PlaceTest, PrefersATargetThatHoldsTheAdapter)
 {
-  EXPECT_EQ (choose ({ candidate (1), candidate (2, PLC_HELD), candidate (3) }), 1);
+  EXPECT_EQ (
+      choose ({ candidate (1), candidate (2, PLC_HELD), candidate (3) }), 1);
 }
 
 TEST_F (PlaceTest, AnAbsentAdapterAlwaysGoesToItsHome)
@@ -160,7 +161,8 @@
         {
           plc_request_t request
               = { 99, 800, random_draw, unreported_requests };
-          chosen[(size_t)plc_choose (&costs, candidates.data (), 8, &request)]++;
+          chosen[(size_t)plc_choose (&costs, candidates.data (), 8,
+                                     &request)]++;
         }
       int most = *std::max_element (chosen.begin (), chosen.end ());
       if (unreported_requests > 0)
@@ -252,8 +254,8 @@
             update_candidates (&candidates, free_ms, starts, now_ms);
           }
         plc_request_t request = { 99, 200, random (), unreported_requests };
-        auto at
-            = (size_t)plc_choose (&costs, candidates.data (), ENGINES, &request);
+        auto at = (size_t)plc_choose (&costs, candidates.data (), ENGINES,
+                                      &request);
         auto place
             = std::min_element (free_ms[at].begin (), free_ms[at].end ());
         double start_ms = std::max (now_ms, *place);
@@ -268,8 +270,9 @@
 private:
   static void
   update_candidates (std::vector<plc_candidate_t> *candidates,
-                const std::vector<std::vector<double>> &free_ms,
-                const std::vector<std::vector<double>> &starts, double now_ms)
+                     const std::vector<std::vector<double>> &free_ms,
+                     const std::vector<std::vector<double>> &starts,
+                     double now_ms)
   {
     for (size_t i = 0; i < candidates->size (); i++)
       {
