--- a/src/coordination/admit.c
+++ b/src/coordination/admit.c
@@ -6,23 +6,24 @@
 
 enum
 {
-  /// Half-life of the request count that decides what is dropped.
+  /// Half-life of the decayed request count that selects what to unload.
   RECENT_HALF_LIFE_MS = 8000,
-  /// Pause before an order that failed is given again.
+  /// Pause before a failed order is repeated.
   ORDER_RETRY_MS = 150,
-  /// Adapters remembered that are neither adapters_held nor asked for.
+  /// Limit of remembered adapters; above it those neither held nor requested
+  /// are removed.
   MAX_REMEMBERED = 4096,
 };
 
-/// Weight of a recent request against a waiting one when fetches are ordered.
+/// Value of a recent request relative to a waiting one when loads are ordered.
 static const double RECENT_REQUEST_VALUE = 0.5;
-/// What a request that is late anyway counts against one in time. A fetch that
-/// comes too late for its own request costs the next one its time as well: at
-/// a loaded weight store all were late. Mean worth of five heavy days 0.593
-/// and 0.736 with the longest wait first, 0.599 and 0.739 so.
+/// Value of a late waiting request relative to a timely one. A load that is
+/// too late for its own requests also delays the next one, so at a busy weight
+/// store all were late. Over five heavy days the mean weighted goodput was
+/// 0.599 and 0.739, against 0.593 and 0.736 when the longest wait came first.
 static const double LATE_REQUEST_VALUE = 0.3;
-/// Of the newest run in the mean time for which a place is adapters_held; and
-/// before any run ended.
+/// Weight of the newest sample in the mean hold time, and the mean before the
+/// first sample.
 static const double HOLD_TIME_WEIGHT = 0.05;
 static const double DEFAULT_HOLD_MS = 1000;
 
@@ -56,7 +57,7 @@
   double halves
       = (double)(now_ms - adapter->recent_requests_ms) / RECENT_HALF_LIFE_MS;
   double recent_requests = adapter->recent_requests;
-  // A table of powers is not worth it: this runs on orders only.
+  // Halving in a loop is fast enough: this runs only when orders are chosen.
   while (halves >= 1 && recent_requests > 0.01)
     {
       recent_requests /= 2;
@@ -65,8 +66,8 @@
   return recent_requests * (1 - halves / 2);
 }
 
-/// Forget adapters that nobody needs, so that a long life with many adapters
-/// does not fill the memory.
+/// Remove unused adapters, so that memory stays bounded over a long uptime
+/// with many adapters.
 static void
 adapters_trim (adm_table_t *table)
 {
@@ -131,7 +132,6 @@
   return kb_map_get (&table->requests, owned_request_key (owner, id));
 }
 
-/// Whether its fetch takes a turn at the weight store.
 bool
 adm_is_cold_load (const adm_adapter_t *adapter)
 {
@@ -145,8 +145,6 @@
          && adm_is_cold_load (adapter);
 }
 
-/// What a fetch of an adapter is worth: the requests that wait for it now, and
-/// those that will come while it is adapters_held.
 double
 adm_load_value (const adm_table_t *table, const adm_adapter_t *adapter,
                 uint64_t now_ms)
@@ -165,14 +163,14 @@
   adapter->used_ms = now_ms;
 }
 
-/// Adapters whose fetch would begin before one of this value.
+/// Cold loads that would start before one of this value.
 static uint32_t
 count_cold_loads_ahead (const adm_table_t *table, double value,
                         uint64_t now_ms)
 {
   double ahead = table->adapters_cold_loading;
-  // Each of an adapter's requests counts its part: thousands of adapters are
-  // remembered, of which few wait.
+  // Each request adds its share of its adapter. This avoids a walk over
+  // thousands of remembered adapters, few of which are waited for.
   for (const adm_request_t *request = table->first; request != NULL;
        request = request->next)
     {
@@ -250,7 +248,7 @@
   request->next = NULL;
   request->prev = NULL;
   table->waiting--;
-  // Sums of fractions do not come back to zero by themselves.
+  // Floating-point sums do not return to exactly zero.
   table->waiting_cost
       = table->waiting == 0
             ? 0
@@ -346,7 +344,7 @@
       {
         adm_request_remove (table, request);
         forgotten++;
-        // Removal moves entries; begin again.
+        // Removal moves entries; restart the iteration.
         at = 0;
       }
   return forgotten;
@@ -368,7 +366,7 @@
   table->adapters_cold_loading = 0;
 }
 
-/// A fetch that was ordered has arrived.
+/// Record the end of a load that was ordered.
 static void
 record_load_time (adm_table_t *table, adm_adapter_t *adapter, uint64_t now_ms)
 {
@@ -385,8 +383,7 @@
                     uint32_t version, bool is_loading, uint64_t now_ms)
 {
   adm_adapter_t *adapter = adm_adapter_get_or_add (table, key, name);
-  // A replacement is listed twice: the version adapters_held and the one that
-  // comes.
+  // A replacement is listed twice: the held version and the loading one.
   bool is_listed
       = adapter->report_generation == table->current_report_generation;
   if (is_loading)
--- a/src/coordination/admit_defs.h
+++ b/src/coordination/admit_defs.h
@@ -1,48 +1,48 @@
 /// @file admit_defs.h
-/// What the files of the admission share.
+/// Internal declarations of the admission control (admit*.c).
 #ifndef KB_COORDINATION_ADMIT_DEFS_H
 #define KB_COORDINATION_ADMIT_DEFS_H
 
 #include "coordination/admit.h"
 
-/// @return  Recent requests for an adapter, halved every few seconds.
+/// @return  Requests for an adapter, decayed exponentially.
 double adm_adapter_recent_requests (const adm_adapter_t *adapter,
                                     uint64_t now_ms);
-/// What a fetch of an adapter is worth: the requests that wait for it now, and
-/// those that will come while it is adapters_held.
+/// @return  Benefit of loading an adapter, in requests: those that wait for
+///          it, and those expected while it is held.
 double adm_load_value (const adm_table_t *table, const adm_adapter_t *adapter,
                        uint64_t now_ms);
-/// Whether its fetch takes a turn at the weight store.
+/// @return  Whether a load has to fetch from the weight store, rather than
+///          from the engine's host memory.
 bool adm_is_cold_load (const adm_adapter_t *adapter);
-/// Whether a first event can still come in time when it is granted now.
+/// @return  Whether a request granted now can still meet its objective.
 bool adm_is_timely (const adm_table_t *table, const adm_request_t *request,
                     uint64_t now_ms);
-/// The same for an adapter that is fetched now, and the last of the requests
-/// that wait for it.
+/// @return  Whether a load that starts now ends in time for the latest
+///          objective of the requests that wait for the adapter.
 bool adm_load_is_timely (const adm_table_t *table,
                          const adm_adapter_t *adapter, uint64_t now_ms);
-/// Whether `a` is to be served before `b`; both wait, `a` longer.
+/// @return  Whether `a` is served before `b`. Both wait; `a` arrived first.
 bool adm_is_before (const adm_table_t *table, const adm_request_t *a,
                     const adm_request_t *b, uint64_t now_ms);
-/// Note the first in a queue.
-/// @param is_timely  There is one, and it can be in time.
+/// Update a saturation from the head of its queue.
+/// @param is_timely  There is a head, and it is timely.
 /// @param fits       There is capacity for it now.
 void adm_saturation_update (adm_saturation_t *saturation, bool is_timely,
                             bool fits, uint64_t now_ms);
-/// @return  Whether requests in time have min_version more than there is for a
-///          while.
+/// @return  Whether the saturation has lasted for MIN_SATURATION_MS.
 bool adm_saturation_is_sustained (const adm_saturation_t *saturation,
                                   uint64_t now_ms);
-/// Of two classes that both want more than there is, the less urgent one gets
-/// one part of the reading for this many of the more urgent one's. With strict
-/// classes a heavy urgent class took everything: at three times the capacity
-/// of a drawn deployment 25 of 2,657 requests of the other class were in time.
+/// When two priority classes both exceed the capacity, ratio of prompt cost
+/// granted to the more urgent class to that of the less urgent one. Strict
+/// priority starves the less urgent class: at three times the capacity, 25 of
+/// its 2,657 requests were in time.
 #define ADM_URGENT_SHARE_RATIO 4.0
-/// Part of the engine's memory that is given out. Output lengths are guesses
-/// that are off by half and more; a run that outgrows the rest preempts
-/// another one, which is then read anew.
+/// Fraction of the engine's KV memory that is granted. Estimates of output
+/// length are off by half and more; a run that outgrows the remainder preempts
+/// another one, whose prompt then has to be read again.
 #define ADM_MAX_KV_FRACTION 0.9
-/// Take a request out of those that wait.
+/// Unlink a request from the waiting ones.
 void adm_waiting_remove (adm_table_t *table, adm_request_t *request);
 
 #endif
--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -1,19 +1,19 @@
 /// @file admit_forecast.c
-/// What a sidecar expects: when a request's first event would come, whether it
-/// can be in time, and whether there is capacity for late ones.
+/// Forecasts of a sidecar: when the first event of a request is due, whether
+/// it meets its objective, and whether the engine is saturated.
 #include <math.h>
 
 #include "coordination/admit_defs.h"
 
 enum
 {
-  /// From the end of reading to the first event at the caller.
+  /// From the end of reading the prompt to the first event at the caller.
   FIRST_EVENT_DELAY_MS = 60,
-  /// While requests in time have min_version more than there is for as long,
-  /// none is left for late ones. Half of the shortest objective seen.
+  /// Saturation for longer than this leaves no capacity for late requests.
+  /// Half of the shortest objective in use.
   MIN_SATURATION_MS = 400,
-  /// Engines that may send a request on because their slots are taken for too
-  /// long. A hop takes some 4 ms.
+  /// Engines that may decline a request because their slots are busy for too
+  /// long. Each extra hop takes about 4 ms.
   MAX_REDIRECTS = 3,
 };
 
@@ -60,10 +60,11 @@
          <= request->objective_ms;
 }
 
-// What is late in any case takes only the capacity that no request in time
-// needs. Otherwise a backlog is worked off oldest first and everyone stays
-// late: on six drawn sites past saturation 18 and 26 % of the answers came
-// late oldest first, 10 and 18 % so, and mean worth rose by 0.039 and 0.063.
+// Late requests get only the capacity that timely ones leave. Served oldest
+// first, a backlog makes all later requests late as well: on six random
+// deployments above capacity 18 and 26 % of the answers were late, against 10
+// and 18 % with timely requests first, and mean weighted goodput was lower by
+// 0.039 and 0.063.
 bool
 adm_is_before (const adm_table_t *table, const adm_request_t *a,
                const adm_request_t *b, uint64_t now_ms)
@@ -75,8 +76,8 @@
   return a->priority <= b->priority;
 }
 
-/// Prompts that are read before the one of a request: those of its own class
-/// and, as far as these may pass it, those of more urgent ones.
+/// Prompt cost that is read before that of a request: requests of its own
+/// class, and more urgent ones up to their share.
 static double
 cost_ahead (const adm_table_t *table, const adm_request_t *request,
             uint64_t now_ms)
@@ -99,7 +100,7 @@
   return own + fmin (urgent, max_urgent);
 }
 
-/// Waiting requests that take a place before this one.
+/// Waiting requests that are granted a place before this one.
 static uint32_t
 count_ahead (const adm_table_t *table, const adm_request_t *request,
              uint64_t now_ms)
@@ -112,8 +113,8 @@
   return count;
 }
 
-/// Time until a slot and memory are free, when places are given back as fast
-/// as they were.
+/// Milliseconds until a slot and memory are free, if places are released at
+/// the present rate.
 static double
 capacity_wait_ms (const adm_table_t *table, const adm_request_t *request,
                   uint32_t ahead)
@@ -137,7 +138,8 @@
   return wait_ms;
 }
 
-/// Time until there is room, and the engine takes one more request.
+/// Milliseconds until there is capacity and the engine's rate limit allows one
+/// more request.
 static double
 place_wait_ms (const adm_table_t *table, const adm_request_t *request,
                uint64_t now_ms)
@@ -180,8 +182,8 @@
   bool is_late = can_be_timely && forecast->first_ms > limit_ms;
   if (is_late && adm_is_saturated (table, now_ms))
     return "late_under_load";
-  // Its slots are taken for longer than it has: another engine may have some
-  // free. When several had none, it waits where it is.
+  // Its slots are busy until after the objective, but another engine may have
+  // free ones. After MAX_REDIRECTS declines the request waits here.
   if (is_late && forecast->place_ms > limit_ms
       && request->decline_count < MAX_REDIRECTS)
     return "no_place_in_time";
--- a/src/coordination/admit_next.c
+++ b/src/coordination/admit_next.c
@@ -1,14 +1,14 @@
 /// @file admit_next.c
-/// What a sidecar does next: the order of grants, declines, fetches and drops.
+/// Choice of a sidecar's next action: grants, declines, loads and unloads.
 #include "coordination/admit_defs.h"
 
 enum
 {
-  /// Below this a request can not produce a first event any more.
+  /// With less time left, a request cannot produce its first event.
   MIN_RUN_MS = 60,
   DECLINE_RETRY_MS = 400,
-  /// A request that does not fit is not overtaken for longer than this, so
-  /// that large prompts are not starved by small ones.
+  /// Longest time for which a request that does not fit is overtaken, so that
+  /// small prompts do not starve large ones.
   MAX_OVERTAKE_MS = 100,
 };
 
@@ -28,8 +28,8 @@
                       now_ms);
 }
 
-/// The max_urgent urgent waiting request whose adapter is there.
-/// @param must_fit  Only one that can be granted now.
+/// Find the most urgent waiting request whose adapter can serve.
+/// @param must_fit  Consider only requests that can be granted now.
 static adm_request_t *
 find_most_urgent (adm_table_t *table, bool must_fit, uint64_t now_ms)
 {
@@ -46,7 +46,7 @@
   return best;
 }
 
-/// The oldest request in time of a less urgent class than `first`.
+/// Find the oldest timely request of a less urgent class than `first`.
 static adm_request_t *
 find_passed_over (adm_table_t *table, const adm_request_t *first,
                   uint64_t now_ms)
@@ -60,8 +60,8 @@
   return NULL;
 }
 
-/// The request whose turn it is, whether it fits or not: the max_urgent urgent
-/// one, or one of another class that was passed over for long enough.
+/// Choose the request whose turn it is, whether it fits or not: the most
+/// urgent one, or a timely one of a less urgent class that is owed its share.
 static adm_request_t *
 choose_next_in_turn (adm_table_t *table, uint64_t now_ms)
 {
@@ -76,7 +76,7 @@
   return is_its_turn ? other : first;
 }
 
-/// Keep account of what is granted past less urgent requests.
+/// Account for prompt cost granted ahead of timely, less urgent requests.
 static void
 update_urgent_lead (adm_table_t *table, const adm_request_t *granted,
                     uint64_t now_ms)
@@ -112,9 +112,9 @@
   return may_start ? request : NULL;
 }
 
-/// A version that runs still use is replaced only when they end. Until then
-/// no other adapter of this engine is fetched; another engine fetches the new
-/// version in a fraction of that time.
+/// Whether an outdated version is in use. It can be replaced only when the
+/// requests that use it end, and the engine loads no other adapter until then.
+/// Another engine loads the new version in a fraction of that time.
 static bool
 is_stale_in_use (const adm_adapter_t *adapter)
 {
@@ -123,8 +123,8 @@
          && !adapter->is_replacing;
 }
 
-/// Whether a request that is late in any case waits for what requests in time
-/// have taken for a while.
+/// Whether a late request waits for capacity that timely requests have used up
+/// for MIN_SATURATION_MS.
 static bool
 is_late_without_capacity (const adm_table_t *table,
                           const adm_request_t *request, uint64_t now_ms)
@@ -165,7 +165,7 @@
              && adapter->version < adapter->min_version && adapter->pins == 0);
 }
 
-/// Whether a fetch may begin beside those under way.
+/// Whether the limit of concurrent cold loads allows a load to start.
 static bool
 can_start_load (const adm_table_t *table, const adm_adapter_t *adapter)
 {
@@ -174,9 +174,9 @@
                 < ftl_limit_count (&table->fetch_limit);
 }
 
-/// The waiting adapter whose fetch serves max_urgent; one adapters_held before
-/// comes first, because it takes no turn at the weight store.
-/// @param must_fit  Only one whose fetch may begin now.
+/// Choose the load of the highest value among adapters with waiting requests.
+/// Warm loads come first, because they do not use the weight store.
+/// @param must_fit  Consider only loads that can start now.
 static adm_adapter_t *
 choose_load (adm_table_t *table, bool must_fit, uint64_t now_ms)
 {
@@ -201,7 +201,7 @@
   return best;
 }
 
-/// The adapters_held adapter that is least likely to be asked for again.
+/// Choose the held adapter that is least likely to be requested again.
 static adm_adapter_t *
 choose_victim (adm_table_t *table, uint64_t now_ms)
 {
@@ -211,8 +211,8 @@
   for (adm_adapter_t *a = kb_map_next (&table->adapters, &at); a != NULL;
        a = kb_map_next (&table->adapters, &at))
     {
-      // Unloading one that serves a request would hold the order back until
-      // the run ends, and the slot with it.
+      // An unload order for an adapter in use takes effect only when its last
+      // run ends; until then it would block the slot and later orders.
       if (a->state != ADM_HELD || a->pins > 0 || a->waiting > 0
           || a->next_order_ms > now_ms)
         continue;
@@ -229,7 +229,8 @@
   return best;
 }
 
-/// The order that an adapter's fetch needs now.
+/// Choose the order that makes progress on a load: the load itself, or an
+/// unload that frees a slot for it.
 static adm_action_t
 order_to_load (adm_table_t *table, adm_adapter_t *adapter, uint64_t now_ms)
 {
@@ -256,9 +257,9 @@
   return order_to_load (table, adapter, now_ms);
 }
 
-/// Note whether requests in time want more than there is. Before anything is
-/// decline_count: a burst whose requests all become late at one moment leaves
-/// the engine to them.
+/// Update both saturations from the heads of their queues. This runs before
+/// any decline: when all requests of a burst become late at once, the
+/// saturation ends and they may use the engine.
 static void
 update_saturation (adm_table_t *table, bool may_order, uint64_t now_ms)
 {
