--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -123,17 +123,18 @@
 /// what their callers accept; an engine with few streams loses less, also when
 /// the adapter has to be fetched there.
 static double
-pause_cost (const plc_costs_t *costs, const plc_candidate_t *v,
+pause_cost (const plc_costs_t *costs, const plc_candidate_t *candidate,
             uint32_t prompt_tokens)
 {
-  if (v->tokens_per_ms <= 0)
+  if (candidate->tokens_per_ms <= 0)
     return 0;
-  double reading_ms = rdg_cost (prompt_tokens) / v->tokens_per_ms;
+  double reading_ms = rdg_cost (prompt_tokens) / candidate->tokens_per_ms;
   double part = (reading_ms - MIN_PAUSING_READ_MS)
                 / (FULL_PAUSE_READ_MS - MIN_PAUSING_READ_MS);
   if (part <= 0)
     return 0;
-  return costs->paused_stream_ms * v->busy_slots * (part < 1 ? part : 1);
+  return costs->paused_stream_ms * candidate->busy_slots
+         * (part < 1 ? part : 1);
 }
 
 /// Time until a place is free for one more request, when places are given back
@@ -142,11 +143,12 @@
 /// adapter in demand were waited for until the requests were late, while half
 /// of the others were nearly empty.
 static double
-place_wait_ms (const plc_candidate_t *v, double slots)
+place_wait_ms (const plc_candidate_t *candidate, double slots)
 {
-  double ahead = (double)v->busy_slots + v->waiting + 1 - slots;
-  double slot_ms = ahead > 0 ? ahead * v->mean_hold_ms / slots : 0;
-  return fmax (slot_ms, v->start_wait_ms);
+  double ahead
+      = (double)candidate->busy_slots + candidate->waiting + 1 - slots;
+  double slot_ms = ahead > 0 ? ahead * candidate->mean_hold_ms / slots : 0;
+  return fmax (slot_ms, candidate->start_wait_ms);
 }
 
 /// Where an adapter is there, each request is drawn for itself. Where it would
@@ -155,13 +157,14 @@
 /// hundred draws is always near zero, and a fetch would look cheaper than it
 /// is (4 % fewer fetches, and more in time).
 static double
-spread_cost (const plc_costs_t *costs, const plc_candidate_t *v,
+spread_cost (const plc_costs_t *costs, const plc_candidate_t *candidate,
              const plc_request_t *request)
 {
-  bool is_there = v->holding != PLC_ABSENT && v->holding != PLC_WARM;
+  bool is_there
+      = candidate->holding != PLC_ABSENT && candidate->holding != PLC_WARM;
   uint64_t random_draw = plc_weight (
-      is_there ? request->random_draw : request->adapter, v->key);
-  double slots = v->slots > 0 ? v->slots : 1;
+      is_there ? request->random_draw : request->adapter, candidate->key);
+  double slots = candidate->slots > 0 ? candidate->slots : 1;
   double spread_ms
       = request->unreported_requests * costs->full_batch_ms / slots;
   double part = (double)(UINT64_MAX - random_draw) / (double)UINT64_MAX;
@@ -190,20 +193,21 @@
   bool is_duplicate = is_held_or_expected (candidates, count);
   for (uint32_t i = 0; i < count; i++)
     {
-      const plc_candidate_t *v = &candidates[i];
-      if (!v->is_usable)
+      const plc_candidate_t *candidate = &candidates[i];
+      if (!candidate->is_usable)
         continue;
-      double slots = v->slots > 0 ? v->slots : 1;
-      double cost = costs->full_batch_ms * v->busy_slots / slots
-                    + costs->waiting_request_ms * v->waiting / slots
-                    + costs->place_wait_factor * place_wait_ms (v, slots)
-                    + costs->backlog_factor * v->backlog_ms
-                    + costs->failure_ms * v->failure_rate
-                    + (v->is_same_domain ? 0 : costs->other_domain_ms)
-                    + pause_cost (costs, v, request->prompt_tokens)
-                    + spread_cost (costs, v, request)
-                    + holding_cost (costs, candidates, count, request->adapter,
-                                    i, is_duplicate);
+      double slots = candidate->slots > 0 ? candidate->slots : 1;
+      double cost
+          = costs->full_batch_ms * candidate->busy_slots / slots
+            + costs->waiting_request_ms * candidate->waiting / slots
+            + costs->place_wait_factor * place_wait_ms (candidate, slots)
+            + costs->backlog_factor * candidate->backlog_ms
+            + costs->failure_ms * candidate->failure_rate
+            + (candidate->is_same_domain ? 0 : costs->other_domain_ms)
+            + pause_cost (costs, candidate, request->prompt_tokens)
+            + spread_cost (costs, candidate, request)
+            + holding_cost (costs, candidates, count, request->adapter, i,
+                            is_duplicate);
       if (best == PLC_NONE || cost < best_cost)
         {
           best = (int32_t)i;
