--- a/src/coordination/fetch_limit.c
+++ b/src/coordination/fetch_limit.c
@@ -1,18 +1,17 @@
 #include "coordination/fetch_limit.h"
 
-/// Before a fetch was measured.
+/// Assumed before the first fetch ends.
 static const double DEFAULT_FETCH_MS = 250;
 static const double MEAN_FETCH_WEIGHT = 0.2;
-/// Fetches up to this much over the best are at full speed: reports are read
-/// every 25 ms.
+/// Fetches up to this much longer than the shortest count as full speed:
+/// reports arrive every 25 ms, which blurs the measured time.
 static const double MAX_FULL_SPEED_RATIO = 1.15;
-/// Ten fetches at full speed open one more lane; one that was slowed closes a
-/// third of them, so that a store that all press on is left again within a
-/// second.
+/// Ten fetches at full speed add one to the limit. A slow one takes off a
+/// third, so that an overloaded store recovers within a second.
 static const double INCREASE_STEP = 0.1;
 static const double DECREASE_FACTOR = 0.7;
-/// The best time is forgotten by a tenth in a hundred fetches: another model's
-/// adapters may be larger.
+/// Raises the shortest time by a tenth over a hundred fetches, since the
+/// adapters of another model may be larger.
 static const double MIN_FETCH_DRIFT = 1.001;
 
 void
--- a/src/coordination/fetch_limit.h
+++ b/src/coordination/fetch_limit.h
@@ -1,8 +1,9 @@
-/// @file limit.h
-/// How many adapters one engine fetches from the weight store at one time. All
-/// engines share the store: up to some number of fetches each runs at full
-/// speed, beyond it all take longer in proportion. That number is not told;
-/// how long the own fetches take shows whether it is exceeded. No I/O.
+/// @file fetch_limit.h
+/// Limit of the concurrent fetches of one engine from the weight store, with
+/// additive increase and multiplicative decrease. All engines share the store:
+/// up to some concurrency each fetch runs at full speed, beyond it all slow
+/// down in proportion. The store does not state that concurrency, so the limit
+/// follows the duration of the engine's own fetches. No I/O.
 #ifndef KB_COORDINATION_FETCH_LIMIT_H
 #define KB_COORDINATION_FETCH_LIMIT_H
 
@@ -10,20 +11,20 @@
 
 typedef struct
 {
-  uint32_t max_fetches;
-  double limit; ///< At least one; the fraction counts towards the next.
-  double
-      mean_fetch_ms;   ///< Mean time of a fetch, the newest weigh max_fetches.
-  double min_fetch_ms; ///< Shortest time of one; zero: none yet.
+  uint32_t max_fetches; ///< Upper bound of the limit.
+  double limit;         ///< Concurrent fetches, one at least, with a fraction.
+  double mean_fetch_ms; ///< Moving average of the fetch time.
+  double min_fetch_ms;  ///< Shortest fetch time; zero: none yet.
 } ftl_limit_t;
 
+/// @param max_fetches  Upper bound of concurrent fetches; zero counts as one.
 void ftl_limit_init (ftl_limit_t *limit, uint32_t max_fetches);
-/// A fetch arrived.
+/// Adjust the limit to the duration of a fetch that has ended.
 void ftl_limit_record_fetch (ftl_limit_t *limit, double took_ms);
-/// @return  Fetches that may be under way at one time, one at least.
+/// @return  Allowed number of concurrent fetches, one at least.
 uint32_t ftl_limit_count (const ftl_limit_t *limit);
-/// @return  Time until a fetch behind `ahead` others has arrived,
-/// milliseconds.
+/// @param ahead  Fetches that start before.
+/// @return       Milliseconds until a fetch behind these has ended.
 uint64_t ftl_limit_wait_ms (const ftl_limit_t *limit, uint32_t ahead);
 
 #endif
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -5,24 +5,23 @@
 #include "coordination/reading.h"
 #include "state/buf.h"
 
-/// Targets that an adapter is brought to first, by rendezvous weight. The
-/// same few target_count over and over, so that their memory still holds it
-/// when it comes back.
+/// Targets preferred for loading an adapter, by rendezvous weight. Using the
+/// same few targets keeps the adapter in their host memory for the next load.
 enum
 {
   HOME_RANKS = 2,
-  /// Reading for this long pauses no stream noticeably; for as long as the
-  /// second, an event comes 300 ms after the one before.
+  /// Reading a prompt for MIN_PAUSING_READ_MS pauses no stream noticeably;
+  /// with FULL_PAUSE_READ_MS, an event follows 300 ms after the previous one.
   MIN_PAUSING_READ_MS = 90,
   FULL_PAUSE_READ_MS = 220,
   MS_PER_S = 1000,
 };
 
-/// Targets that hold an adapter in demand get this many times the mean. On a
-/// day of 68 gateway_count and 120 engines with 12 slots, 0.885 of the
-/// requests were in time, weighted by what they are worth, with a spread of
-/// 300 ms, one and a half times the mean there; 0.910 with 800 ms; 0.919 with
-/// 1,600 ms, which brought 7 % more fetches and worse worst seconds.
+/// Load of the targets that hold an adapter in demand, relative to the mean.
+/// With 68 gateways and 120 engines of 12 slots, the weighted share of
+/// requests in time was 0.885 at a spread of 300 ms (1.5 times the mean),
+/// 0.910 at 800 ms and 0.919 at 1,600 ms, which had 7 % more fetches and worse
+/// peak seconds.
 static const double IN_DEMAND_FACTOR = 4;
 
 void
@@ -30,7 +29,7 @@
 {
   *costs = (plc_costs_t){
     // A full batch slows each token by about a third and doubles the wait for
-    // a first one.
+    // the first one.
     .full_batch_ms = 900,
     .waiting_request_ms = 2000,
     .place_wait_factor = 3,
@@ -38,8 +37,9 @@
     .first_rank_ms = 0,
     .second_rank_ms = 300,
     .other_rank_ms = 600,
-    // One of four fetches on a heavy day brought what another engine had or
-    // awaited; about the time of a fetch keeps them together.
+    // Without this cost, one of four fetches under heavy load brought an
+    // adapter that another engine held or waited for. About the time of one
+    // fetch prevents that.
     .duplicate_ms = 300,
     // A tenth of a fetch, the order and the report.
     .warm_load_ms = 60,
@@ -57,7 +57,8 @@
   return kb_hash (pair, sizeof pair, 0);
 }
 
-/// @return  How many usable candidates weigh more for this adapter.
+/// @return  Candidates with a higher weight for this adapter, HOME_RANKS at
+///          most.
 static uint32_t
 rank_of (const plc_candidate_t *candidates, uint32_t count, uint64_t adapter,
          uint32_t at)
@@ -70,7 +71,7 @@
   return rank;
 }
 
-/// Whether a usable target has the adapter or will have it anyway.
+/// Whether a usable target holds the adapter or is about to.
 static bool
 is_held_or_expected (const plc_candidate_t *candidates, uint32_t count)
 {
@@ -119,9 +120,9 @@
   return absent_cost (costs, candidates, count, adapter, at, is_duplicate);
 }
 
-/// A prompt that is read for long pauses every stream of its engine beyond
-/// what their callers accept; an engine with few streams loses less, also when
-/// the adapter has to be fetched there.
+/// Cost of the streams that a long prompt pauses beyond what their callers
+/// accept. It favours engines with few streams, even if they have to load the
+/// adapter.
 static double
 pause_cost (const plc_costs_t *costs, const plc_candidate_t *candidate,
             uint32_t prompt_tokens)
@@ -137,11 +138,11 @@
          * (part < 1 ? part : 1);
 }
 
-/// Time until a place is free for one more request, when places are given back
-/// as fast as they were, and its limit lets it start. A batch with 12 slots
-/// and twelve more requests before it costs a whole run; engines that held an
-/// adapter in demand were waited for until the requests were late, while half
-/// of the others were nearly empty.
+/// Milliseconds until a place is free for one more request, if places are
+/// released at the present rate, and the target's rate limit allows it. With
+/// 12 slots, twelve requests ahead cost a whole run. Without this cost,
+/// requests queued at the engines that held an adapter in demand until they
+/// were late, while half of the others were nearly empty.
 static double
 place_wait_ms (const plc_candidate_t *candidate, double slots)
 {
@@ -151,11 +152,12 @@
   return fmax (slot_ms, candidate->start_wait_ms);
 }
 
-/// Where an adapter is there, each request is drawn for itself. Where it would
-/// have to be fetched, gateway_count agree: one fetch serves all who ask for
-/// it; and at least half of the spread is added, because the lowest of a
-/// hundred draws is always near zero, and a fetch would look cheaper than it
-/// is (4 % fewer fetches, and more in time).
+/// Random cost that spreads requests over equal targets. Where the adapter is
+/// present, each request draws its own. Where it has to be loaded, the draw
+/// depends on the adapter alone, so that all gateways agree and one load
+/// serves all requests. There at least half of the spread is added: the lowest
+/// of a hundred draws is close to zero and would make a load look too cheap.
+/// This saves 4 % of the fetches and raises the share in time.
 static double
 spread_cost (const plc_costs_t *costs, const plc_candidate_t *candidate,
              const plc_request_t *request)
@@ -188,8 +190,8 @@
 {
   int32_t best = PLC_NONE;
   double best_cost = 0;
-  // Asked once for all: 0.07 ms a choice at 600 target_count, 0.34 ms when
-  // asked for each (mean of 2,000 choices).
+  // Computed once for all candidates: a choice among 600 targets takes 0.07
+  // ms, against 0.34 ms when computed for each (mean of 2,000 choices).
   bool is_duplicate = is_held_or_expected (candidates, count);
   for (uint32_t i = 0; i < count; i++)
     {
--- a/src/coordination/place.h
+++ b/src/coordination/place.h
@@ -1,25 +1,25 @@
 /// @file place.h
-/// Choice of a target for one relayed request: where its adapter is held or
-/// cheap to bring, weighed against load, distance and recent failure_rate. No
-/// I/O; what is known of each target is an argument.
+/// Choice of a target for one request: the candidate with the lowest expected
+/// delay, from where the adapter is held or cheap to load, load, failure
+/// domain and recent failures. No I/O; the state of each target is an
+/// argument.
 #ifndef KB_COORDINATION_PLACE_H
 #define KB_COORDINATION_PLACE_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
-/// What a target is known to hold of the adapter asked for.
+/// What a target is known to hold of the requested adapter.
 typedef enum
 {
   PLC_ABSENT,
-  PLC_WARM,    ///< Held not long ago; it comes back in a fraction of the time.
-  PLC_PENDING, ///< Other requests wait for it; its fetch has not begun.
+  PLC_WARM,    ///< Held recently; reloads in a fraction of a fetch.
+  PLC_PENDING, ///< Requests wait for it there; its load has not started.
   PLC_LOADING,
   PLC_HELD,
   PLC_NOT_NEEDED, ///< The request names no adapter.
 } plc_holding_t;
 
-/// One candidate.
 typedef struct
 {
   uint64_t key; ///< Stable over restarts of the target.
@@ -27,51 +27,53 @@
   bool is_same_domain; ///< In the failure domain of this gateway.
   plc_holding_t holding;
   uint32_t slots;
-  uint32_t busy_slots;  ///< Places taken, with own requests since the report.
-  uint32_t waiting;     ///< Requests that wait there.
-  double mean_hold_ms;  ///< Mean time that a place is taken; zero: not known.
-  double start_wait_ms; ///< Until it takes one more request, by its limit.
-  double tokens_per_ms; ///< Prompt tokens that it reads; zero: not known.
-  double backlog_ms;    ///< Time to read the prompts that are there.
-  double load_wait_ms;  ///< Until an adapter new to it would be held.
+  /// Places in use, with own requests sent since the target's last report.
+  uint32_t busy_slots;
+  uint32_t waiting;     ///< Requests that wait for a place there.
+  double mean_hold_ms;  ///< Mean time that a place is in use; zero: unknown.
+  double start_wait_ms; ///< Until its rate limit allows one more request.
+  double tokens_per_ms; ///< Rate of reading prompts; zero: unknown.
+  double backlog_ms;    ///< Time to read the prompts that are queued there.
+  double load_wait_ms;  ///< Until an adapter that is new there would be held.
   double failure_rate;  ///< Recent share of failed requests, 0 to 1.
 } plc_candidate_t;
 
-/// Costs in milliseconds of delay expected.
+/// Costs, as expected delay in milliseconds; factors are without unit.
 typedef struct
 {
-  double full_batch_ms;      ///< Delay by a full batch against an empty one.
-  double waiting_request_ms; ///< Each waiting request, per slot.
-  /// Each ms until a place is expected to be free. What is known is half a
-  /// second old in a large fleet, and all gateway_count know the same.
+  double full_batch_ms;      ///< Delay of a full batch over an empty one.
+  double waiting_request_ms; ///< Per waiting request and slot.
+  /// Per millisecond of expected wait for a place. Above one, because in a
+  /// large fleet the report is half a second old and all gateways act on the
+  /// same one.
   double place_wait_factor;
-  /// Each ms that the prompts there take to read: they are not read without
-  /// breaks, so that streams go on between them.
+  /// Per millisecond of prompt backlog. Above one, because the engine pauses
+  /// between prompts so that its streams go on.
   double backlog_factor;
-  /// Beyond the wait for a fetch, by rank of the target for the adapter: a
-  /// target that held it before has it again in a tenth of the time, and one
-  /// more target that holds it takes a place from another adapter.
+  /// Cost of a load beyond its wait, by rendezvous rank of the target for the
+  /// adapter: a target that held it before reloads it in a tenth of the time,
+  /// and each further target that holds it displaces another adapter.
   double first_rank_ms;
   double second_rank_ms;
   double other_rank_ms;
-  /// A target without it while another one holds, fetches or awaits it: one
-  /// more fetch takes a turn at the weight store that all target_count share.
+  /// A load at one target while another one holds, loads or waits for the
+  /// adapter: the extra fetch uses the weight store, which all targets share.
   double duplicate_ms;
-  double warm_load_ms;    ///< Loading an adapter that was held not long ago.
-  double loading_ms;      ///< The rest of a load that is under way.
-  double other_domain_ms; ///< Another failure domain.
-  /// Each stream that a long prompt would pause, when the pause is full.
+  double warm_load_ms;    ///< Reload of an adapter that was held recently.
+  double loading_ms;      ///< Remainder of a load in progress.
+  double other_domain_ms; ///< Target in another failure domain.
+  /// Per stream that a long prompt pauses, at the full pause.
   double paused_stream_ms;
-  double failure_ms; ///< A target all of whose requests fail.
+  double failure_ms; ///< At a failure rate of one.
 } plc_costs_t;
 
-/// What a gateway sees of the load between two words of a target.
+/// Load that a target's report does not show yet.
 typedef struct
 {
-  double own_requests_per_s; ///< Requests that this gateway places.
-  uint32_t gateway_count;    ///< That place as many.
+  double own_requests_per_s; ///< Requests that this gateway sends.
+  uint32_t gateway_count;    ///< Gateways, each assumed to send as many.
   uint32_t target_count;
-  uint64_t report_interval_ms; ///< Between two words of a target.
+  uint64_t report_interval_ms; ///< Between two reports of a target.
 } plc_load_t;
 
 enum
@@ -80,29 +82,29 @@
 };
 
 void plc_costs_default (plc_costs_t *costs);
-/// What is to be placed.
+/// The request to place.
 typedef struct
 {
   uint64_t adapter; ///< Hash of the adapter, or of the request if plain.
   uint32_t prompt_tokens;
-  uint64_t random_draw; ///< Any number, another one for each request.
-  /// Requests that may have come to a target since its last word, see
-  /// plc_unreported_requests. Equal target_count are drawn apart by what as
-  /// many would cost: all gateway_count know the same until the next word, and
-  /// all would choose the same one.
+  uint64_t random_draw; ///< Random, new for each request.
+  /// Requests that a target may have received since its last report, see
+  /// plc_unreported_requests. A random cost of up to as many requests is added
+  /// to each target: all gateways act on the same reports, and would otherwise
+  /// choose the same one of equal targets.
   double unreported_requests;
 } plc_request_t;
 
-/// @return  Requests that other gateway_count may have sent to a target in
-/// demand
-///          since its last word.
+/// @return  Requests that other gateways may have sent to a target in demand
+///          since its last report.
 double plc_unreported_requests (const plc_load_t *load);
 
 /// @return  Index of the cheapest usable candidate, or PLC_NONE.
 int32_t plc_choose (const plc_costs_t *costs,
                     const plc_candidate_t *candidates, uint32_t count,
                     const plc_request_t *request);
-/// @return  Weight of a target in the rendezvous ranking of an adapter.
+/// @return  Rendezvous weight of a target for an adapter; the highest ranks
+///          first.
 uint64_t plc_weight (uint64_t adapter, uint64_t target);
 
 #endif
