--- a/src/coordination/sched.c
+++ b/src/coordination/sched.c
@@ -365,11 +365,11 @@
 slot_can_drain (const sch_queue_t *queue, const slt_slot_t *slot,
                 const sch_action_t *load, uint64_t now_us)
 {
-  uint8_t slot_priority = slot_class (queue, slot);
-  if (slot_priority < load->priority_class)
+  uint8_t waiting_class = slot_class (queue, slot);
+  if (waiting_class < load->priority_class)
     return false;
   // Work of a worse class gives way at once; equals share by time.
-  if (slot_priority > load->priority_class)
+  if (waiting_class > load->priority_class)
     return true;
   return now_us - load->item->enqueued_us >= queue->options.drain_after_us
          && now_us - slot->state_us >= queue->options.drain_after_us;
@@ -394,14 +394,14 @@
         return; // Room is already on its way.
       if (!slot_can_drain (queue, slot, load, now_us))
         continue;
-      uint8_t slot_priority = slot_class (queue, slot);
+      uint8_t waiting_class = slot_class (queue, slot);
       if (best != NULL
-          && (slot_priority < best_class
-              || (slot_priority == best_class
+          && (waiting_class < best_class
+              || (waiting_class == best_class
                   && slot->state_us >= best->state_us)))
         continue;
       best = slot;
-      best_class = slot_priority;
+      best_class = waiting_class;
     }
   if (best == NULL)
     return;
