--- a/src/coordination/gate.c
+++ b/src/coordination/gate.c
@@ -64,7 +64,8 @@
       load_request_remove (gate, &gate->requests[i - 1]);
 }
 
-/// An agent that died with a grant would block the store for ever.
+/// Expire grants that were held for too long. Otherwise an agent that dies
+/// with a grant would block the store forever.
 static void
 gate_expire (gat_gate_t *gate, uint64_t now_us)
 {
--- a/src/coordination/gate.h
+++ b/src/coordination/gate.h
@@ -1,6 +1,7 @@
 /// @file gate.h
-/// Shares the weight store's rate and its full-speed concurrency over the
-/// agents of a region. Soft state: a wrong gate costs speed, no promise.
+/// Load gate: shares the request rate of the weight store, and the concurrency
+/// at which it runs at full speed, among the agents of a region. The state is
+/// soft: when it is wrong, loads are slower, but nothing fails.
 #ifndef KB_COORDINATION_GATE_H
 #define KB_COORDINATION_GATE_H
 
@@ -12,13 +13,13 @@
   GAT_MAX_REQUESTS = 2048,
 };
 
-/// One agent's request to load.
+/// An agent's request to load an adapter.
 typedef struct
 {
-  uint64_t agent; ///< Hash of its name.
-  uint64_t id;    ///< The agent's number for this load.
+  uint64_t agent; ///< Hash of the agent's name.
+  uint64_t id;    ///< Assigned by the agent.
   uint8_t priority_class;
-  uint32_t waiting; ///< Requests that wait for it.
+  uint32_t waiting; ///< Requests that wait for the adapter.
   uint64_t requested_us;
   bool is_granted;
   uint64_t granted_us;
@@ -28,7 +29,7 @@
 {
   double rate_per_s;
   uint32_t concurrency;
-  uint64_t max_hold_us; ///< A grant not given back after this is void.
+  uint64_t max_hold_us; ///< Grants expire after this.
 } gat_options_t;
 
 typedef struct
@@ -37,27 +38,28 @@
   gat_request_t requests[GAT_MAX_REQUESTS];
   uint32_t len;
   uint32_t granted;
-  double tokens;
+  double tokens; ///< Of the token bucket that limits the rate.
   uint64_t refilled_us;
 } gat_gate_t;
 
 void gat_gate_init (gat_gate_t *gate, const gat_options_t *options,
                     uint64_t now_us);
-/// Ask, or renew a request with newer figures.
+/// Add a request, or update the class and waiting count of an existing one.
 /// @return  False when the gate is full.
 bool gat_request_load (gat_gate_t *gate, uint64_t agent, uint64_t id,
                        uint8_t priority_class, uint32_t waiting,
                        uint64_t now_us);
-/// A load ended or is no longer wanted.
+/// Remove a request or grant, after a load has ended or is no longer needed.
 void gat_end_load (gat_gate_t *gate, uint64_t agent, uint64_t id);
-/// An agent is gone; its requests and grants end.
+/// Remove all requests and grants of an agent that is gone.
 void gat_remove_agent (gat_gate_t *gate, uint64_t agent);
-/// Grant the max_tokens wanted load if the rate and the concurrency allow it.
+/// Grant the first request by class, then by waiting count and age, if the
+/// rate and the concurrency allow it.
 /// @return  The granted request, or NULL.
 const gat_request_t *gat_grant_next (gat_gate_t *gate, uint64_t now_us);
-/// @return  Microseconds until gat_grant_next may grant again; zero: on the
-/// next
-///          ask or done.
+/// @return  Microseconds until gat_grant_next may grant again; zero: not
+/// before
+///          the next gat_request_load or gat_end_load, or at once.
 uint64_t gat_wait_us (gat_gate_t *gate, uint64_t now_us);
 
 #endif
--- a/src/coordination/route.c
+++ b/src/coordination/route.c
@@ -80,7 +80,7 @@
   table->targets[index].state = state;
 }
 
-/// One target with its rendezvous weight for an adapter.
+/// A target with its rendezvous weight for an adapter.
 typedef struct
 {
   uint64_t weight;
@@ -114,9 +114,9 @@
   return false;
 }
 
-/// Fill the ranks: walk the candidates by weight in rounds, and let each
-/// round take at most one target of each failure domain, so that losing a
-/// domain leaves the other ranks of an adapter standing.
+/// Compute the ranks: walk the targets by weight in rounds, each of which
+/// takes at most one target of each failure domain, so that the loss of a
+/// domain leaves the other ranks usable.
 static void
 adapter_rank (rt_table_t *table, rt_adapter_t *adapter, uint64_t service)
 {
@@ -146,7 +146,8 @@
   adapter->membership_version = table->membership_version;
 }
 
-/// Keep the residency bits of targets that are still ranked.
+/// Recompute the ranks, and keep the residency bits of targets that are still
+/// ranked.
 static void
 adapter_rerank (rt_table_t *table, rt_adapter_t *adapter, uint64_t service)
 {
@@ -198,8 +199,8 @@
          && !is_excluded (index, excluded, excluded_count);
 }
 
-/// Expected wait at a target in milliseconds: its last report, fading with
-/// age, plus what this entry has sent there since.
+/// Expected wait at a target in milliseconds: the reported one, discounted by
+/// age, plus that of the requests this entry has sent since.
 static uint64_t
 target_wait_ms (const rt_table_t *table, const rt_target_t *target,
                 uint64_t now_ms)
@@ -213,7 +214,7 @@
   uint64_t busy = target->running + target->sent_since_report;
   uint64_t queued = busy > batch ? busy - batch : 0;
   return reported + queued * o->service_ms / batch
-         + busy * 20 / batch; // A part-full engine is a little slower.
+         + busy * 20 / batch; // A partly full batch is slightly slower.
 }
 
 static uint16_t
@@ -243,7 +244,7 @@
   return best;
 }
 
-/// The n-th usable target of a service, counted from a random start.
+/// First usable target of a service, searched from a random start.
 static uint16_t
 pick_random (const rt_table_t *table, uint64_t service,
              const uint16_t *excluded, uint32_t excluded_count,
@@ -397,8 +398,8 @@
 void
 rt_remove_idle_adapters (rt_table_t *table, uint64_t before_ms)
 {
-  // A removal may move entries past the cursor, so the scan starts over; the
-  // bound keeps one call short and the next call goes on.
+  // A removal may move entries past the cursor, so the scan starts over. The
+  // bound keeps one call short; the next call continues.
   for (int removed = 0; removed < 64; removed++)
     {
       uint32_t at = 0;
--- a/src/coordination/sched.c
+++ b/src/coordination/sched.c
@@ -38,7 +38,8 @@
   kb_map_finish (&queue->groups);
 }
 
-/// Adapter zero (no slot needed) is kept under a key of its own.
+/// Adapter zero needs no slot and has a key of its own: the map has no key
+/// zero.
 static uint64_t
 group_key (uint64_t adapter)
 {
@@ -90,7 +91,7 @@
     group->next->prev = group->prev;
 }
 
-/// Free a group that holds nothing worth remembering.
+/// Free a group without requests and without a count of failed loads.
 static void
 group_release (sch_queue_t *queue, sch_group_t *group)
 {
@@ -116,7 +117,7 @@
   return &queue->workspaces[workspace % SCH_WORKSPACES];
 }
 
-/// Start-time fair queueing: a workspace's items are spaced by cost over
+/// Start-time fair queueing: the items of a workspace are spaced by cost over
 /// weight, and an idle workspace starts at the present virtual time.
 static double
 item_tag (sch_queue_t *queue, const sch_item_t *item)
@@ -207,8 +208,8 @@
   group_release (queue, group);
 }
 
-/// @return  The group's best waiting item: lowest class, then lowest
-/// start_tag.
+/// @return  The group's first waiting item: lowest class, then lowest
+///          start_tag.
 static sch_item_t *
 group_head (const sch_group_t *group)
 {
@@ -261,8 +262,8 @@
   return slt_find (queue->slots, group->adapter) == NULL;
 }
 
-/// Worth of loading a group now. Class decides first; within a class the
-/// longest wait and the most waiting work are weighed by the site.
+/// Score of loading a group now, within its class: the configured weights
+/// balance the longest wait against the number of waiting requests.
 static double
 group_load_score (const sch_queue_t *queue, const sch_group_t *group,
                   const sch_item_t *head, uint64_t now_us)
@@ -295,7 +296,7 @@
   return oldest;
 }
 
-/// Baseline: only what the oldest request needs.
+/// Baseline: load only what the oldest request needs.
 static sch_action_t
 wanted_load_naive (const sch_queue_t *queue, uint64_t now_us)
 {
@@ -330,15 +331,15 @@
   return action;
 }
 
-/// What an eviction would take work from.
+/// Argument of adapter_is_wanted.
 typedef struct
 {
   const sch_queue_t *queue;
-  uint8_t priority_class; ///< Of the work that wants the slot.
+  uint8_t priority_class; ///< Class of the work that needs the slot.
 } eviction_arg_t;
 
-/// An adapter with waiting work is kept, unless all that work is of a lower
-/// class than the work that wants the slot.
+/// An adapter with waiting work is not evicted, unless all of that work is of
+/// a lower class than the work that needs the slot.
 static bool
 adapter_is_wanted (void *arg, uint64_t key)
 {
@@ -349,8 +350,8 @@
   return group_head (group)->priority_class <= wanted->priority_class;
 }
 
-/// Class of the best work that waits for a slot's adapter; SCH_CLASSES, worse
-/// than any, when none waits.
+/// @return  Best class of the work that waits for a slot's adapter;
+///          SCH_CLASSES, worse than any, when none waits.
 static uint8_t
 slot_class (const sch_queue_t *queue, const slt_slot_t *slot)
 {
@@ -360,7 +361,7 @@
   return group_head (group)->priority_class;
 }
 
-/// Whether a slot may be drained for a load.
+/// Whether a slot can be drained for a load.
 static bool
 slot_can_drain (const sch_queue_t *queue, const slt_slot_t *slot,
                 const sch_action_t *load, uint64_t now_us)
@@ -368,18 +369,18 @@
   uint8_t waiting_class = slot_class (queue, slot);
   if (waiting_class < load->priority_class)
     return false;
-  // Work of a worse class gives way at once; equals share by time.
+  // Work of a worse class yields at once; equal classes share by time.
   if (waiting_class > load->priority_class)
     return true;
   return now_us - load->item->enqueued_us >= queue->options.drain_after_us
          && now_us - slot->state_us >= queue->options.drain_after_us;
 }
 
-/// Without a bound, popular adapters that always have work would keep every
-/// slot pinned and a rare adapter's request would wait for ever. One resident
-/// adapter stops taking new work, and its slot comes free when its running
-/// requests end: the one of the worst class, then the one that has had its
-/// slot longest.
+/// Drain one resident adapter: it takes no new work, and its slot becomes free
+/// when its running requests end. Without this, popular adapters that always
+/// have work would keep all slots pinned, and the requests of a rare adapter
+/// would wait forever. The adapter with work of the worst class is chosen,
+/// then the one that has held its slot longest.
 static void
 start_drain (sch_queue_t *queue, const sch_action_t *load, uint64_t now_us)
 {
@@ -391,7 +392,7 @@
       if (slot->key == 0)
         continue;
       if (slot->is_draining || slot->state != SLT_RESIDENT)
-        return; // Room is already on its way.
+        return; // A slot is about to become free.
       if (!slot_can_drain (queue, slot, load, now_us))
         continue;
       uint8_t waiting_class = slot_class (queue, slot);
@@ -409,9 +410,9 @@
   queue->has_draining = true;
 }
 
-/// A drained adapter whose slot nobody wants any more goes back to work.
-/// Without this its requests could neither run, since it takes no work, nor
-/// be loaded, since it is resident: they would wait for ever.
+/// Cancel all drains when no load needs a slot. Otherwise the requests of a
+/// drained adapter would wait forever: they cannot run, because it takes no
+/// work, and it cannot be loaded, because it is resident.
 static void
 cancel_drains (sch_queue_t *queue)
 {
--- a/src/coordination/slots.c
+++ b/src/coordination/slots.c
@@ -45,7 +45,7 @@
   return (uint32_t)(uintptr_t)kb_map_get (&table->visits, key);
 }
 
-/// Halve all counts, and forget those that reach zero.
+/// Halve all counts, and remove those that reach zero.
 static void
 visits_decay (slt_table_t *table)
 {
@@ -152,8 +152,8 @@
   for (uint32_t i = 0; i < table->cap; i++)
     {
       slt_slot_t *slot = &table->slots[i];
-      // Evicting a pinned adapter would cut or corrupt the request that runs
-      // with it; the pin is taken before the engine is asked to run.
+      // Evicting a pinned adapter would break or corrupt the request that runs
+      // with it. The pin is set before the engine is asked to run the request.
       if (slot->key == 0 || slot->state != SLT_RESIDENT || slot->pins > 0)
         continue;
       if (is_wanted != NULL && !slot->is_draining
@@ -179,7 +179,7 @@
 slt_pin (slt_table_t *table, slt_slot_t *slot, uint64_t now_us)
 {
   assert (slot->state == SLT_RESIDENT);
-  // A batch of requests for one adapter is one visit.
+  // A batch of requests for one adapter counts as one visit.
   bool is_new_visit = slot->pins == 0 && now_us - slot->used_us > VISIT_GAP_US;
   slot->pins++;
   slot->used_us = now_us;
--- a/src/coordination/slots.h
+++ b/src/coordination/slots.h
@@ -1,7 +1,7 @@
 /// @file slots.h
-/// Slot table of one engine: which adapters are resident, loading or going,
-/// and which are pinned by a request that runs. The agent is its only writer.
-/// No I/O.
+/// Adapter slots of one engine: which adapters are resident, loading or
+/// unloading, and which are pinned by running requests. The agent is the only
+/// writer. No I/O.
 #ifndef KB_COORDINATION_SLOTS_H
 #define KB_COORDINATION_SLOTS_H
 
@@ -22,11 +22,11 @@
 {
   uint64_t key;
   slt_state_t state;
-  uint32_t pins;     ///< Requests running with it; never evicted above zero.
-  bool is_draining;  ///< Gets no new work, so that its slot comes free.
-  double keep_score; ///< Eviction order: the lowest goes first.
+  uint32_t pins;     ///< Running requests; a pinned slot is not evicted.
+  bool is_draining;  ///< Takes no new work, so that the slot becomes free.
+  double keep_score; ///< The lowest is evicted first.
   uint64_t used_us;
-  uint64_t state_us; ///< When the state last changed.
+  uint64_t state_us; ///< Last change of `state`.
 } slt_slot_t;
 
 typedef struct
@@ -35,37 +35,40 @@
   uint32_t cap;
   uint32_t len;
   kb_map_t by_key;
-  kb_map_t visits; ///< Decayed visit counts of adapters seen, resident or not.
+  kb_map_t visits; ///< Decayed visit counts of adapters, resident or not.
   uint32_t visit_total;
-  double score_floor; ///< Credit of the last eviction; ageing of the others.
-  bool is_lru;        ///< Baseline: plain least recently used.
+  /// Highest score evicted so far; new scores add to it, which ages the
+  /// others.
+  double score_floor;
+  bool is_lru; ///< Baseline for comparison: least recently used.
 } slt_table_t;
 
 void slt_table_init (slt_table_t *table, uint32_t cap);
 void slt_table_finish (slt_table_t *table);
 slt_slot_t *slt_find (slt_table_t *table, uint64_t key);
-/// @return  True when a load can start without an eviction.
+/// @return  Whether a load can start without an eviction.
 bool slt_has_free (const slt_table_t *table);
 /// Start a load in a free slot.
 /// @return  NULL when no slot is free.
 slt_slot_t *slt_begin_load (slt_table_t *table, uint64_t key, uint64_t now_us);
-/// A load ended; a failed one gives the slot back.
+/// End a load; a failed one frees the slot.
 void slt_end_load (slt_table_t *table, uint64_t key, bool is_loaded,
                    uint64_t now_us);
-/// The unload order ended; a failed one leaves the adapter resident.
+/// End an unload; a failed one leaves the adapter resident.
 void slt_end_unload (slt_table_t *table, uint64_t key, bool is_unloaded,
                      uint64_t now_us);
-/// Choose what to evict: resident, unpinned, not wanted.
+/// Choose the slot to evict: resident, unpinned, and draining or not wanted.
 /// @param is_wanted  Whether requests wait for a key; may be NULL.
-/// @return           NULL when nothing may go.
+/// @return           NULL when no slot can be evicted.
 slt_slot_t *slt_choose_victim (slt_table_t *table,
                                bool (*is_wanted) (void *arg, uint64_t key),
                                void *arg);
-/// Begin to evict a slot returned by slt_choose_victim.
+/// Start to unload a slot returned by slt_choose_victim.
 void slt_begin_unload (slt_table_t *table, slt_slot_t *slot, uint64_t now_us);
 void slt_pin (slt_table_t *table, slt_slot_t *slot, uint64_t now_us);
 void slt_unpin (slt_table_t *table, slt_slot_t *slot, uint64_t now_us);
-/// The engine restarted cold or its list disagrees: forget an unpinned slot.
+/// Free an unpinned slot that the engine no longer holds, after a restart or a
+/// report that differs.
 void slt_forget (slt_table_t *table, uint64_t key);
 
 #endif
