--- a/test/unit/admit_test.cc
+++ b/test/unit/admit_test.cc
@@ -71,13 +71,13 @@
   /// What the engine lists: names with versions.
   void
   report (const std::vector<std::pair<std::string, uint32_t>> &held,
-          const std::vector<std::string> &coming = {}, uint64_t now_ms = 0)
+          const std::vector<std::string> &loading = {}, uint64_t now_ms = 0)
   {
     adm_report_begin (&table);
     for (const auto &[name, version] : held)
       adm_report_adapter (&table, key_of (name), slice (name), version, false,
                           now_ms);
-    for (const auto &name : coming)
+    for (const auto &name : loading)
       adm_report_adapter (&table, key_of (name), slice (name), 1, true,
                           now_ms);
     adm_report_end (&table);
@@ -505,9 +505,9 @@
 void
 set_rate_limit (adm_table_t *table, double per_s, uint64_t now_ms)
 {
-  bkp_limit_t told
+  bkp_limit_t limit
       = { .is_limited = true, .per_s = per_s, .at_ms = now_ms + 1 };
-  bkp_meter_told (&table->meter, &told, now_ms);
+  bkp_meter_told (&table->meter, &limit, now_ms);
 }
 
 // Guards against requests that waited already and go past a limit.
@@ -643,7 +643,7 @@
 // slow. They would keep all others from the engine.
 TEST_F (AdmitTest, SuspectsBlockOthersForPartOfTheTime)
 {
-  uint64_t kept_ms = 0;
+  uint64_t blocked_ms = 0;
   uint64_t id = 1;
   adm_request_t *suspect = nullptr;
   uint64_t granted_ms = 0;
@@ -667,14 +667,14 @@
             adm_request_record_first_event (&table, action.request, now_ms);
           adm_request_remove (&table, action.request);
         }
-      kept_ms += is_granted ? 0 : 10;
+      blocked_ms += is_granted ? 0 : 10;
       if (suspect != nullptr && now_ms - granted_ms > 1200)
         {
           adm_request_remove (&table, suspect);
           suspect = nullptr;
         }
     }
-  EXPECT_LE (kept_ms, 15000u);
+  EXPECT_LE (blocked_ms, 15000u);
 }
 
 TEST_F (AdmitTest, AHangingSuspectBlocksOthersBriefly)
--- a/test/unit/fetch_limit_test.cc
+++ b/test/unit/fetch_limit_test.cc
@@ -69,25 +69,25 @@
     {
       for (due += per_s * 0.005; due >= 1; due -= 1)
         all[(size_t)(std::rand () % engines)].queue.push_back (now_ms);
-      double in_progress = 0;
+      double fetch_count = 0;
       for (auto &e : all)
-        in_progress += (double)e.in_progress.size ();
-      double pace = in_progress > store_concurrency
-                        ? store_concurrency / in_progress
+        fetch_count += (double)e.in_progress.size ();
+      double pace = fetch_count > store_concurrency
+                        ? store_concurrency / fetch_count
                         : 1;
       for (auto &e : all)
         {
-          std::vector<std::pair<double, double>> still;
-          for (auto &[left_ms, asked_ms] : e.in_progress)
+          std::vector<std::pair<double, double>> remaining;
+          for (auto &[left_ms, requested_ms] : e.in_progress)
             if (left_ms - 5 * pace > 0)
-              still.emplace_back (left_ms - 5 * pace, asked_ms);
+              remaining.emplace_back (left_ms - 5 * pace, requested_ms);
             else
               {
-                sum_ms += now_ms - asked_ms;
+                sum_ms += now_ms - requested_ms;
                 count++;
                 ftl_limit_record_fetch (&e.limit, 250 / pace);
               }
-          e.in_progress = still;
+          e.in_progress = remaining;
           while (!e.queue.empty ()
                  && e.in_progress.size () < ftl_limit_count (&e.limit))
             {
@@ -108,11 +108,11 @@
   double some_ms = mean_wait_ms (46, 90, 48, 3);
   printf ("room: one lane %.0f ms, up to three %.0f ms\n", one_ms, some_ms);
   EXPECT_LT (some_ms, 0.85 * one_ms);
-  double pressed_one_ms = mean_wait_ms (9, 29, 8, 1);
-  double pressed_ms = mean_wait_ms (9, 29, 8, 3);
-  printf ("pressed: one lane %.0f ms, up to three %.0f ms\n", pressed_one_ms,
-          pressed_ms);
-  EXPECT_LT (pressed_ms, 1.05 * pressed_one_ms);
+  double saturated_one_ms = mean_wait_ms (9, 29, 8, 1);
+  double saturated_ms = mean_wait_ms (9, 29, 8, 3);
+  printf ("pressed: one lane %.0f ms, up to three %.0f ms\n", saturated_one_ms,
+          saturated_ms);
+  EXPECT_LT (saturated_ms, 1.05 * saturated_one_ms);
 }
 
 } // namespace
--- a/test/unit/load_test.cc
+++ b/test/unit/load_test.cc
@@ -37,18 +37,18 @@
   return d;
 }
 
-// Measured by this test: in time 0.123 plain and 0.857 ours, callers that left
-// 0.589 and 0.000, fetches 1,367 and 1,145.
+// Measured by this test: in time 0.123 baseline and 0.857 ours, callers that
+// left 0.589 and 0.000, fetches 1,367 and 1,145.
 TEST (Load, GoodputExceedsTheBaseline)
 {
-  Outcome plain = lab::play (small_site (), Policy::PLAIN);
+  Outcome baseline = lab::play (small_site (), Policy::PLAIN);
   Outcome ours = lab::play (small_site (), Policy::OURS);
-  print ("plain", plain);
+  print ("plain", baseline);
   print ("ours", ours);
-  EXPECT_GT (ours.in_time, 2 * plain.in_time);
+  EXPECT_GT (ours.in_time, 2 * baseline.in_time);
   EXPECT_GT (ours.goodput (), 0.8);
-  EXPECT_LT (ours.stall_s * 5, plain.stall_s);
-  EXPECT_LT (ours.fetches, plain.fetches);
+  EXPECT_LT (ours.stall_s * 5, baseline.stall_s);
+  EXPECT_LT (ours.fetches, baseline.fetches);
   EXPECT_LT (ours.left * 20, ours.asked);
 }
 
@@ -104,8 +104,8 @@
       char name[32];
       snprintf (name, sizeof name, "x %.1f", factor);
       print (name, o);
-      double nobody = o.left / (double)o.asked;
-      EXPECT_LT (nobody, 0.01) << "waited to their end without a chance";
+      double abandoned = o.left / (double)o.asked;
+      EXPECT_LT (abandoned, 0.01) << "waited to their end without a chance";
       curve.push_back (o.in_time / (d.day_ms / 1000.0));
     }
   return curve;
@@ -127,7 +127,7 @@
   expect_no_collapse (goodput_curve (d, lab::capacity_per_s (d)));
 }
 
-// The same where each request wants an adapter that nobody holds, and the
+// The same where each request wants an adapter that abandoned holds, and the
 // weight store brings one of three.
 TEST (Load, GoodputHoldsAboveTheWeightStoreCapacity)
 {
@@ -152,7 +152,7 @@
   EXPECT_GT (after.in_time, before.in_time * (30 - 7.2) / 30);
 }
 
-// The same on deployments that nobody chose.
+// The same on deployments that abandoned chose.
 TEST (Load, RandomDeploymentsDoNotCollapse)
 {
   for (uint64_t seed : { 3, 11 })
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -89,11 +89,11 @@
 
 TEST_F (PlaceTest, AFailingTargetIsAvoidedWhileOthersAreFree)
 {
-  plc_candidate_t grey = candidate (1, PLC_NOT_NEEDED);
-  grey.failure_rate = 0.4;
-  plc_candidate_t busy_slots = candidate (2, PLC_NOT_NEEDED);
-  busy_slots.busy_slots = 8;
-  EXPECT_EQ (choose ({ grey, busy_slots }), 1);
+  plc_candidate_t failing = candidate (1, PLC_NOT_NEEDED);
+  failing.failure_rate = 0.4;
+  plc_candidate_t busy = candidate (2, PLC_NOT_NEEDED);
+  busy.busy_slots = 8;
+  EXPECT_EQ (choose ({ failing, busy }), 1);
 }
 
 // Two callers ask for the same rare adapter through different gateways. It is
@@ -102,11 +102,11 @@
 // fetches of both took turns at the weight store.
 TEST_F (PlaceTest, APendingAdapterIsNotFetchedTwice)
 {
-  plc_candidate_t awaited = candidate (1, PLC_PENDING);
-  awaited.load_wait_ms = 500;
-  EXPECT_EQ (choose ({ awaited, candidate (2), candidate (3) }), 0);
-  awaited.load_wait_ms = 2000;
-  EXPECT_NE (choose ({ awaited, candidate (2), candidate (3) }), 0);
+  plc_candidate_t pending = candidate (1, PLC_PENDING);
+  pending.load_wait_ms = 500;
+  EXPECT_EQ (choose ({ pending, candidate (2), candidate (3) }), 0);
+  pending.load_wait_ms = 2000;
+  EXPECT_NE (choose ({ pending, candidate (2), candidate (3) }), 0);
 }
 
 // A rare adapter was dropped at its engine, which can load it again from its
@@ -131,10 +131,10 @@
   plc_candidate_t holder = candidate (1, PLC_HELD);
   holder.busy_slots = 12;
   holder.tokens_per_ms = 38;
-  plc_candidate_t quiet = candidate (2);
-  quiet.tokens_per_ms = 38;
-  EXPECT_EQ (choose ({ holder, quiet }, 99, 800), 0);
-  EXPECT_EQ (choose ({ holder, quiet }, 99, 7000), 1);
+  plc_candidate_t idle = candidate (2);
+  idle.tokens_per_ms = 38;
+  EXPECT_EQ (choose ({ holder, idle }, 99, 800), 0);
+  EXPECT_EQ (choose ({ holder, idle }, 99, 7000), 1);
 }
 
 TEST_F (PlaceTest, NearTargetsWinWhenEqual)
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -158,21 +158,21 @@
   gat_gate_init (gate, &options, 0);
   gat_request_load (gate, 1, 1, 4, 50, 0);
   gat_request_load (gate, 2, 1, 0, 1, 0);
-  const gat_request_t *wish = gat_grant_next (gate, 1);
-  ASSERT_NE (wish, nullptr);
-  EXPECT_EQ (wish->agent, 2u); // The better class, though less waits.
+  const gat_request_t *request = gat_grant_next (gate, 1);
+  ASSERT_NE (request, nullptr);
+  EXPECT_EQ (request->agent, 2u); // The better class, though less waits.
   EXPECT_EQ (gat_grant_next (gate, 2), nullptr);
   gat_end_load (gate, 2, 1);
   EXPECT_EQ (gat_grant_next (gate, 3), nullptr); // The rate.
   EXPECT_GT (gat_wait_us (gate, 3), 400000u);
-  wish = gat_grant_next (gate, 600000);
-  ASSERT_NE (wish, nullptr);
+  request = gat_grant_next (gate, 600000);
+  ASSERT_NE (request, nullptr);
   gat_request_load (gate, 3, 1, 4, 1, 600000);
   // Agent 1 dies with its grant: the hold limit frees the gate.
   EXPECT_EQ (gat_grant_next (gate, 2000000), nullptr);
-  wish = gat_grant_next (gate, 6000000);
-  ASSERT_NE (wish, nullptr);
-  EXPECT_EQ (wish->agent, 3u);
+  request = gat_grant_next (gate, 6000000);
+  ASSERT_NE (request, nullptr);
+  EXPECT_EQ (request->agent, 3u);
   gat_remove_agent (gate, 3);
   EXPECT_EQ (gate->granted, 0u);
   delete gate;
