--- a/test/unit/admit_test.cc
+++ b/test/unit/admit_test.cc
@@ -1,4 +1,4 @@
-// What a sidecar decides: places, fetches, versions, and what it declines.
+// Admission control of a sidecar: places, loads, versions and declines.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -68,7 +68,8 @@
       adm_adapter_record_request (given.adapter, now_ms);
     return adm_request_add (&table, &given);
   }
-  /// What the engine lists: names with versions.
+  /// Apply an engine report of held adapters (name and version) and loading
+  /// ones.
   void
   report (const std::vector<std::pair<std::string, uint32_t>> &held,
           const std::vector<std::string> &loading = {}, uint64_t now_ms = 0)
@@ -87,7 +88,7 @@
   {
     return adm_next_action (&table, true, now_ms);
   }
-  /// The engine has two slots, and two requests have them.
+  /// Limit the engine to two slots and fill both.
   void
   occupy_two_slots ()
   {
@@ -125,8 +126,8 @@
   EXPECT_EQ (next (250).kind, ADM_ACTION_GRANT);
 }
 
-// A caller's stream breaks off in the middle: its adapter was dropped to make
-// room for another one while the stream was still running.
+// Guards against broken streams: an adapter in use must not be unloaded to
+// make room for another one.
 TEST_F (AdmitTest, NeverUnloadsAnAdapterInUse)
 {
   report ({ { "m/a", 1 }, { "m/b", 1 } });
@@ -143,9 +144,9 @@
   EXPECT_STREQ (action.adapter->name, "m/b");
 }
 
-// An operator names a new version of an adapter that is in use. Every other
-// request of that engine then stalls for seconds: the order to replace it
-// waits for its runs and holds all later fetches back.
+// A new version is required of an adapter in use. An order to replace it would
+// wait for its runs and block all later loads, so that every other request of
+// the engine stalls for seconds.
 TEST_F (AdmitTest, StaleAdapterInUseIsDeclinedNotReplaced)
 {
   report ({ { "m/a", 1 } });
@@ -163,7 +164,7 @@
   action = next ();
   ASSERT_EQ (action.kind, ADM_ACTION_LOAD);
   adm_record_load_started (&table, action.adapter, 0);
-  // Ordered once, however often it is asked for meanwhile.
+  // The order is not repeated while it is in progress.
   EXPECT_EQ (next (1000).kind, ADM_ACTION_NONE);
   report ({ { "m/a", 2 } }, {}, 1000);
   EXPECT_EQ (next (1000).kind, ADM_ACTION_GRANT);
@@ -178,8 +179,8 @@
   EXPECT_EQ (next ().kind, ADM_ACTION_LOAD);
 }
 
-// All streams of an engine stand still for half a second at one moment:
-// several long prompts were let in together and are read in a row.
+// Guards against long pauses of all streams: several long prompts granted
+// together would be read in a row, for half a second.
 TEST_F (AdmitTest, LimitsConcurrentPromptReading)
 {
   add_request (1, "", 0, 1, 1200);
@@ -188,7 +189,7 @@
   adm_action_t first = next ();
   ASSERT_EQ (first.kind, ADM_ACTION_GRANT);
   EXPECT_EQ (first.request->id, 1u);
-  // The long one waits, the short one fits beside the first.
+  // The second long prompt waits; the short one fits beside the first.
   adm_action_t second = next ();
   ASSERT_EQ (second.kind, ADM_ACTION_GRANT);
   EXPECT_EQ (second.request->id, 3u);
@@ -199,8 +200,8 @@
   EXPECT_EQ (third.request->id, 2u);
 }
 
-// Long prompts are served far less often than short ones: each time room
-// comes free, a short one that arrived later takes it.
+// Short prompts that arrive later must not take all capacity that becomes
+// free, or long prompts would be served far less often.
 TEST_F (AdmitTest, ALongPromptIsNotStarved)
 {
   add_request (1, "", 0, 1, 4000);
@@ -250,17 +251,16 @@
   adm_request_t *one = add_request (1, "m/a");
   add_request (2, "m/a");
   ASSERT_NE (one, nullptr);
-  // Two requests wait for the first adapter; a new one comes behind it.
+  // Two requests wait for the first adapter, so a new one is loaded after it.
   EXPECT_EQ (adm_load_wait_ms (&table, adapter ("m/b"), 0), 500u);
-  // A popular one would be fetched before it.
+  // A popular adapter would be loaded before it.
   for (int i = 0; i < 20; i++)
     adm_adapter_record_request (adapter ("m/c"), 0);
   EXPECT_EQ (adm_load_wait_ms (&table, adapter ("m/c"), 0), 250u);
 }
 
-// More adapters are asked for than the weight store brings. Requests that are
-// too late anyway wait longest; as long as the longest wait went first, each
-// fetch came too late for its own requests and all callers were late.
+// The weight store is overloaded. If the longest wait goes first, each load
+// comes too late for its own requests, and all callers are late.
 TEST_F (AdmitTest, LoadsTimelyAdaptersFirst)
 {
   add_request (1, "m/late", 0);
@@ -268,7 +268,7 @@
   adm_action_t action = next (700);
   ASSERT_EQ (action.kind, ADM_ACTION_LOAD);
   EXPECT_STREQ (action.adapter->name, "m/timely");
-  // A turn that nobody else needs is theirs.
+  // A load that no timely request needs is left to late ones.
   adm_record_load_started (&table, action.adapter, 700);
   report ({ { "m/timely", 1 } }, {}, 950);
   EXPECT_EQ (next (950).kind, ADM_ACTION_GRANT);
@@ -285,8 +285,8 @@
   EXPECT_EQ (adm_new_adapter_load_wait_ms (&table, 2000), 250u);
 }
 
-// An engine crashes and comes back empty. Its sidecar believes that adapters
-// held before come back in a tenth of the time, and lets too many wait.
+// A restarted engine holds no adapters. If its sidecar expected warm reloads,
+// in a tenth of the time of a fetch, it would let too many requests wait.
 TEST_F (AdmitTest, ARestartClearsHeldAdapters)
 {
   report ({ { "m/a", 1 } }, {}, 1);
@@ -296,14 +296,13 @@
   EXPECT_GT (adm_load_wait_ms (&table, adapter ("m/a"), 0), 0u);
 }
 
-// Ten callers of one popular adapter come together. Their first events are
-// 40 ms behind the reading of their prompts, a fixed part of every answer.
-// When the next prompt waited for the first event of the one before, the
-// engine read nothing in between, and the last caller was granted after 740
-// ms. Paced by the reading rate the last one is granted after 571 ms.
+// Ten requests for one adapter arrive together. Each first event comes a fixed
+// 40 ms after its prompt was read. If grants waited for the first event of the
+// prompt before, the engine would idle in between and the last grant would
+// come after 740 ms. Paced by the reading rate it comes after 571 ms.
 TEST_F (AdmitTest, PromptsDoNotWaitForFirstEvents)
 {
-  constexpr double kReadTokensPerMs = 35; // As the table believes at first.
+  constexpr double kReadTokensPerMs = 35; // Initial estimate of the table.
   constexpr double kReadingMs = 1400 / kReadTokensPerMs;
   constexpr uint64_t kFixedMs = 40;
   table.options.slots = 16;
@@ -331,9 +330,9 @@
   EXPECT_LT (last_grant_ms, 650u);
 }
 
-// The other side of the same load: streams run beside it, and each piece of a
-// prompt in a step delays their next token. What is given out at once, and
-// over any time, stays below the reading rate, so that steps stay short.
+// Prompt reading delays the next token of the streams that run beside it.
+// Prompts granted at once, and over any time, must stay below the reading
+// rate, so that the engine's steps stay short.
 TEST_F (AdmitTest, PromptsAreGrantedBelowTheReadingRate)
 {
   table.options.slots = 1000;
@@ -361,10 +360,10 @@
   EXPECT_EQ (table.waiting_cost, 0);
 }
 
-// After a burst everyone stays late for twenty seconds though the engine is
-// fast enough again: requests are served in the order they came, each after
-// its objective, and those that arrive now wait behind them until they are
-// late as well.
+// Guards against lateness that persists after a burst. In order of arrival,
+// each request is served after its objective, and new ones wait behind them
+// until they are late as well: for twenty seconds, though the engine was fast
+// enough again.
 TEST_F (AdmitTest, TimelyRequestsGoBeforeLateOnes)
 {
   add_request (1, "", 0);
@@ -377,8 +376,8 @@
   EXPECT_EQ (action.request->id, 1u);
 }
 
-// A late request of the most urgent class would delay requests in time of all
-// other classes, and earn little for it.
+// A late request of the most urgent class must not delay timely requests of
+// other classes: it gains little and would make these late.
 TEST_F (AdmitTest, ALateUrgentRequestWaitsForTimelyOnes)
 {
   add_request (1, "", 0, 0);
@@ -388,8 +387,9 @@
   EXPECT_EQ (action.request->id, 2u);
 }
 
-/// Requests in time keep the engine busy from 0 to `until_ms`: a new one every
-/// 20 ms, each with prompts of 50 ms, one granted as soon as it fits.
+/// Keep the engine busy with timely requests from 0 to `until_ms`: a new one
+/// every 20 ms, with a prompt that takes 50 ms to read, granted as soon as it
+/// fits.
 #define KEEP_BUSY(until_ms)                                                   \
   for (uint64_t now = 0; now <= (until_ms); now += 20)                        \
     {                                                                         \
@@ -400,9 +400,8 @@
           adm_request_remove (&table, a.request);                             \
     }
 
-// Load past saturation turns into late answers: requests that can not be in
-// time wait until their caller leaves, though requests in time have taken all
-// the engine's capacity for as long as they wait.
+// Guards against late answers above capacity: while timely requests use all
+// capacity, a late one would only wait until its caller leaves.
 TEST_F (AdmitTest, LateRequestsAreDeclinedUnderSaturation)
 {
   table.options.slots = 1000;
@@ -422,7 +421,7 @@
   EXPECT_TRUE (is_declined);
 }
 
-// The same request is served where the engine has a moment to spare.
+// The same request is served when the engine has spare capacity.
 TEST_F (AdmitTest, LateRequestsUseSpareCapacity)
 {
   adm_request_t *late = add_request (2, "", 1200, 1, 100);
@@ -432,8 +431,7 @@
   EXPECT_EQ (action.request->id, 2u);
 }
 
-// Callers of one kind get nothing for as long as a more urgent kind asks for
-// more than the engine can read.
+// A more urgent class that exceeds the capacity must not starve other classes.
 TEST_F (AdmitTest, ALessUrgentClassKeepsAShare)
 {
   table.options.slots = 1000;
@@ -442,7 +440,7 @@
   int other = 0;
   for (uint64_t now = 0; now < 3000; now += 10)
     {
-      // Twice what is read: each class alone would take it all.
+      // Twice the reading rate: each class alone would use all of it.
       add_request (10000 + now, "", now, 0, 350);
       add_request (20000 + now, "", now, 1, 350);
       for (adm_action_t a = next (now); a.kind != ADM_ACTION_NONE;
@@ -463,14 +461,13 @@
   probe.priority = 1;
   probe.objective_ms = 800;
   uint64_t alone_ms = adm_forecast (&table, &probe, 0).first_ms;
-  // Its own reading at 35 kv_tokens_needed a millisecond, and the way to its
-  // caller.
+  // Its own reading at 35 tokens a millisecond, and the delay to the caller.
   EXPECT_NEAR ((double)alone_ms, 70, 5);
   for (uint64_t id = 1; id <= 10; id++)
     add_request (id, "", 0, 1, 350);
-  // Ten more at 0.65 of that rate.
+  // Ten more prompts, at 0.65 of that rate.
   EXPECT_NEAR ((double)adm_forecast (&table, &probe, 0).first_ms, 70 + 154, 8);
-  // What is less urgent is not ahead.
+  // Less urgent requests are not ahead.
   probe.priority = 0;
   EXPECT_EQ (adm_forecast (&table, &probe, 0).first_ms, alone_ms);
 }
@@ -482,12 +479,12 @@
   probe.prompt_tokens = 10;
   probe.priority = 1;
   probe.objective_ms = 5000;
-  // Two places, each held for a second: one is free in half of that.
+  // Two places, each held for a second: one is free after half of that.
   EXPECT_NEAR ((double)adm_forecast (&table, &probe, 100).first_ms, 560, 10);
 }
 
-// Requests that wait for a place take the next ones. A forecast that takes the
-// first free place for a newcomer's lets it queue until it is late.
+// Waiting requests get the next free places. A forecast that ignores them lets
+// a new request queue until it is late.
 TEST_F (AdmitTest, ForecastCountsWaitingRequestsAhead)
 {
   ASSERT_NO_FATAL_FAILURE (occupy_two_slots ());
@@ -497,11 +494,12 @@
   probe.prompt_tokens = 10;
   probe.priority = 1;
   probe.objective_ms = 5000;
-  // Two places, each held for a second: the fourth one is free in two.
+  // Two places, each held for a second: the fourth one is free after two
+  // seconds.
   EXPECT_NEAR ((double)adm_forecast (&table, &probe, 100).place_ms, 2000, 1);
 }
 
-/// The engine states a limit.
+/// Apply a rate limit stated by the engine.
 void
 set_rate_limit (adm_table_t *table, double per_s, uint64_t now_ms)
 {
@@ -510,7 +508,8 @@
   bkp_meter_told (&table->meter, &limit, now_ms);
 }
 
-// Guards against requests that waited already and go past a limit.
+// Requests that already wait must not exceed a rate limit that is stated
+// later.
 TEST_F (AdmitTest, WaitingRequestsKeepToANewRateLimit)
 {
   table.options.slots = 1;
@@ -535,19 +534,19 @@
   probe.prompt_tokens = 10;
   probe.priority = 1;
   probe.objective_ms = 5000;
-  // One may start at once, five come before.
+  // One may start at once; five are ahead.
   EXPECT_NEAR ((double)adm_forecast (&table, &probe, 0).place_ms, 500, 2);
-  // It is sent on at once where it would be late.
+  // It is declined at once where it would be late.
   probe.objective_ms = 300;
   adm_forecast_t forecast = adm_forecast (&table, &probe, 0);
   EXPECT_STREQ (adm_refusal_reason (&table, &probe, &forecast, 0),
                 "no_place_in_time");
 }
 
-// Engines that hold an adapter in demand have all slots taken, others are
-// nearly empty. Callers queued for 0.7 s and were then sent on, late; sent on
-// at once they are in time elsewhere. When several engines have no slot, a
-// request waits where it is.
+// The engines that hold an adapter in demand have no free slot while others
+// are nearly idle. Requests that queued for 0.7 s before they were declined
+// were late; declined at once, they are in time elsewhere. After several
+// engines without a free slot, a request waits.
 TEST_F (AdmitTest, RedirectsWhenSlotsAreBusyForTooLong)
 {
   ASSERT_NO_FATAL_FAILURE (occupy_two_slots ());
@@ -572,8 +571,8 @@
       << "it is late in any case";
 }
 
-// A model that fills its engine leaves no place for an adapter. A caller that
-// asks for one would wait until its patience ends for what can not come.
+// A model that fills its engine leaves no slots for adapters. A request for an
+// adapter would wait until its caller gives up.
 TEST_F (AdmitTest, DeclinesAdapterRequestsWithoutAdapterSlots)
 {
   table.options.adapter_slots = 0;
@@ -589,9 +588,9 @@
   EXPECT_EQ (add_request (1, ""), nullptr);
 }
 
-// Engines ended under a request, and under others that were beginning there.
-// To tell which of them does it, it begins alone: what is beginning finishes
-// first, and nobody else is granted until a moment after its first event.
+// Engines ended under a request and others that began at the same time. To
+// identify the cause, a suspect begins alone: pending first events come first,
+// and no other request is granted until a moment after its own first event.
 TEST_F (AdmitTest, ASuspectBeginsAlone)
 {
   add_request (1, "", 1000);
@@ -623,8 +622,9 @@
   EXPECT_EQ (next (1002).kind, ADM_ACTION_GRANT);
 }
 
-// A request that hangs before its first event would keep a suspect waiting,
-// and the suspect all others: the engine would stand still.
+// A request that hangs before its first event blocks a suspect, and the
+// suspect blocks all others. The suspect must be declined before the engine
+// stalls.
 TEST_F (AdmitTest, AWaitingSuspectBlocksOthersBriefly)
 {
   add_request (1, "", 1000);
@@ -639,8 +639,8 @@
   EXPECT_EQ (next (1602).kind, ADM_ACTION_GRANT);
 }
 
-// A caller sends requests that are to begin alone without end, each of them
-// slow. They would keep all others from the engine.
+// A caller that keeps sending slow requests that begin alone must not keep all
+// others from the engine.
 TEST_F (AdmitTest, SuspectsBlockOthersForPartOfTheTime)
 {
   uint64_t blocked_ms = 0;
--- a/test/unit/fetch_limit_test.cc
+++ b/test/unit/fetch_limit_test.cc
@@ -1,4 +1,4 @@
-// How many fetches from the weight store one engine has under way.
+// Limit of the concurrent fetches of one engine from the weight store.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,8 +21,8 @@
   EXPECT_EQ (ftl_limit_wait_ms (&limit, 2), 750u);
 }
 
-// A large fleet leaves the weight store half idle, and yet requests wait for
-// the one fetch that their engine has under way.
+// With a fixed limit of one, requests wait for the single fetch of their
+// engine while a large fleet leaves the weight store half idle.
 TEST (Lanes, IncreasesWhileFetchesAreAtFullSpeed)
 {
   ftl_limit_t limit;
@@ -32,9 +32,9 @@
   EXPECT_EQ (ftl_limit_count (&limit), 3u);
 }
 
-// All engines press on the store: three fetches each take three times as long
-// and help nobody, and which of them is the max_fetches urgent no longer
-// counts.
+// When all engines saturate the store, three concurrent fetches each take
+// three times as long: nothing is gained, and the most urgent one no longer
+// comes first.
 TEST (Lanes, DecreasesWhenTheStoreIsSaturated)
 {
   ftl_limit_t limit;
@@ -46,8 +46,8 @@
   EXPECT_EQ (ftl_limit_count (&limit), 1u);
 }
 
-/// Mean time in milliseconds from asking to arrival at engines that share a
-/// store; adapters are asked for at random engines.
+/// Mean time in milliseconds from a request to the end of its fetch, at
+/// engines that share a store; the engine of each request is random.
 double
 mean_wait_ms (int engines, double per_s, double store_concurrency,
               uint32_t max_fetches)
@@ -55,7 +55,8 @@
   struct Engine
   {
     ftl_limit_t limit;
-    std::vector<std::pair<double, double>> in_progress; // Left, asked at.
+    std::vector<std::pair<double, double>>
+        in_progress; // Time left, requested at.
     std::vector<double> queue;
   };
   std::vector<Engine> all ((size_t)engines);
@@ -99,19 +100,20 @@
   return sum_ms / count;
 }
 
-// Measured by this test: 46 engines that ask for half of what the store brings
-// wait 357 ms with one lane each and 258 ms so; nine engines that ask for nine
-// tenths of it 704 and 460 ms.
+// Results of this test: at half of the store's capacity, 46 engines wait 357
+// ms with one fetch each and 258 ms with a limit of three; at nine tenths of
+// it, nine engines wait 704 and 460 ms.
 TEST (Lanes, ShortensWaitsWhenTheStoreHasCapacity)
 {
   double one_ms = mean_wait_ms (46, 90, 48, 1);
   double some_ms = mean_wait_ms (46, 90, 48, 3);
-  printf ("room: one lane %.0f ms, up to three %.0f ms\n", one_ms, some_ms);
+  printf ("spare capacity: one fetch %.0f ms, up to three %.0f ms\n", one_ms,
+          some_ms);
   EXPECT_LT (some_ms, 0.85 * one_ms);
   double saturated_one_ms = mean_wait_ms (9, 29, 8, 1);
   double saturated_ms = mean_wait_ms (9, 29, 8, 3);
-  printf ("pressed: one lane %.0f ms, up to three %.0f ms\n", saturated_one_ms,
-          saturated_ms);
+  printf ("saturated: one fetch %.0f ms, up to three %.0f ms\n",
+          saturated_one_ms, saturated_ms);
   EXPECT_LT (saturated_ms, 1.05 * saturated_one_ms);
 }
 
--- a/test/unit/load_test.cc
+++ b/test/unit/load_test.cc
@@ -1,6 +1,6 @@
-// Plays heavy loads through the decisions of gateways and sidecars, in the
-// model of tools/lab: engines, places for adapters and a weight store in
-// simulated time. Every run has the same seed and the same outcome.
+// Runs heavy loads through the decisions of gateways and sidecars, in the
+// simulation of tools/lab: engines, adapter slots and a weight store in
+// simulated time. The seeds are fixed, so each run has the same outcome.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,8 +24,8 @@
           o.held_ms, o.fetches, o.stall_s, o.first_ms_at (0.5));
 }
 
-/// Nine engines with 36 adapter places before 3,000 adapters of skewed
-/// popularity, which moves on twice; 140 requests a second in clumps of three.
+/// Nine engines with 36 adapter slots and 3,000 adapters of skewed popularity,
+/// which shifts twice; 140 requests a second in groups of three.
 Deployment
 small_site ()
 {
@@ -37,8 +37,8 @@
   return d;
 }
 
-// Measured by this test: in time 0.123 baseline and 0.857 ours, callers that
-// left 0.589 and 0.000, fetches 1,367 and 1,145.
+// Results of this test, baseline and policy under test: share in time 0.123
+// and 0.857, callers that left 0.589 and 0.000, fetches 1,367 and 1,145.
 TEST (Load, GoodputExceedsTheBaseline)
 {
   Outcome baseline = lab::play (small_site (), Policy::PLAIN);
@@ -52,7 +52,7 @@
   EXPECT_LT (ours.left * 20, ours.asked);
 }
 
-/// Six engines that hold all adapters: reading prompts binds.
+/// Six engines that hold all adapters: prompt reading is the bottleneck.
 Deployment
 engine_bound ()
 {
@@ -74,8 +74,8 @@
   return d;
 }
 
-/// Eight engines with six places each before 3,000 adapters: the weight store
-/// binds, engine time is plenty.
+/// Eight engines with six adapter slots each and 3,000 adapters: the weight
+/// store is the bottleneck, and engine time is plentiful.
 Deployment
 store_bound ()
 {
@@ -91,7 +91,7 @@
   return d;
 }
 
-/// Requests answered in time, each second, at a multiple of a load.
+/// Requests answered in time per second, at multiples of a load.
 std::vector<double>
 goodput_curve (const Deployment &d, double load_per_s)
 {
@@ -105,7 +105,7 @@
       snprintf (name, sizeof name, "x %.1f", factor);
       print (name, o);
       double abandoned = o.left / (double)o.asked;
-      EXPECT_LT (abandoned, 0.01) << "waited to their end without a chance";
+      EXPECT_LT (abandoned, 0.01) << "callers gave up before any answer";
       curve.push_back (o.in_time / (d.day_ms / 1000.0));
     }
   return curve;
@@ -118,8 +118,9 @@
   EXPECT_GE (curve.back (), 0.9 * peak);
 }
 
-// Three times as many callers come as the engines can read prompts for.
-// Whoever is let in late makes the next one late: goodput fell as load rose.
+// Three times as many requests arrive as the engines can read prompts for. A
+// late request that is admitted makes the next one late, so that goodput falls
+// as the load rises.
 TEST (Load, GoodputHoldsAboveTheReadingCapacity)
 {
   Deployment d = engine_bound ();
@@ -127,8 +128,8 @@
   expect_no_collapse (goodput_curve (d, lab::capacity_per_s (d)));
 }
 
-// The same where each request wants an adapter that abandoned holds, and the
-// weight store brings one of three.
+// As above, where each request needs an adapter that no engine holds, and the
+// weight store can deliver one of three.
 TEST (Load, GoodputHoldsAboveTheWeightStoreCapacity)
 {
   Deployment d = store_bound ();
@@ -136,8 +137,8 @@
   expect_no_collapse (goodput_curve (d, lab::capacity_per_s (d)));
 }
 
-// Loss of all power: engines come back empty at one moment, and their callers
-// with them. From five seconds after it on callers are served as before.
+// After a power loss all engines come back empty at the same time, and all
+// callers return. Five seconds later they must be served as before.
 TEST (Load, RecoversSoonAfterAPowerLoss)
 {
   Deployment d = engine_bound ();
@@ -152,7 +153,7 @@
   EXPECT_GT (after.in_time, before.in_time * (30 - 7.2) / 30);
 }
 
-// The same on deployments that abandoned chose.
+// As above, on random deployments.
 TEST (Load, RandomDeploymentsDoNotCollapse)
 {
   for (uint64_t seed : { 3, 11 })
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -96,10 +96,9 @@
   EXPECT_EQ (choose ({ failing, busy }), 1);
 }
 
-// Two callers ask for the same rare adapter through different gateways. It is
-// asked for at an engine that is busy_slots with other fetches; the second
-// gateway saw it nowhere, had it fetched at an idle engine as well, and the
-// fetches of both took turns at the weight store.
+// Two gateways request the same rare adapter. It is pending at an engine that
+// is busy with other loads. If the second gateway has it loaded at an idle
+// engine as well, both fetches use the weight store.
 TEST_F (PlaceTest, APendingAdapterIsNotFetchedTwice)
 {
   plc_candidate_t pending = candidate (1, PLC_PENDING);
@@ -109,9 +108,10 @@
   EXPECT_NE (choose ({ pending, candidate (2), candidate (3) }), 0);
 }
 
-// A rare adapter was dropped at its engine, which can load it again from its
-// own memory in 25 ms. Its home by weight is another engine, as the engines
-// were others when it came first, and would fetch it from the weight store.
+// An engine that unloaded a rare adapter reloads it from host memory in 25 ms.
+// The adapter's home by rendezvous weight is another engine, because the set
+// of engines was different then, and would have to fetch it from the weight
+// store.
 TEST_F (PlaceTest, PrefersTheEngineThatHeldTheAdapterBefore)
 {
   std::vector<plc_candidate_t> candidates;
@@ -124,8 +124,8 @@
   EXPECT_EQ (choose (candidates), (int32_t)other);
 }
 
-// One caller sends a very long prompt, and a dozen streams of the same engine
-// stand still while it is read.
+// A very long prompt pauses all streams of its engine while it is read; here a
+// dozen.
 TEST_F (PlaceTest, ALongPromptGoesWhereFewStreamsRun)
 {
   plc_candidate_t holder = candidate (1, PLC_HELD);
@@ -144,11 +144,8 @@
   EXPECT_EQ (choose ({ far, candidate (2, PLC_NOT_NEEDED) }), 1);
 }
 
-// A target that is lost makes every request go twice, the targets that are
-// left get twice the work, and fail as well: repeats must stay a small part.
-// Sixty-eight gateways know the same of eight equal holders until the next
-// word, and each chooses the cheapest one: without a spread it is the same for
-// all of them.
+// Sixty-eight gateways act on the same reports of eight equal holders. Without
+// a random spread, all choose the same one until the next report.
 TEST_F (PlaceTest, EqualHoldersShareTheRequests)
 {
   std::vector<plc_candidate_t> candidates;
@@ -184,8 +181,8 @@
       << "its own requests are seen";
 }
 
-// An adapter that is nowhere must be fetched once, also when many gateways
-// want it at the same moment.
+// An adapter that no engine holds must be fetched once, also when many
+// gateways need it at the same time.
 TEST_F (PlaceTest, GatewaysAgreeWhereAnAdapterIsFetched)
 {
   std::vector<plc_candidate_t> candidates;
@@ -198,10 +195,10 @@
     EXPECT_EQ (plc_choose (&costs, candidates.data (), 40, &request), first);
 }
 
-// An adapter in demand is held by a few engines with twelve slots. Engines
-// say their load every 400 ms, and between two words each gateway knows the
-// same. Callers then queued at one engine until they were late, though half of
-// the places of the others were free.
+// A few engines with twelve slots hold an adapter in demand. They report their
+// load every 400 ms, and between two reports all gateways know the same.
+// Without a spread, requests queue at one engine until they are late, though
+// half of the places of the others are free.
 class StaleLoad : public PlaceTest
 {
 protected:
@@ -213,7 +210,7 @@
     RUN_MS = 1300,
     REPORT_INTERVAL_MS = 400,
     OBJECTIVE_MS = 800,
-    /// Three quarters of what the engines can do.
+    /// Three quarters of the engines' capacity.
     REQUESTS_PER_S = ENGINES * SLOTS * 1000 / RUN_MS * 3 / 4,
     SECONDS = 60,
   };
@@ -234,7 +231,7 @@
         v.mean_hold_ms = RUN_MS;
         candidates.push_back (v);
       }
-    // When each place of each engine is free again.
+    // Time at which each place of each engine is free.
     std::vector<std::vector<double>> free_ms (ENGINES,
                                               std::vector<double> (SLOTS, 0));
     std::vector<std::vector<double>> starts (ENGINES);
@@ -296,6 +293,8 @@
   EXPECT_LT (with, without / 10);
 }
 
+// The loss of a target repeats every request sent to it. Unless repeats stay a
+// small part, the remaining targets get twice the load and fail as well.
 TEST (Budget, RepeatsStayBelowRatioAndSlack)
 {
   bud_options_t options = {};
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -78,8 +78,8 @@
   EXPECT_EQ (adapter->width, 1);
 }
 
-// A failure domain is lost. The ranks of an adapter alternate over domains,
-// so its second rank stands in another one.
+// The ranks of an adapter alternate over failure domains, so that its second
+// rank survives the loss of the first one's domain.
 TEST_F (RouteTest, RanksAlternateOverDomains)
 {
   add_targets (12, 4);
@@ -107,7 +107,8 @@
   EXPECT_EQ (rt_choose (table, 2, 42, nullptr, 0, 1, 1), RT_NONE);
 }
 
-// Losing one target must move only the adapters that it was first for.
+// The loss of one target must move only the adapters that had it as first
+// rank.
 TEST_F (RouteTest, MembershipChangeMovesLittle)
 {
   add_targets (20, 4);
@@ -129,8 +130,8 @@
   EXPECT_NEAR (moved, 100, 40);
 }
 
-// Differential: the first rank is the target with the highest weight among
-// those that are up, found by asking with every other one excluded.
+// Differential test: the choice is the highest of the ranks whose target is
+// up.
 TEST_F (RouteTest, ChoiceIsTheBestUsableRank)
 {
   add_targets (15, 3);
@@ -160,15 +161,15 @@
   gat_request_load (gate, 2, 1, 0, 1, 0);
   const gat_request_t *request = gat_grant_next (gate, 1);
   ASSERT_NE (request, nullptr);
-  EXPECT_EQ (request->agent, 2u); // The better class, though less waits.
+  EXPECT_EQ (request->agent, 2u); // Better class, though fewer requests wait.
   EXPECT_EQ (gat_grant_next (gate, 2), nullptr);
   gat_end_load (gate, 2, 1);
-  EXPECT_EQ (gat_grant_next (gate, 3), nullptr); // The rate.
+  EXPECT_EQ (gat_grant_next (gate, 3), nullptr); // Limited by the rate.
   EXPECT_GT (gat_wait_us (gate, 3), 400000u);
   request = gat_grant_next (gate, 600000);
   ASSERT_NE (request, nullptr);
   gat_request_load (gate, 3, 1, 4, 1, 600000);
-  // Agent 1 dies with its grant: the hold limit frees the gate.
+  // Agent 1 dies with its grant: the maximum hold time frees the gate.
   EXPECT_EQ (gat_grant_next (gate, 2000000), nullptr);
   request = gat_grant_next (gate, 6000000);
   ASSERT_NE (request, nullptr);
@@ -190,7 +191,7 @@
   mem_vm_note_listed (&vm, MEM_LISTED_LEAVING, 20);
   EXPECT_EQ (mem_vm_state (&vm, &options, 20), MEM_LEAVING);
   mem_vm_note_listed (&vm, MEM_LISTED_ABSENT, 30);
-  EXPECT_EQ (mem_vm_state (&vm, &options, 9000), MEM_UP); // It answers.
+  EXPECT_EQ (mem_vm_state (&vm, &options, 9000), MEM_UP); // It still answers.
   vm.pinged_ms = 9000;
   EXPECT_EQ (mem_vm_state (&vm, &options, 10500), MEM_GONE);
   mem_vm_note_heard (&vm, MEM_SAYS_LEAVING, 10600);
--- a/test/unit/sched_test.cc
+++ b/test/unit/sched_test.cc
@@ -1,5 +1,5 @@
 // Scheduler and slots: order, pins, drains, backoff, and a comparison with a
-// plain version on random inputs.
+// plain scan on random inputs.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -70,9 +70,9 @@
   EXPECT_EQ (sch_next_action (&queue, 20, true).item, urgent);
 }
 
-// A licensing urgent waits for a load while a reseller's request could run.
-// The place would stay empty otherwise, so the reseller runs; but the load
-// goes to the urgent although more resellers wait.
+// An urgent request waits for a load while less urgent ones could run. These
+// run, as the batch would be idle otherwise; but the load is for the urgent
+// request, although more of the others wait.
 TEST_F (SchedTest, LoadsFollowTheClass)
 {
   for (int i = 0; i < 5; i++)
@@ -94,8 +94,8 @@
   EXPECT_EQ (slt_choose_victim (&slots, nullptr, nullptr), nullptr);
 }
 
-// Two popular adapters hold both slots and always have work. A rare one's
-// request must get a slot after a bounded wait.
+// Two popular adapters hold both slots and always have work. A request for a
+// rare adapter must get a slot within a bounded time.
 TEST_F (SchedTest, RareAdapterGetsASlotInBoundedTime)
 {
   load (1, 0);
@@ -121,8 +121,8 @@
   EXPECT_EQ (action.adapter, drained);
 }
 
-// An adapter is drained for a request that is then given up. Its own waiting
-// requests could neither run nor be loaded again and would wait for ever.
+// An adapter is drained for a request that is then cancelled. Its own waiting
+// requests could neither run nor be loaded again, and would wait forever.
 TEST_F (SchedTest, DrainEndsWhenNoLoadIsWanted)
 {
   load (1);
@@ -172,8 +172,9 @@
   EXPECT_NEAR (heavy, 30, 2);
 }
 
-// Early refusal compared the whole queue with an urgent's deadline although
-// the urgent overtakes all of it, and refused officers in a burst of uploads.
+// Guards against refusals of urgent requests in a burst of less urgent ones:
+// the whole queue was compared with the deadline of a request that overtakes
+// all of it.
 TEST_F (SchedTest, ExpectedWaitCountsOnlyWhatComesFirst)
 {
   load (1);
@@ -183,8 +184,8 @@
   EXPECT_GT (sch_expected_wait_ms (&queue, 4, 1000), 20000u);
 }
 
-// Differential: the item chosen must be the one that a plain scan over all
-// waiting items finds by the same rules.
+// Differential test: the item chosen must be the one that a plain scan over
+// all waiting items finds by the same rules.
 TEST_F (SchedTest, SameChoiceAsPlainScan)
 {
   std::mt19937 rng (3);
@@ -242,7 +243,7 @@
       slt_begin_load (&slots, key, now);
       slt_end_load (&slots, key, true, now);
     }
-  // Adapter 1: one batch of forty. Adapter 2: three visits, minutes apart.
+  // Adapter 1: one batch of forty. Adapter 2: three visits, a minute apart.
   for (int i = 0; i < 40; i++)
     slt_pin (&slots, slt_find (&slots, 1), now);
   for (int i = 0; i < 40; i++)
