--- a/src/coordination/admit.h
+++ b/src/coordination/admit.h
@@ -1,8 +1,10 @@
 /// @file admit.h
 /// Admission control of a sidecar: which waiting request is granted a place,
 /// which adapter the engine loads or unloads, and which requests are declined.
-/// No I/O: engine reports and the time are arguments, and adm_next_action
-/// returns one action at a time. All `_ms` moments are of the caller's clock.
+/// A cold load fetches an adapter from the weight store that all engines
+/// share, a warm one from the engine's host memory, in a tenth of the time. No
+/// I/O: engine reports and the time are arguments, and adm_next_action returns
+/// one action at a time. All `_ms` moments are of the caller's clock.
 #ifndef KB_COORDINATION_ADMIT_H
 #define KB_COORDINATION_ADMIT_H
 
