--- a/src/daemon/entry_quarantine.c
+++ b/src/daemon/entry_quarantine.c
@@ -16,7 +16,7 @@
                           .method = kb_slice_str (r->method),
                           .path = kb_slice_str (r->path),
                           .body = kb_buf_slice (&r->body) };
-  r->fingerprint = fpr_of (&parts);
+  r->fingerprint = fpr_compute (&parts);
   return r->fingerprint;
 }
 
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -19,25 +19,26 @@
 static void
 source_on_config (void *owner, svc_config_t *config, kb_slice_t document)
 {
-  gtw_take_config (owner, config, document, "store");
+  gtw_apply_config (owner, config, document, "store");
 }
 
 static void
 source_on_target (void *owner, const src_target_t *target)
 {
-  gtw_target_told (owner, target);
+  gtw_target_apply_listing (owner, target);
 }
 
 static void
 source_on_target_gone (void *owner, kb_slice_t id)
 {
-  gtw_target_gone (owner, id);
+  gtw_target_remove_listing (owner, id);
 }
 
 static void
 source_on_version (void *owner, const src_version_t *version)
 {
-  gtw_take_version (owner, version->model, version->adapter, version->version);
+  gtw_apply_adapter_version (owner, version->model, version->adapter,
+                             version->version);
 }
 
 static void
@@ -91,8 +92,8 @@
 gateway_on_decided (void *arg)
 {
   gtw_gateway_t *gateway = arg;
-  for (gtw_request_t *r = gtw_quota_next_decided (gateway); r != NULL;
-       r = gtw_quota_next_decided (gateway))
+  for (gtw_request_t *r = gtw_quota_pop_decided (gateway); r != NULL;
+       r = gtw_quota_pop_decided (gateway))
     gtw_request_decided (r);
 }
 
--- a/src/gateway/gateway_access.c
+++ b/src/gateway/gateway_access.c
@@ -45,7 +45,7 @@
     return;
   char key[SCT_TEXT_BYTES] = "";
   if (digest != NULL)
-    sct_text (digest, key);
+    sct_format (digest, key);
   log_text (&line, "id", r->attempt_id);
   log_text (&line, "reason", refusal->reason);
   log_text (&line, "key", key);
@@ -62,7 +62,7 @@
   snprintf (r->workspace, sizeof r->workspace, "%s", workspace->name);
   if (workspace->has_priority)
     r->priority = workspace->priority;
-  gtw_quota_charge (r, workspace);
+  gtw_quota_prepare_workspace_charge (r, workspace);
 }
 
 gtw_refusal_t
@@ -72,7 +72,7 @@
   uint8_t digest[WSP_DIGEST_BYTES];
   bool has_key = r->said.key.len_bytes > 0;
   if (has_key)
-    sct_digest (r->said.key, digest);
+    sct_digest_key (r->said.key, digest);
   acc_request_t request = { .key_count = r->said.key_count,
                             .digest = has_key ? digest : NULL,
                             .is_route_public = route->is_public };
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -124,7 +124,7 @@
   if (wait_for_live_engine (r))
     return;
   MET_INC ("knapweedbay_silent_targets_total", "");
-  gtw_quarantine_note_break (r);
+  gtw_quarantine_record_break (r);
   answer_broken (r, true, "silent_target");
 }
 
@@ -273,7 +273,7 @@
   // Another incarnation answers at its address; an engine says so for an
   // adapter that it does not hold as well.
   if (!r->is_engine && r->http_status == HTTP_MISDIRECTED)
-    gtw_quarantine_target_ended (r->gateway, r->target, "misdirected");
+    gtw_quarantine_record_target_end (r->gateway, r->target, "misdirected");
   MET_INC ("knapweedbay_attempts_not_run_total", "");
   r->runs--;
   if (answer->retry_after_ms > r->retry_after_ms)
@@ -281,7 +281,7 @@
   gtw_target_note (r->gateway, r->target, true);
   bool asks_for_pause
       = r->http_status == HTTP_UNAVAILABLE && answer->retry_after_ms > 0;
-  if (asks_for_pause && !gtw_backpressure_may_go_on (r))
+  if (asks_for_pause && !gtw_backpressure_may_retry (r))
     {
       gtw_request_leave_target (r);
       answer_give_up (r, "target_paused");
@@ -333,7 +333,7 @@
       return;
     }
   r->http_status = conn->parser.status_code;
-  gtw_backpressure_note (r, &answer);
+  gtw_backpressure_apply_answer (r, &answer);
   if (answer.is_not_run && r->http_status >= 400)
     {
       answer_not_run (r, &answer);
@@ -381,7 +381,7 @@
     h1_conn_write (&client->conn, last_chunk, sizeof last_chunk - 1);
   gtw_target_note (r->gateway, r->target, r->http_status < HTTP_SERVER_ERROR);
   if (r->http_status < HTTP_SERVER_ERROR)
-    gtw_quarantine_note_served (r);
+    gtw_quarantine_record_served (r);
   MET_INC ("knapweedbay_requests_total", "outcome=\"answered\"");
   gtw_request_log (r, "answered", r->http_status);
   r->is_whole = true;
@@ -424,7 +424,7 @@
 {
   static const char *const names[] = { "not_sent", "reset", "malformed" };
   if (fail == XCH_RESET)
-    gtw_quarantine_note_break (x->owner);
+    gtw_quarantine_record_break (x->owner);
   answer_broken (x->owner, fail != XCH_NOT_SENT, names[fail]);
 }
 
@@ -457,7 +457,7 @@
   gtw_gateway_t *gateway = r->gateway;
   // It may have waited for its place while targets ended under another send.
   uint64_t hold_ms = 0;
-  if (gtw_quarantine_judge (r, &hold_ms) == QRT_HELD)
+  if (gtw_quarantine_check (r, &hold_ms) == QRT_HELD)
     {
       gtw_request_leave_target (r);
       gtw_quarantine_refuse (r, hold_ms);
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -8,7 +8,7 @@
 enum
 {
   /// Targets that may ask for a pause because of one request.
-  PAUSES_MOST = 3,
+  MAX_PAUSES_PER_REQUEST = 3,
 };
 
 static void
@@ -38,7 +38,7 @@
 }
 
 static bool
-is_same_life (const inc_t *a, const inc_t *b)
+is_same_incarnation (const inc_t *a, const inc_t *b)
 {
   bool is_other_birth
       = a->born_ms > 0 && b->born_ms > 0 && a->born_ms != b->born_ms;
@@ -48,7 +48,7 @@
 /// The target that is used at the address of the present one: of an engine the
 /// list may name two incarnations for a while, and its sidecar serves one.
 static gtw_target_t *
-target_in_use (const gtw_request_t *r)
+linked_target (const gtw_request_t *r)
 {
   gtw_target_t *linked
       = r->is_engine ? kb_map_get (
@@ -59,24 +59,25 @@
 
 /// @return  What the addressee of a request has said so far.
 static gtw_stated_t *
-stated_by_addressee (const gtw_request_t *r)
+stated_of_addressee (const gtw_request_t *r)
 {
-  gtw_stated_t *stated = &target_in_use (r)->stated;
+  gtw_stated_t *stated = &linked_target (r)->stated;
   const inc_t *who = gtw_request_addressee (r);
-  if (!is_same_life (&stated->who, who))
+  if (!is_same_incarnation (&stated->who, who))
     *stated = (gtw_stated_t){ .who = *who };
   return stated;
 }
 
 void
-gtw_backpressure_take_over (gtw_target_t *target, const gtw_target_t *from)
+gtw_backpressure_inherit (gtw_target_t *target, const gtw_target_t *from)
 {
-  if (is_same_life (&from->stated.who, &target->told.who))
+  if (is_same_incarnation (&from->stated.who, &target->told.who))
     target->stated = from->stated;
 }
 
 static void
-note_limit (gtw_request_t *r, gtw_stated_t *stated, const rly_answer_t *answer)
+apply_limit (gtw_request_t *r, gtw_stated_t *stated,
+             const rly_answer_t *answer)
 {
   double per_s = answer->states_limit ? answer->limit_per_s : -1;
   if (answer->is_limit_malformed
@@ -85,12 +86,12 @@
     return;
   log_limit (r, stated);
   // Its sidecar is to know with the next tick.
-  target_in_use (r)->told_ms = 0;
+  linked_target (r)->told_ms = 0;
 }
 
 /// It holds for the incarnation; the list may tell it much later.
 static void
-note_leaving (const gtw_request_t *r, gtw_stated_t *stated)
+apply_leaving (const gtw_request_t *r, gtw_stated_t *stated)
 {
   if (stated->is_leaving)
     return;
@@ -107,7 +108,7 @@
 /// It turned a request away, and wants none for a while. Each such answer
 /// holds: a shorter pause does not end a longer one.
 static void
-note_pause (const gtw_request_t *r, gtw_stated_t *stated, uint64_t pause_ms)
+apply_pause (const gtw_request_t *r, gtw_stated_t *stated, uint64_t pause_ms)
 {
   uint64_t until_ms = tmr_boot_ms () + pause_ms;
   if (until_ms <= stated->paused_until_ms)
@@ -124,7 +125,7 @@
 }
 
 void
-gtw_backpressure_note (gtw_request_t *r, const rly_answer_t *answer)
+gtw_backpressure_apply_answer (gtw_request_t *r, const rly_answer_t *answer)
 {
   enum
   {
@@ -136,12 +137,12 @@
     return;
   if (answer->malformed != NULL)
     log_malformed (r, answer->malformed);
-  gtw_stated_t *stated = stated_by_addressee (r);
-  note_limit (r, stated, answer);
+  gtw_stated_t *stated = stated_of_addressee (r);
+  apply_limit (r, stated, answer);
   if (answer->is_leaving)
-    note_leaving (r, stated);
+    apply_leaving (r, stated);
   if (r->http_status == HTTP_UNAVAILABLE && answer->retry_after_ms > 0)
-    note_pause (r, stated, answer->retry_after_ms);
+    apply_pause (r, stated, answer->retry_after_ms);
 }
 
 static uint64_t
@@ -149,36 +150,36 @@
 {
   enum
   {
-    SEED = 1, ///< Keys of workspaces have another one.
+    TARGET_KEY_SEED = 1, ///< Keys of workspaces have another one.
   };
   uint64_t parts[2] = { 0, target->belief.born_ms };
   const char *id = target->told.who.id;
-  parts[0] = kb_hash (id, strlen (id), SEED);
-  return kb_hash (parts, sizeof parts, SEED) | 1;
+  parts[0] = kb_hash (id, strlen (id), TARGET_KEY_SEED);
+  return kb_hash (parts, sizeof parts, TARGET_KEY_SEED) | 1;
 }
 
 static void
-use_quota (gtw_request_t *r)
+prepare_permit (gtw_request_t *r)
 {
   const gtw_target_t *target = r->target;
-  gtw_subject_t subject
+  gtw_quota_subject_t subject
       = { .key = subject_key (target),
           .name = target->told.who.id,
           .is_target = true,
           .limit
           = { .rate_per_s = bkp_limit_rate_per_s (&target->stated.limit) },
           .revision = target->stated.limit.at_ms };
-  gtw_quota_use (r, &r->permit, &subject, 1);
+  gtw_quota_prepare_charge (r, &r->permit, &subject, 1);
 }
 
 qsp_verdict_t
-gtw_backpressure_take (gtw_request_t *r)
+gtw_backpressure_try_permit (gtw_request_t *r)
 {
   if (r->permit.quota == NULL && !r->target->stated.limit.is_limited)
     return QSP_SPENT;
   if (r->permit.quota == NULL)
-    use_quota (r);
-  qsp_verdict_t verdict = gtw_quota_take (&r->permit);
+    prepare_permit (r);
+  qsp_verdict_t verdict = gtw_quota_try_charge (&r->permit);
   // Another target may take it sooner than a lender is there.
   if (verdict == QSP_WAITS && !gtw_quota_has_lender (&r->permit))
     verdict = QSP_UNKNOWN;
@@ -199,14 +200,14 @@
 }
 
 bool
-gtw_backpressure_may_go_on (gtw_request_t *r)
+gtw_backpressure_may_retry (gtw_request_t *r)
 {
-  return ++r->pauses < PAUSES_MOST;
+  return ++r->pauses < MAX_PAUSES_PER_REQUEST;
 }
 
 /// Whether a target would be used if it asked for no pause.
 static bool
-is_there (const gtw_request_t *r, const gtw_target_t *target)
+is_usable_without_pause (const gtw_request_t *r, const gtw_target_t *target)
 {
   if (!target->is_listed || gtw_target_is_leaving (target)
       || strcmp (target->told.service, r->service) != 0)
@@ -215,17 +216,18 @@
 }
 
 uint64_t
-gtw_backpressure_back_ms (const gtw_request_t *r)
+gtw_backpressure_retry_after_ms (const gtw_request_t *r)
 {
   const gtw_gateway_t *gateway = r->gateway;
-  uint64_t least_ms = r->limit_wait_ms;
+  uint64_t min_ms = r->limit_wait_ms;
   uint32_t at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      uint64_t pause_ms = is_there (r, t) ? gtw_target_pause_ms (t) : 0;
-      if (pause_ms > 0 && (least_ms == 0 || pause_ms < least_ms))
-        least_ms = pause_ms;
+      uint64_t pause_ms
+          = is_usable_without_pause (r, t) ? gtw_target_pause_ms (t) : 0;
+      if (pause_ms > 0 && (min_ms == 0 || pause_ms < min_ms))
+        min_ms = pause_ms;
     }
-  return least_ms;
+  return min_ms;
 }
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -169,10 +169,11 @@
       targets[count++] = t;
     }
   uint64_t key = r->adapter_key != 0 ? r->adapter_key : (uint64_t)rand ();
-  plc_load_t load = { .own_per_s = gateway->placed_per_s,
-                      .gateways = gateway->gateway_count,
-                      .targets = count,
-                      .word_ms = trn_tell_pause_ms (gateway->gateway_count) };
+  plc_load_t load
+      = { .own_per_s = gateway->placed_per_s,
+          .gateways = gateway->gateway_count,
+          .targets = count,
+          .word_ms = trn_report_interval_ms (gateway->gateway_count) };
   plc_request_t request = { .adapter = key,
                             .prompt_tokens = r->said.prompt_tokens,
                             .draw = (uint64_t)rand (),
--- a/src/gateway/gateway_client.c
+++ b/src/gateway/gateway_client.c
@@ -137,7 +137,7 @@
   gtw_client_t *client = (gtw_client_t *)conn;
   if (client->request != NULL)
     {
-      gtw_quarantine_note_break (client->request);
+      gtw_quarantine_record_break (client->request);
       gtw_request_end (client->request);
       client->request = NULL;
     }
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -489,21 +489,21 @@
 
 // gateway_backpressure.c
 /// Take what the present target says about itself in an answer's head.
-void gtw_backpressure_note (gtw_request_t *r, const rly_answer_t *answer);
+void gtw_backpressure_apply_answer (gtw_request_t *r,
+                                    const rly_answer_t *answer);
 /// Take a permit of the present target, which is plain, or learn what became
 /// of it.
-qsp_verdict_t gtw_backpressure_take (gtw_request_t *r);
+qsp_verdict_t gtw_backpressure_try_permit (gtw_request_t *r);
 /// The list names the incarnation of an engine that requests have reached
 /// already, at the address of the one before.
-void gtw_backpressure_take_over (gtw_target_t *target,
-                                 const gtw_target_t *from);
+void gtw_backpressure_inherit (gtw_target_t *target, const gtw_target_t *from);
 /// A target turned a request away and asked for a pause.
 /// @return  Whether it may try another target: a request that every target
 ///          turns away so would shut all others out.
-bool gtw_backpressure_may_go_on (gtw_request_t *r);
+bool gtw_backpressure_may_retry (gtw_request_t *r);
 /// @return  Time until a target that could be used takes a request, after a
 ///          pause or by its limit; zero: there is none.
-uint64_t gtw_backpressure_back_ms (const gtw_request_t *r);
+uint64_t gtw_backpressure_retry_after_ms (const gtw_request_t *r);
 /// @return  Time until a plain target takes one more request.
 uint64_t gtw_backpressure_wait_ms (const gtw_gateway_t *gateway,
                                    const gtw_target_t *target);
@@ -522,21 +522,23 @@
 /// ends, and requests under way there are broken off.
 /// @param told  What takes its place.
 /// @return      The target of that incarnation.
-gtw_target_t *gtw_target_reborn (gtw_gateway_t *gateway, gtw_target_t *target,
-                                 const src_target_t *told);
+gtw_target_t *gtw_target_replace_incarnation (gtw_gateway_t *gateway,
+                                              gtw_target_t *target,
+                                              const src_target_t *told);
 /// A word about an earlier incarnation came.
 /// @param from  "list", "sidecar" or "grant".
-void gtw_target_turn_away (const gtw_target_t *target, uint64_t born_ms,
-                           const char *from);
+void gtw_target_report_stale (const gtw_target_t *target, uint64_t born_ms,
+                              const char *from);
 
 // gateway_targets.c
 gtw_target_t *gtw_target_add (gtw_gateway_t *gateway,
                               const src_target_t *told);
 /// Open the link to the sidecar beside an engine.
-void gtw_target_link (gtw_gateway_t *gateway, gtw_target_t *target);
-void gtw_target_log (const gtw_target_t *target, const char *event);
-void gtw_target_told (gtw_gateway_t *gateway, const src_target_t *told);
-void gtw_target_gone (gtw_gateway_t *gateway, kb_slice_t id);
+void gtw_target_open_link (gtw_gateway_t *gateway, gtw_target_t *target);
+void gtw_target_log_event (const gtw_target_t *target, const char *event);
+void gtw_target_apply_listing (gtw_gateway_t *gateway,
+                               const src_target_t *told);
+void gtw_target_remove_listing (gtw_gateway_t *gateway, kb_slice_t id);
 /// @return  Whether the sidecar of an engine has said a moment ago that the
 ///          engine serves.
 bool gtw_target_is_alive (const gtw_gateway_t *gateway,
@@ -548,25 +550,27 @@
 
 // gateway_quarantine.c
 /// @param hold_ms  How much longer it is held.
-qrt_verdict_t gtw_quarantine_judge (gtw_request_t *r, uint64_t *hold_ms);
+qrt_verdict_t gtw_quarantine_check (gtw_request_t *r, uint64_t *hold_ms);
 /// @return  Whether it broke off before while it was beginning at a target, as
 ///          far as is known here.
-bool gtw_quarantine_has_broken (gtw_request_t *r);
+bool gtw_quarantine_has_earlier_break (gtw_request_t *r);
 /// Answer a request that is held: it is not sent.
 void gtw_quarantine_refuse (gtw_request_t *r, uint64_t hold_ms);
 /// A request's connection to its target broke, its target is silent, or its
 /// caller left.
-void gtw_quarantine_note_break (gtw_request_t *r);
+void gtw_quarantine_record_break (gtw_request_t *r);
 /// The process of a target has ended.
 /// @param evidence  How that is known, for the log.
-void gtw_quarantine_target_ended (gtw_gateway_t *gateway, gtw_target_t *target,
-                                  const char *evidence);
+void gtw_quarantine_record_target_end (gtw_gateway_t *gateway,
+                                       gtw_target_t *target,
+                                       const char *evidence);
 /// A request was answered whole by its target.
-void gtw_quarantine_note_served (gtw_request_t *r);
+void gtw_quarantine_record_served (gtw_request_t *r);
 /// A sidecar tells what it knows.
-void gtw_quarantine_take (gtw_gateway_t *gateway, kb_slice_t words);
+void gtw_quarantine_merge_records (gtw_gateway_t *gateway, kb_slice_t words);
 /// Give a sidecar what it lacks.
-void gtw_quarantine_help (gtw_gateway_t *gateway, const gtw_target_t *target);
+void gtw_quarantine_sync_sidecar (gtw_gateway_t *gateway,
+                                  const gtw_target_t *target);
 
 // gateway_keep.c
 void gtw_keeps_init (gtw_gateway_t *gateway);
@@ -581,8 +585,9 @@
 
 // gateway_peers.c
 void gtw_peers_init (gtw_gateway_t *gateway);
-void gtw_peers_answered (gtw_gateway_t *gateway, const gtw_target_t *from,
-                         const msg_changes_t *told);
+void gtw_peers_receive_changes (gtw_gateway_t *gateway,
+                                const gtw_target_t *from,
+                                const msg_changes_t *told);
 
 // gateway_choose.c
 /// @return  The target to use for a request, or NULL.
@@ -600,13 +605,13 @@
 
 // gateway_links.c
 void gtw_on_message (hst_host_t *host, kb_slice_t peer, const msg_t *msg);
-void gtw_tell_sidecar (gtw_gateway_t *gateway, gtw_target_t *target);
+void gtw_send_gateway_state (gtw_gateway_t *gateway, gtw_target_t *target);
 /// Tell all sidecars what changed here.
-void gtw_tell_all (gtw_gateway_t *gateway);
+void gtw_send_state_to_all (gtw_gateway_t *gateway);
 /// Put a configuration in force if it is newer.
-void gtw_take_config (gtw_gateway_t *gateway, svc_config_t *config,
-                      kb_slice_t document, const char *from);
-void gtw_take_version (gtw_gateway_t *gateway, kb_slice_t model,
-                       kb_slice_t adapter, uint32_t version);
+void gtw_apply_config (gtw_gateway_t *gateway, svc_config_t *config,
+                       kb_slice_t document, const char *from);
+void gtw_apply_adapter_version (gtw_gateway_t *gateway, kb_slice_t model,
+                                kb_slice_t adapter, uint32_t version);
 
 #endif
--- a/src/gateway/gateway_keep.c
+++ b/src/gateway/gateway_keep.c
@@ -97,7 +97,7 @@
       if (!make_record (gateway, request, &value))
         continue;
       char digits[FPR_TEXT_BYTES];
-      fpr_text (request, digits);
+      fpr_format (request, digits);
       char key[sizeof KEY_PREFIX + FPR_TEXT_BYTES];
       snprintf (key, sizeof key, KEY_PREFIX "%s", digits);
       src_record_t record
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -14,11 +14,11 @@
 {
   /// By then a gateway of a sidecar's own failure domain has had two turns to
   /// give it a configuration.
-  FAR_AFTER_MS = 1000,
+  REMOTE_DOMAIN_DELAY_MS = 1000,
 };
 
 static uint64_t
-revision_of (const gtw_gateway_t *gateway)
+current_revision (const gtw_gateway_t *gateway)
 {
   return gateway->config == NULL ? 0 : gateway->config->revision;
 }
@@ -49,21 +49,21 @@
 }
 
 void
-gtw_tell_sidecar (gtw_gateway_t *gateway, gtw_target_t *target)
+gtw_send_gateway_state (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   kb_buf_t places = { 0 };
-  kb_buf_t elsewhere = { 0 };
+  kb_buf_t lent_subjects = { 0 };
   pack_places (gateway, target, &places);
-  gtw_quotas_pack_elsewhere (
-      gateway, gtw_link_key (kb_slice_str (target->link)), &elsewhere);
+  gtw_quotas_pack_lent_elsewhere (
+      gateway, gtw_link_key (kb_slice_str (target->link)), &lent_subjects);
   target->told_ms = gtw_now_ms (gateway);
   const bkp_limit_t *limit = &target->stated.limit;
   msg_t msg
       = { .type = MSG_GATEWAY_STATE,
           .gateway_state
           = { .incarnation = gateway->host.incarnation,
-              .revision = revision_of (gateway),
-              .versions_known = gateway->versions.changes,
+              .revision = current_revision (gateway),
+              .versions_known = gateway->versions.version_sum,
               .engine_count
               = gtw_targets_count (gateway, target->told.service),
               .list_stamp = target->list_stamp,
@@ -72,29 +72,29 @@
               .gateway_peak_age_ms = tmr_boot_ms () - gateway->peak.seen_ms,
               .limit_milli = limit_milli (limit),
               .limit_age_ms = tmr_boot_ms () - limit->at_ms,
-              .lent_elsewhere = kb_buf_slice (&elsewhere),
+              .lent_elsewhere = kb_buf_slice (&lent_subjects),
               .places = kb_buf_slice (&places) } };
   if (hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
   kb_buf_finish (&places);
-  kb_buf_finish (&elsewhere);
+  kb_buf_finish (&lent_subjects);
 }
 
 static void
-give_document (gtw_gateway_t *gateway, const gtw_target_t *target)
+send_document (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
-  psn_give_document (&gateway->host, target->link, revision_of (gateway),
+  fwd_send_document (&gateway->host, target->link, current_revision (gateway),
                      &gateway->document);
 }
 
 static bool
 lacks_config (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
-  return target->sidecar_revision < revision_of (gateway);
+  return target->sidecar_revision < current_revision (gateway);
 }
 
 static bool
-is_near (const gtw_gateway_t *gateway, const gtw_target_t *target)
+is_same_domain (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   return strcmp (target->told.domain, gateway->host.settings.failure_domain)
          == 0;
@@ -105,7 +105,7 @@
 /// later. A document of 0.3 MB for each of 120 sidecars, five of six from
 /// other domains, was most of what crossed them on a day with many changes.
 static bool
-may_give_config (gtw_gateway_t *gateway, gtw_target_t *target)
+may_send_config (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   uint64_t now_ms = gtw_now_ms (gateway);
   if (!lacks_config (gateway, target))
@@ -114,60 +114,60 @@
     target->lacks_since_ms = now_ms;
   if (target->lacks_since_ms == 0)
     return false;
-  return is_near (gateway, target)
-         || now_ms - target->lacks_since_ms >= FAR_AFTER_MS;
+  return is_same_domain (gateway, target)
+         || now_ms - target->lacks_since_ms >= REMOTE_DOMAIN_DELAY_MS;
 }
 
 /// Give a sidecar what it lacks.
 static void
-help_sidecar (gtw_gateway_t *gateway, gtw_target_t *target)
+sync_sidecar (gtw_gateway_t *gateway, gtw_target_t *target)
 {
-  bool may_give = may_give_config (gateway, target);
-  if (!trn_is_mine (gateway->host.incarnation, target->place_key,
-                    gateway->gateway_count, gtw_now_ms (gateway)))
+  bool may_send = may_send_config (gateway, target);
+  if (!trn_has_turn (gateway->host.incarnation, target->place_key,
+                     gateway->gateway_count, gtw_now_ms (gateway)))
     return;
-  if (may_give)
-    give_document (gateway, target);
-  if (target->sidecar_versions < gateway->versions.changes)
-    psn_give_versions (&gateway->host, target->link, &gateway->versions);
-  gtw_quarantine_help (gateway, target);
+  if (may_send)
+    send_document (gateway, target);
+  if (target->sidecar_versions < gateway->versions.version_sum)
+    fwd_send_versions (&gateway->host, target->link, &gateway->versions);
+  gtw_quarantine_sync_sidecar (gateway, target);
 }
 
 /// @return  How many sidecars are in the own failure domain.
 static uint32_t
-count_near (const gtw_gateway_t *gateway)
+count_same_domain (const gtw_gateway_t *gateway)
 {
   uint32_t count = 0;
   uint32_t at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
-    count += t->is_linked && is_near (gateway, t);
+    count += t->is_linked && is_same_domain (gateway, t);
   return count;
 }
 
 void
-gtw_tell_all (gtw_gateway_t *gateway)
+gtw_send_state_to_all (gtw_gateway_t *gateway)
 {
-  uint32_t near = count_near (gateway);
+  uint32_t same_domain_count = count_same_domain (gateway);
   uint32_t at = 0;
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
       if (!t->is_linked || t->heard_ms == 0)
         continue;
-      if (may_give_config (gateway, t)
+      if (may_send_config (gateway, t)
           && trn_is_first_receiver (gateway->host.incarnation, t->place_key,
-                                    near))
-        give_document (gateway, t);
-      gtw_tell_sidecar (gateway, t);
+                                    same_domain_count))
+        send_document (gateway, t);
+      gtw_send_gateway_state (gateway, t);
     }
 }
 
 void
-gtw_take_config (gtw_gateway_t *gateway, svc_config_t *config,
-                 kb_slice_t document, const char *from)
+gtw_apply_config (gtw_gateway_t *gateway, svc_config_t *config,
+                  kb_slice_t document, const char *from)
 {
-  if (!svc_revision_is_newer (revision_of (gateway), config->revision))
+  if (!svc_revision_is_newer (current_revision (gateway), config->revision))
     {
       svc_config_free (config);
       return;
@@ -185,15 +185,15 @@
       log_end (&line);
     }
   gtw_targets_tick (gateway);
-  gtw_tell_all (gateway);
+  gtw_send_state_to_all (gateway);
 }
 
 void
-gtw_take_version (gtw_gateway_t *gateway, kb_slice_t model, kb_slice_t adapter,
-                  uint32_t version)
+gtw_apply_adapter_version (gtw_gateway_t *gateway, kb_slice_t model,
+                           kb_slice_t adapter, uint32_t version)
 {
   const ver_item_t *item
-      = ver_learn (&gateway->versions, model, adapter, version);
+      = ver_table_update (&gateway->versions, model, adapter, version);
   if (item == NULL)
     return;
   log_event_t line;
@@ -207,7 +207,7 @@
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     if (t->is_linked && t->heard_ms > 0)
-      help_sidecar (gateway, t);
+      sync_sidecar (gateway, t);
 }
 
 static void
@@ -236,7 +236,8 @@
 
 /// @return  Whether the engine that served at the last word has ended since.
 static bool
-says_engine_ended (const gtw_target_t *target, const msg_engine_state_t *state)
+reports_engine_ended (const gtw_target_t *target,
+                      const msg_engine_state_t *state)
 {
   bool is_down = target->condition == MSG_ENGINE_READY
                  && state->condition == MSG_ENGINE_DOWN;
@@ -246,7 +247,8 @@
 /// @return  Whether an engine that was taken for ended goes on: its reports
 ///          were late.
 static bool
-says_engine_lives (const gtw_target_t *target, const msg_engine_state_t *state)
+reports_engine_alive (const gtw_target_t *target,
+                      const msg_engine_state_t *state)
 {
   return state->condition == MSG_ENGINE_READY
          && kb_slice_equal (state->instance,
@@ -255,7 +257,7 @@
 
 /// A restarted engine has lost the copies of what it held.
 static void
-take_engine_instance (gtw_target_t *target, const msg_engine_state_t *state)
+apply_engine_instance (gtw_target_t *target, const msg_engine_state_t *state)
 {
   if (state->instance.len_bytes == 0)
     return;
@@ -270,23 +272,23 @@
 /// @return  The target that the word is about, or NULL when it is about an
 ///          earlier incarnation than the one that is known.
 static gtw_target_t *
-target_of_word (gtw_gateway_t *gateway, gtw_target_t *target,
-                const msg_engine_state_t *state)
+target_of_report (gtw_gateway_t *gateway, gtw_target_t *target,
+                  const msg_engine_state_t *state)
 {
   if (!target->is_listed
       || !kb_slice_equal (state->instance, kb_slice_str (target->told.who.id)))
     return target;
-  src_target_t told = target->told;
-  told.who.born_ms = state->born_ms;
+  src_target_t listing = target->told;
+  listing.who.born_ms = state->born_ms;
   // Whether the next life leaves is told by its own entry and its sidecar.
-  told.is_leaving = false;
+  listing.is_leaving = false;
   switch (inc_judge (&target->belief, state->born_ms))
     {
     case INC_STALE:
-      gtw_target_turn_away (target, state->born_ms, "sidecar");
+      gtw_target_report_stale (target, state->born_ms, "sidecar");
       return NULL;
     case INC_ANOTHER:
-      return gtw_target_reborn (gateway, target, &told);
+      return gtw_target_replace_incarnation (gateway, target, &listing);
     default:
       return target;
     }
@@ -296,7 +298,7 @@
 /// list from before still holds. A stamp that does not fit is told back, and
 /// the list comes with the next word.
 static void
-take_adapter_list (gtw_target_t *target, const msg_engine_state_t *state)
+apply_adapter_list (gtw_target_t *target, const msg_engine_state_t *state)
 {
   if (state->adapters.len_bytes == 0
       && target->list_stamp == state->list_stamp)
@@ -308,10 +310,10 @@
 }
 
 static void
-take_engine_state (gtw_gateway_t *gateway, gtw_target_t *target,
-                   const msg_engine_state_t *state)
+apply_engine_state (gtw_gateway_t *gateway, gtw_target_t *target,
+                    const msg_engine_state_t *state)
 {
-  target = target_of_word (gateway, target, state);
+  target = target_of_report (gateway, target, state);
   if (target == NULL)
     return;
   bool is_restarted = target->heard_ms > 0 && target->incarnation != 0
@@ -319,9 +321,9 @@
   bool is_first = target->heard_ms == 0;
   target->heard_ms = gtw_now_ms (gateway);
   // A sidecar that has just started knows of no engine yet.
-  if (!is_first && !is_restarted && says_engine_ended (target, state))
-    gtw_quarantine_target_ended (gateway, target, "sidecar");
-  else if (says_engine_lives (target, state))
+  if (!is_first && !is_restarted && reports_engine_ended (target, state))
+    gtw_quarantine_record_target_end (gateway, target, "sidecar");
+  else if (reports_engine_alive (target, state))
     target->ended_ms = 0;
   target->incarnation = state->incarnation;
   target->sidecar_revision = state->revision;
@@ -343,31 +345,32 @@
   target->tokens_per_ms = (double)state->tokens_per_s / 1000;
   if (state->gateway_count > 0)
     gateway->gateway_count = (uint32_t)state->gateway_count;
-  take_engine_instance (target, state);
-  take_adapter_list (target, state);
+  apply_engine_instance (target, state);
+  apply_adapter_list (target, state);
   if (is_first || is_restarted)
-    gtw_tell_sidecar (gateway, target);
-  help_sidecar (gateway, target);
+    gtw_send_gateway_state (gateway, target);
+  sync_sidecar (gateway, target);
   if (is_restarted)
     gtw_places_lost (gateway, target, "sidecar_lost");
 }
 
 static void
-take_document (gtw_gateway_t *gateway, const msg_document_t *given,
-               const char *from)
+apply_document (gtw_gateway_t *gateway, const msg_document_t *document_msg,
+                const char *from)
 {
-  if (!svc_revision_is_newer (revision_of (gateway), given->revision))
+  if (!svc_revision_is_newer (current_revision (gateway),
+                              document_msg->revision))
     return;
   kb_error_t error = { 0 };
   svc_config_t *config
-      = gateway->deployment->decode_config (given->data, &error);
+      = gateway->deployment->decode_config (document_msg->data, &error);
   if (config == NULL)
     {
       log_write (LOG_ERROR, "config", "A passed on document is ignored: %s.",
                  error.message);
       return;
     }
-  gtw_take_config (gateway, config, given->data, from);
+  gtw_apply_config (gateway, config, document_msg->data, from);
 }
 
 void
@@ -383,7 +386,7 @@
   switch (msg->type)
     {
     case MSG_ENGINE_STATE:
-      take_engine_state (gateway, target, &msg->engine_state);
+      apply_engine_state (gateway, target, &msg->engine_state);
       break;
     case MSG_PLACE_GRANT:
       gtw_place_granted (gateway, &msg->place_grant, target);
@@ -392,21 +395,21 @@
       gtw_place_declined (gateway, &msg->place_decline);
       break;
     case MSG_CHANGES:
-      gtw_peers_answered (gateway, target, &msg->changes);
+      gtw_peers_receive_changes (gateway, target, &msg->changes);
       break;
     case MSG_QUOTA_GRANT:
-      gtw_quota_granted (gateway, &msg->quota_grant);
+      gtw_quota_receive_grant (gateway, &msg->quota_grant);
       break;
     case MSG_QUARANTINE:
-      gtw_quarantine_take (gateway, msg->quarantine.words);
+      gtw_quarantine_merge_records (gateway, msg->quarantine.words);
       break;
     case MSG_DOCUMENT:
-      take_document (gateway, &msg->document, target->link);
+      apply_document (gateway, &msg->document, target->link);
       break;
     case MSG_ADAPTER_VERSION:
-      gtw_take_version (gateway, msg->adapter_version.model,
-                        msg->adapter_version.adapter,
-                        (uint32_t)msg->adapter_version.version);
+      gtw_apply_adapter_version (gateway, msg->adapter_version.model,
+                                 msg->adapter_version.adapter,
+                                 (uint32_t)msg->adapter_version.version);
       break;
     default:
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"unexpected\"");
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -86,7 +86,7 @@
   log_int (&line, "ms", (int64_t)(now_ms - r->arrived_ms));
   log_text (&line, "caller", r->client->caller);
   char fingerprint[FPR_TEXT_BYTES];
-  fpr_text (gtw_request_fingerprint (r, GTW_WIDE), fingerprint);
+  fpr_format (gtw_request_fingerprint (r, GTW_WIDE), fingerprint);
   log_text (&line, "fingerprint", fingerprint);
   log_end (&line);
 }
--- a/src/gateway/gateway_place.c
+++ b/src/gateway/gateway_place.c
@@ -103,7 +103,7 @@
     }
   if (is_stale_grant (grant, from))
     {
-      gtw_target_turn_away (from, grant->born_ms, "grant");
+      gtw_target_report_stale (from, grant->born_ms, "grant");
       gtw_request_leave_target (r);
       gtw_request_next (r);
       return;
--- a/src/gateway/gateway_probe.c
+++ b/src/gateway/gateway_probe.c
@@ -38,7 +38,7 @@
   if (target != NULL)
     target->is_probed = false;
   if (target != NULL && probe->refusals >= REFUSALS)
-    gtw_quarantine_target_ended (gateway, target, "refused");
+    gtw_quarantine_record_target_end (gateway, target, "refused");
   free (probe);
 }
 
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -15,16 +15,16 @@
   /// ended. A sidecar's word or refused connections tell within a second;
   /// where something before the target still takes connections, only the next
   /// incarnation does, some seconds later.
-  EVIDENCE_MS = 5000,
+  END_EVIDENCE_TIMEOUT_MS = 5000,
   /// All connections of a process break within this when it ends.
-  ONE_END_MS = 100,
+  SAME_END_WINDOW_MS = 100,
   /// Sidecars that are told at once, and join what gateways say.
-  FIRST_RECEIVERS = 3,
+  IMMEDIATE_RECEIVERS = 3,
 };
 
 /// Its workspace, or else the address of its connection.
 static uint64_t
-caller_of (const gtw_request_t *r)
+hash_caller (const gtw_request_t *r)
 {
   bool has_workspace = r->workspace[0] != '\0';
   const char *caller = has_workspace ? r->workspace : r->client->caller;
@@ -32,7 +32,7 @@
 }
 
 qrt_verdict_t
-gtw_quarantine_judge (gtw_request_t *r, uint64_t *hold_ms)
+gtw_quarantine_check (gtw_request_t *r, uint64_t *hold_ms)
 {
   const qrt_table_t *table = &r->gateway->quarantine;
   // The fingerprint is not worked out while nothing is known of any request.
@@ -43,7 +43,7 @@
     {
       qrt_verdict_t verdict
           = qrt_judge (table, gtw_request_fingerprint (r, width),
-                       caller_of (r), gtw_now_ms (r->gateway), hold_ms);
+                       hash_caller (r), gtw_now_ms (r->gateway), hold_ms);
       if (verdict > worst)
         worst = verdict;
     }
@@ -51,7 +51,7 @@
 }
 
 bool
-gtw_quarantine_has_broken (gtw_request_t *r)
+gtw_quarantine_has_earlier_break (gtw_request_t *r)
 {
   const gtw_gateway_t *gateway = r->gateway;
   if (gateway->quarantine.entries.len == 0 && gateway->break_count == 0)
@@ -62,7 +62,8 @@
   for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
     if (gateway->breaks[i].target != 0
         && gateway->breaks[i].requests[GTW_WIDE] == request
-        && gtw_now_ms (gateway) - gateway->breaks[i].at_ms <= EVIDENCE_MS)
+        && gtw_now_ms (gateway) - gateway->breaks[i].at_ms
+               <= END_EVIDENCE_TIMEOUT_MS)
       return true;
   return false;
 }
@@ -75,19 +76,20 @@
 }
 
 static void
-give_all (gtw_gateway_t *gateway, const gtw_target_t *target)
+send_all_records (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
-  kb_buf_t words = { 0 };
-  qrt_pack (&gateway->quarantine, gtw_now_ms (gateway), &words);
-  psn_give_quarantine (&gateway->host, target->link, &words);
-  kb_buf_finish (&words);
+  kb_buf_t records = { 0 };
+  qrt_pack (&gateway->quarantine, gtw_now_ms (gateway), &records);
+  fwd_send_quarantine (&gateway->host, target->link, &records);
+  kb_buf_finish (&records);
 }
 
 void
-gtw_quarantine_help (gtw_gateway_t *gateway, const gtw_target_t *target)
+gtw_quarantine_sync_sidecar (gtw_gateway_t *gateway,
+                             const gtw_target_t *target)
 {
   if (target->quarantine_stamp != qrt_stamp (&gateway->quarantine))
-    give_all (gateway, target);
+    send_all_records (gateway, target);
 }
 
 /// @return  The sidecar that is heard and ranks highest for a request below a
@@ -101,12 +103,13 @@
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      uint64_t own = kb_hash (&t->place_key, sizeof t->place_key, request);
-      if (!gtw_target_is_heard (gateway, t) || own >= *rank
-          || own <= best_rank)
+      uint64_t own_rank
+          = kb_hash (&t->place_key, sizeof t->place_key, request);
+      if (!gtw_target_is_heard (gateway, t) || own_rank >= *rank
+          || own_rank <= best_rank)
         continue;
       best = t;
-      best_rank = own;
+      best_rank = own_rank;
     }
   *rank = best_rank;
   return best;
@@ -117,37 +120,37 @@
 /// gateways once it matters.
 /// @return  How many were told.
 static uint32_t
-tell_some (gtw_gateway_t *gateway, uint64_t request)
+send_to_receivers (gtw_gateway_t *gateway, uint64_t request)
 {
-  kb_buf_t words = { 0 };
-  qrt_pack_one (&gateway->quarantine, request, gtw_now_ms (gateway), &words);
-  uint32_t told = 0;
+  kb_buf_t records = { 0 };
+  qrt_pack_one (&gateway->quarantine, request, gtw_now_ms (gateway), &records);
+  uint32_t sent_count = 0;
   uint64_t rank = UINT64_MAX;
   for (const gtw_target_t *t = next_receiver (gateway, request, &rank);
-       t != NULL && told < FIRST_RECEIVERS;
+       t != NULL && sent_count < IMMEDIATE_RECEIVERS;
        t = next_receiver (gateway, request, &rank))
     {
-      psn_give_quarantine (&gateway->host, t->link, &words);
-      told++;
+      fwd_send_quarantine (&gateway->host, t->link, &records);
+      sent_count++;
     }
-  kb_buf_finish (&words);
-  return told;
+  kb_buf_finish (&records);
+  return sent_count;
 }
 
 /// What this gateway found out goes to others. Most requests are suspected
 /// once and never again; only those that may be held are kept at the platform,
 /// unless there is no sidecar that could tell the other gateways.
 static void
-spread (gtw_gateway_t *gateway, uint64_t request, bool may_be_held)
+publish_request (gtw_gateway_t *gateway, uint64_t request, bool may_be_held)
 {
-  if (tell_some (gateway, request) == 0 || may_be_held)
+  if (send_to_receivers (gateway, request) == 0 || may_be_held)
     gtw_keep (gateway, request);
 }
 
 void
-gtw_quarantine_take (gtw_gateway_t *gateway, kb_slice_t words)
+gtw_quarantine_merge_records (gtw_gateway_t *gateway, kb_slice_t records)
 {
-  if (qrt_take (&gateway->quarantine, words, gtw_now_ms (gateway), NULL))
+  if (qrt_take (&gateway->quarantine, records, gtw_now_ms (gateway), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "gateway",
@@ -177,7 +180,7 @@
                   "request_suspected"))
     return;
   char fingerprint[FPR_TEXT_BYTES];
-  fpr_text (request, fingerprint);
+  fpr_format (request, fingerprint);
   log_text (&line, "fingerprint", fingerprint);
   log_text (&line, "target", target->told.who.id);
   log_int (&line, "was_alone", is_alone);
@@ -188,8 +191,8 @@
 
 /// A target ended while this request was beginning there.
 static void
-suspect (gtw_gateway_t *gateway, const gtw_target_t *target,
-         const gtw_break_t *broken, bool is_alone)
+record_suspect (gtw_gateway_t *gateway, const gtw_target_t *target,
+                const gtw_break_t *broken, bool is_alone)
 {
   qrt_end_t end = { .target = incarnation_hash (target),
                     .caller = broken->caller,
@@ -203,18 +206,18 @@
         continue;
       is_new = true;
       uint32_t ends = qrt_ends (&gateway->quarantine, request);
-      spread (gateway, request, ends >= QRT_ENDS_ALONE);
+      publish_request (gateway, request, ends >= QRT_ENDS_ALONE);
     }
   if (is_new)
     log_suspect (gateway, target, broken, is_alone);
 }
 
 static bool
-is_of (const gtw_gateway_t *gateway, const gtw_break_t *broken,
-       const gtw_target_t *target)
+is_recent_break (const gtw_gateway_t *gateway, const gtw_break_t *broken,
+                 const gtw_target_t *target)
 {
   return broken->target == target->key
-         && gtw_now_ms (gateway) - broken->at_ms <= EVIDENCE_MS;
+         && gtw_now_ms (gateway) - broken->at_ms <= END_EVIDENCE_TIMEOUT_MS;
 }
 
 /// Beside a plain target no sidecar lets a request begin alone. One that this
@@ -233,9 +236,9 @@
   for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
     {
       const gtw_break_t *other = &gateway->breaks[i];
-      if (is_of (gateway, other, target)
+      if (is_recent_break (gateway, other, target)
           && other->requests[GTW_WIDE] != broken->requests[GTW_WIDE]
-          && other->at_ms <= broken->at_ms + ONE_END_MS)
+          && other->at_ms <= broken->at_ms + SAME_END_WINDOW_MS)
         return false;
     }
   return true;
@@ -244,15 +247,16 @@
 /// Whom the end of a target may be put down to, once it is certain.
 /// @return  How many.
 static uint32_t
-suspect_all (gtw_gateway_t *gateway, const gtw_target_t *target)
+record_suspects (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
   uint32_t count = 0;
   for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
     {
       const gtw_break_t *broken = &gateway->breaks[i];
-      if (!is_of (gateway, broken, target))
+      if (!is_recent_break (gateway, broken, target))
         continue;
-      suspect (gateway, target, broken, was_alone (gateway, target, broken));
+      record_suspect (gateway, target, broken,
+                      was_alone (gateway, target, broken));
       count++;
     }
   for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
@@ -262,14 +266,14 @@
 }
 
 void
-gtw_quarantine_target_ended (gtw_gateway_t *gateway, gtw_target_t *target,
-                             const char *evidence)
+gtw_quarantine_record_target_end (gtw_gateway_t *gateway, gtw_target_t *target,
+                                  const char *evidence)
 {
   // A target that leaves ends by itself.
   if (target->ended_ms > 0 || gtw_target_is_leaving (target))
     return;
   target->ended_ms = gtw_now_ms (gateway);
-  uint32_t count = suspect_all (gateway, target);
+  uint32_t count = record_suspects (gateway, target);
   MET_INC ("knapweedbay_targets_ended_total", "");
   log_event_t line;
   if (!log_begin (&line, LOG_WARN, "gateway", "target_ended"))
@@ -283,7 +287,7 @@
 /// Whether a request was beginning at its target. What has run there for a
 /// while merely shared it.
 static bool
-is_beginning (const gtw_request_t *r)
+is_starting (const gtw_request_t *r)
 {
   bool is_sent = r->stage == GTW_SENT || r->stage == GTW_PASSING;
   if (!is_sent || r->target == NULL)
@@ -292,14 +296,14 @@
 }
 
 void
-gtw_quarantine_note_break (gtw_request_t *r)
+gtw_quarantine_record_break (gtw_request_t *r)
 {
   gtw_gateway_t *gateway = r->gateway;
-  if (!is_beginning (r))
+  if (!is_starting (r))
     return;
   gtw_target_t *target = r->target;
   gtw_break_t broken = { .target = target->key,
-                         .caller = caller_of (r),
+                         .caller = hash_caller (r),
                          .at_ms = gtw_now_ms (gateway),
                          .is_plain = !r->is_engine,
                          .is_isolated = r->alone.is_alone,
@@ -309,7 +313,8 @@
   // The proof came first: who else was there is looked through already.
   if (target->ended_ms > 0)
     {
-      suspect (gateway, target, &broken, broken.is_alone && !broken.is_plain);
+      record_suspect (gateway, target, &broken,
+                      broken.is_alone && !broken.is_plain);
       return;
     }
   gateway->breaks[gateway->break_count++ % GTW_MAX_BREAKS] = broken;
@@ -324,12 +329,12 @@
   uint64_t now_ms = gtw_now_ms (gateway);
   for (uint32_t i = 0; i < GTW_MAX_BREAKS; i++)
     if (gateway->breaks[i].target == target->key
-        && now_ms - gateway->breaks[i].at_ms > ONE_END_MS)
+        && now_ms - gateway->breaks[i].at_ms > SAME_END_WINDOW_MS)
       gateway->breaks[i].target = 0;
 }
 
 void
-gtw_quarantine_note_served (gtw_request_t *r)
+gtw_quarantine_record_served (gtw_request_t *r)
 {
   gtw_gateway_t *gateway = r->gateway;
   // Whatever it was taken for: it lives.
@@ -344,6 +349,6 @@
       uint32_t ends = qrt_ends (&gateway->quarantine, request);
       if (qrt_note_served (&gateway->quarantine, request,
                            gtw_now_ms (gateway)))
-        spread (gateway, request, ends >= QRT_ENDS_ALONE);
+        publish_request (gateway, request, ends >= QRT_ENDS_ALONE);
     }
 }
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -13,14 +13,14 @@
 {
   MILLI = 1000,
   /// A workspace without requests for this long uses no lender.
-  IN_USE_MS = 2000,
-  DECIDED_MS = 0, ///< At the next turn of the loop.
-  /// When a first sidecar is heard, others follow that rank before it.
-  SETTLE_MS = 500,
+  QUOTA_IN_USE_MS = 2000,
+  DECIDED_DELAY_MS = 0, ///< At the standby_lender turn of the loop.
+  /// When a first sidecar is contact_count, others follow that rank before it.
+  LENDER_SETTLE_MS = 500,
 };
 
 static gtw_charge_t *
-charge_of (qsp_waiter_t *waiter)
+charge_from_waiter (qsp_waiter_t *waiter)
 {
   return (gtw_charge_t *)((char *)waiter - offsetof (gtw_charge_t, waiter));
 }
@@ -28,65 +28,71 @@
 /// Clocks of two VMs tell nothing to each other: of a target, the age of the
 /// limit is sent.
 static uint64_t
-revision_to_send (const gtw_quota_t *quota, const qln_ask_t *ask)
+revision_to_send (const gtw_quota_t *quota, const qln_ask_t *credit_request)
 {
-  return quota->is_of_target ? tmr_boot_ms () - ask->revision : ask->revision;
+  return quota->is_target_limit ? tmr_boot_ms () - credit_request->revision
+                                : credit_request->revision;
 }
 
 static void
-send_ask (qsp_purse_t *purse, uint64_t id, const qln_ask_t *ask)
+send_credit_request (qsp_purse_t *spender, uint64_t id,
+                     const qln_ask_t *credit_request)
 {
-  gtw_quota_t *quota = (gtw_quota_t *)purse;
+  gtw_quota_t *quota = (gtw_quota_t *)spender;
   gtw_gateway_t *gateway = quota->gateway;
-  const gtw_target_t *target = kb_map_get (&gateway->links, purse->lender.id);
-  msg_t msg = { .type = MSG_QUOTA_ASK,
-                .quota_ask
-                = { .id = id,
-                    .subject = ask->workspace,
-                    .is_of_target = quota->is_of_target,
-                    .revision = revision_to_send (quota, ask),
-                    .rate_milli = (uint64_t)(ask->limit.rate_per_s * MILLI),
-                    .burst_milli = (uint64_t)(ask->limit.burst * MILLI),
-                    .least_milli = (uint64_t)(ask->least * MILLI),
-                    .want_milli = (uint64_t)(ask->want * MILLI) + 1,
-                    .unspent_milli = (uint64_t)(ask->unspent * MILLI),
-                    .since_ms = ask->since_ms,
-                    .life = ask->life,
-                    .uptime_ms = ask->uptime_ms,
-                    .reach_milli = (uint64_t)(ask->reach * MILLI),
-                    .past = ask->past,
-                    .ledger_age_ms = ask->ledger_age_ms,
-                    .ledger = ask->ledger,
-                    .gateway_peak = gateway->peak.count,
-                    .gateway_peak_age_ms
-                    = tmr_boot_ms () - gateway->peak.seen_ms } };
+  const gtw_target_t *target
+      = kb_map_get (&gateway->links, spender->lender.id);
+  msg_t msg = {
+    .type = MSG_QUOTA_ASK,
+    .quota_ask
+    = { .id = id,
+        .subject = credit_request->workspace,
+        .is_of_target = quota->is_target_limit,
+        .revision = revision_to_send (quota, credit_request),
+        .rate_milli = (uint64_t)(credit_request->limit.rate_per_s * MILLI),
+        .burst_milli = (uint64_t)(credit_request->limit.burst * MILLI),
+        .least_milli = (uint64_t)(credit_request->least * MILLI),
+        .want_milli = (uint64_t)(credit_request->want * MILLI) + 1,
+        .unspent_milli = (uint64_t)(credit_request->unspent * MILLI),
+        .since_ms = credit_request->since_ms,
+        .life = credit_request->life,
+        .uptime_ms = credit_request->uptime_ms,
+        .reach_milli = (uint64_t)(credit_request->reach * MILLI),
+        .past = credit_request->past,
+        .ledger_age_ms = credit_request->ledger_age_ms,
+        .ledger = credit_request->ledger,
+        .gateway_peak = gateway->peak.count,
+        .gateway_peak_age_ms = tmr_boot_ms () - gateway->peak.seen_ms }
+  };
   MET_INC ("knapweedbay_quota_asks_total", "");
-  // One that can not be sent is sent again by the next tick.
+  // One that can not be sent is sent again by the standby_lender tick.
   if (target == NULL || hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
 }
 
 static void
-note_decided (qsp_purse_t *purse, qsp_waiter_t *waiter, qsp_verdict_t verdict)
+queue_decided (qsp_purse_t *spender, qsp_waiter_t *waiter,
+               qsp_verdict_t verdict)
 {
-  gtw_gateway_t *gateway = ((gtw_quota_t *)purse)->gateway;
-  gtw_charge_t *charge = charge_of (waiter);
+  gtw_gateway_t *gateway = ((gtw_quota_t *)spender)->gateway;
+  gtw_charge_t *charge = charge_from_waiter (waiter);
   charge->verdict = verdict;
-  charge->taken_ms = tmr_boot_ms ();
+  charge->charged_ms = tmr_boot_ms ();
   charge->is_decided = true;
   charge->next_decided = NULL;
   gtw_charge_t **at = &gateway->decided;
   while (*at != NULL)
     at = &(*at)->next_decided;
   *at = charge;
-  tmr_after (&gateway->host.timers, &gateway->decided_timer, DECIDED_MS,
+  tmr_after (&gateway->host.timers, &gateway->decided_timer, DECIDED_DELAY_MS,
              gateway->on_decided, gateway);
 }
 
-static const qsp_events_t purse_events = { send_ask, note_decided };
+static const qsp_events_t spender_callbacks
+    = { send_credit_request, queue_decided };
 
 gtw_request_t *
-gtw_quota_next_decided (gtw_gateway_t *gateway)
+gtw_quota_pop_decided (gtw_gateway_t *gateway)
 {
   gtw_charge_t *charge = gateway->decided;
   if (charge == NULL)
@@ -97,7 +103,7 @@
 }
 
 static void
-forget_decided (gtw_gateway_t *gateway, gtw_charge_t *charge)
+dequeue_decided (gtw_gateway_t *gateway, gtw_charge_t *charge)
 {
   gtw_charge_t **at = &gateway->decided;
   while (*at != charge)
@@ -121,17 +127,18 @@
 }
 
 static bool
-is_young (const gtw_gateway_t *gateway, const quo_tolerance_t *tolerance)
+is_recently_started (const gtw_gateway_t *gateway,
+                     const quo_tolerance_t *tolerance)
 {
   return tmr_boot_ms () - gateway->born_ms < quo_window_ms (tolerance);
 }
 
 static gtw_quota_t *
-quota_open (gtw_gateway_t *gateway, const gtw_subject_t *subject)
+quota_create (gtw_gateway_t *gateway, const gtw_quota_subject_t *subject)
 {
   gtw_quota_t *quota = kb_alloc (sizeof *quota);
   *quota = (gtw_quota_t){ .gateway = gateway,
-                          .is_of_target = subject->is_target };
+                          .is_target_limit = subject->is_target };
   snprintf (quota->name, sizeof quota->name, "%s", subject->name);
   qsp_options_t options
       = { .workspace = subject->key,
@@ -140,16 +147,18 @@
                            : tolerance_of (&gateway->host.settings),
           .first_id = gateway->host.incarnation >> 32,
           .born_ms = gateway->born_ms };
-  options.past
-      = is_young (gateway, &options.tolerance) ? QLN_PAST_LOST : QLN_PAST_NONE;
-  qsp_init (&quota->purse, &purse_events, gateway, &options, tmr_boot_ms ());
+  options.past = is_recently_started (gateway, &options.tolerance)
+                     ? QLN_PAST_LOST
+                     : QLN_PAST_NONE;
+  qsp_init (&quota->spender, &spender_callbacks, gateway, &options,
+            tmr_boot_ms ());
   kb_map_put (&gateway->quotas, subject->key, quota);
   return quota;
 }
 
 static qrk_place_t
-place_of (const gtw_gateway_t *gateway, const gtw_target_t *target,
-          uint64_t workspace)
+rank_entry_of (const gtw_gateway_t *gateway, const gtw_target_t *target,
+               uint64_t workspace)
 {
   return (qrk_place_t){
     .link = gtw_link_key (kb_slice_str (target->link)),
@@ -160,9 +169,10 @@
   };
 }
 
-/// Find who lends and who would be next, of those that are heard.
+/// Find who lends and who would be standby_lender, of those that are
+/// contact_count.
 static qrk_rank_t
-find_lenders (const gtw_gateway_t *gateway, uint64_t workspace,
+rank_lenders (const gtw_gateway_t *gateway, uint64_t workspace,
               uint64_t now_ms)
 {
   qrk_rank_t rank;
@@ -171,9 +181,9 @@
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      qrk_place_t place = place_of (gateway, t, workspace);
+      qrk_place_t entry = rank_entry_of (gateway, t, workspace);
       if (t->is_linked && gtw_target_is_heard (gateway, t))
-        qrk_add (&rank, &place, now_ms);
+        qrk_add (&rank, &entry, now_ms);
     }
   at = 0;
   for (const gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
@@ -181,15 +191,15 @@
     {
       if (!t->is_linked || t->unheard_ms <= rank.changed_ms)
         continue;
-      qrk_place_t place = place_of (gateway, t, workspace);
-      qrk_note_silent (&rank, &place);
+      qrk_place_t entry = rank_entry_of (gateway, t, workspace);
+      qrk_note_silent (&rank, &entry);
     }
   return rank;
 }
 
 /// Sidecars are to know at once who borrows where.
 static void
-tell_soon (const gtw_gateway_t *gateway, uint64_t link)
+expedite_state_report (const gtw_gateway_t *gateway, uint64_t link)
 {
   gtw_target_t *target = kb_map_get (&gateway->links, link);
   if (target != NULL)
@@ -197,160 +207,164 @@
 }
 
 static void
-follow_lender (gtw_quota_t *quota, uint64_t now_ms)
+update_lender (gtw_quota_t *quota, uint64_t now_ms)
 {
   gtw_gateway_t *gateway = quota->gateway;
-  qrk_rank_t rank = find_lenders (gateway, quota->purse.workspace, now_ms);
+  qrk_rank_t rank = rank_lenders (gateway, quota->spender.workspace, now_ms);
   qrk_place_t first = rank.first;
-  if (now_ms - gateway->alone_ms < SETTLE_MS)
+  if (now_ms - gateway->alone_ms < LENDER_SETTLE_MS)
     first = (qrk_place_t){ 0 };
-  uint64_t before = quota->purse.lender.id;
-  quota->next = rank.second.link;
-  qsp_lender_t taken = { first.link, first.life };
-  qsp_set_reach (&quota->purse, gateway->reach);
-  qsp_set_lender (&quota->purse, &taken, qrk_first_since_ms (&rank),
+  uint64_t before = quota->spender.lender.id;
+  quota->standby_lender = rank.second.link;
+  qsp_lender_t chosen_lender = { first.link, first.life };
+  qsp_set_reach (&quota->spender, gateway->reach);
+  qsp_set_lender (&quota->spender, &chosen_lender, qrk_first_since_ms (&rank),
                   gateway->peak.count, now_ms);
   if (before == first.link)
     return;
-  tell_soon (gateway, before);
-  tell_soon (gateway, quota->next);
+  expedite_state_report (gateway, before);
+  expedite_state_report (gateway, quota->standby_lender);
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "quota_lender"))
     return;
   const gtw_target_t *lender = kb_map_get (&gateway->links, first.link);
-  log_text (&line, quota->is_of_target ? "target" : "workspace", quota->name);
+  log_text (&line, quota->is_target_limit ? "target" : "workspace",
+            quota->name);
   log_text (&line, "sidecar", lender == NULL ? "" : lender->link);
-  log_int (&line, "rate_per_s", (int64_t)quota->purse.limit.rate_per_s);
-  log_int (&line, "burst", (int64_t)quota->purse.limit.burst);
+  log_int (&line, "rate_per_s", (int64_t)quota->spender.limit.rate_per_s);
+  log_int (&line, "burst", (int64_t)quota->spender.limit.burst);
   log_end (&line);
 }
 
 void
-gtw_quota_use (gtw_request_t *r, gtw_charge_t *charge,
-               const gtw_subject_t *subject, double amount)
+gtw_quota_prepare_charge (gtw_request_t *r, gtw_charge_t *charge,
+                          const gtw_quota_subject_t *subject, double amount)
 {
   gtw_gateway_t *gateway = r->gateway;
   gtw_quota_t *quota = kb_map_get (&gateway->quotas, subject->key);
   bool is_new = quota == NULL;
   if (is_new)
-    quota = quota_open (gateway, subject);
-  qsp_set_limit (&quota->purse, &subject->limit, subject->revision);
+    quota = quota_create (gateway, subject);
+  qsp_set_limit (&quota->spender, &subject->limit, subject->revision);
   if (is_new)
-    follow_lender (quota, tmr_boot_ms ());
-  quota->users++;
+    update_lender (quota, tmr_boot_ms ());
+  quota->charge_count++;
   *charge = (gtw_charge_t){
     .quota = quota, .request = r, .amount = amount, .verdict = QSP_WAITS
   };
 }
 
 void
-gtw_quota_charge (gtw_request_t *r, const wsp_workspace_t *workspace)
+gtw_quota_prepare_workspace_charge (gtw_request_t *r,
+                                    const wsp_workspace_t *workspace)
 {
   const wsp_limit_t *limit = &workspace->limit;
   if (limit->rate_per_s <= 0)
     return;
-  gtw_subject_t subject = { .key = workspace_key (workspace->name),
-                            .name = workspace->name,
-                            .limit = { limit->rate_per_s, limit->burst },
-                            .revision = r->gateway->config->revision };
+  gtw_quota_subject_t subject = { .key = workspace_key (workspace->name),
+                                  .name = workspace->name,
+                                  .limit = { limit->rate_per_s, limit->burst },
+                                  .revision = r->gateway->config->revision };
   double tokens = r->said.states_tokens ? (double)r->said.prompt_tokens
                                               + (double)r->said.output_tokens
                                         : (double)limit->plain_tokens;
-  gtw_quota_use (r, &r->charge, &subject, limit->counts_tokens ? tokens : 1);
+  gtw_quota_prepare_charge (r, &r->charge, &subject,
+                            limit->counts_tokens ? tokens : 1);
 }
 
 qsp_verdict_t
-gtw_quota_take (gtw_charge_t *charge)
+gtw_quota_try_charge (gtw_charge_t *charge)
 {
   if (charge->quota == NULL)
     return QSP_SPENT;
-  if (charge->is_asked)
+  if (charge->is_requested)
     return charge->verdict;
-  charge->is_asked = true;
-  charge->taken_ms = tmr_boot_ms ();
-  charge->verdict = qsp_enter (&charge->quota->purse, &charge->waiter,
-                               charge->amount, charge->taken_ms);
+  charge->is_requested = true;
+  charge->charged_ms = tmr_boot_ms ();
+  charge->verdict = qsp_enter (&charge->quota->spender, &charge->waiter,
+                               charge->amount, charge->charged_ms);
   return charge->verdict;
 }
 
 bool
 gtw_quota_has_lender (const gtw_charge_t *charge)
 {
-  return charge->quota->purse.lender.id != 0;
+  return charge->quota->spender.lender.id != 0;
 }
 
 uint64_t
 gtw_quota_wait_ms (const gtw_charge_t *charge)
 {
-  return qsp_wait_ms (&charge->quota->purse, tmr_boot_ms ());
+  return qsp_wait_ms (&charge->quota->spender, tmr_boot_ms ());
 }
 
 uint64_t
 gtw_quota_subject_wait_ms (const gtw_gateway_t *gateway, uint64_t subject)
 {
   const gtw_quota_t *quota = kb_map_get (&gateway->quotas, subject);
-  return quota == NULL ? 0 : qsp_wait_ms (&quota->purse, tmr_boot_ms ());
+  return quota == NULL ? 0 : qsp_wait_ms (&quota->spender, tmr_boot_ms ());
 }
 
 void
-gtw_quota_release (gtw_charge_t *charge, bool has_not_run)
+gtw_quota_release_charge (gtw_charge_t *charge, bool has_not_run)
 {
   gtw_quota_t *quota = charge->quota;
   if (quota == NULL)
     return;
-  qsp_leave (&quota->purse, &charge->waiter);
+  qsp_leave (&quota->spender, &charge->waiter);
   if (charge->is_decided)
-    forget_decided (quota->gateway, charge);
-  bool is_spent = charge->is_asked && charge->verdict == QSP_SPENT;
+    dequeue_decided (quota->gateway, charge);
+  bool is_spent = charge->is_requested && charge->verdict == QSP_SPENT;
   if (is_spent && has_not_run)
-    qsp_give_back (&quota->purse, charge->amount, charge->taken_ms);
-  quota->users--;
+    qsp_give_back (&quota->spender, charge->amount, charge->charged_ms);
+  quota->charge_count--;
   charge->quota = NULL;
 }
 
 void
-gtw_quota_granted (gtw_gateway_t *gateway, const msg_quota_grant_t *given)
+gtw_quota_receive_grant (gtw_gateway_t *gateway,
+                         const msg_quota_grant_t *grant_msg)
 {
-  gtw_quota_t *quota = kb_map_get (&gateway->quotas, given->subject);
+  gtw_quota_t *quota = kb_map_get (&gateway->quotas, grant_msg->subject);
   if (quota == NULL)
     return;
-  qln_grant_t grant = { .granted = (double)given->granted_milli / MILLI,
-                        .lasts_ms = given->lasts_ms,
-                        .wait_ms = given->wait_ms,
-                        .is_pause = given->is_pause != 0,
-                        .is_refused = given->is_refused != 0 };
-  qsp_take_grant (&quota->purse, given->id, &grant, given->ledger,
+  qln_grant_t grant = { .granted = (double)grant_msg->granted_milli / MILLI,
+                        .lasts_ms = grant_msg->lasts_ms,
+                        .wait_ms = grant_msg->wait_ms,
+                        .is_pause = grant_msg->is_pause != 0,
+                        .is_refused = grant_msg->is_refused != 0 };
+  qsp_take_grant (&quota->spender, grant_msg->id, &grant, grant_msg->ledger,
                   tmr_boot_ms ());
 }
 
 static void
-note_heard (gtw_target_t *target, bool is_heard, uint64_t now_ms)
+update_contact (gtw_target_t *target, bool is_in_contact, uint64_t now_ms)
 {
-  bool was_heard = target->heard_since_ms > 0;
-  if (is_heard == was_heard)
+  bool was_in_contact = target->heard_since_ms > 0;
+  if (is_in_contact == was_in_contact)
     return;
-  target->heard_since_ms = is_heard ? now_ms : 0;
-  if (was_heard)
+  target->heard_since_ms = is_in_contact ? now_ms : 0;
+  if (was_in_contact)
     target->unheard_ms = now_ms;
 }
 
-/// Note which sidecars are heard, and since when.
+/// Note which sidecars are contact_count, and since when.
 static void
-follow_heard (gtw_gateway_t *gateway, uint64_t now_ms)
+update_contacts (gtw_gateway_t *gateway, uint64_t now_ms)
 {
   uint32_t linked = 0;
-  uint32_t heard = 0;
+  uint32_t contact_count = 0;
   uint32_t at = 0;
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     {
-      bool is_heard = t->is_linked && gtw_target_is_heard (gateway, t);
+      bool is_in_contact = t->is_linked && gtw_target_is_heard (gateway, t);
       linked += t->is_listed && t->is_linked;
-      heard += is_heard;
-      note_heard (t, is_heard, now_ms);
+      contact_count += is_in_contact;
+      update_contact (t, is_in_contact, now_ms);
     }
-  gateway->reach = linked == 0 ? 0 : (double)heard / linked;
-  if (heard == 0)
+  gateway->reach = linked == 0 ? 0 : (double)contact_count / linked;
+  if (contact_count == 0)
     gateway->alone_ms = now_ms;
 }
 
@@ -361,7 +375,7 @@
   uint32_t at = 0;
   for (gtw_quota_t *q = kb_map_next (&gateway->quotas, &at); q != NULL;
        q = kb_map_next (&gateway->quotas, &at))
-    if (q->users == 0 && qsp_is_idle (&q->purse, now_ms))
+    if (q->charge_count == 0 && qsp_is_idle (&q->spender, now_ms))
       return q;
   return NULL;
 }
@@ -370,39 +384,39 @@
 gtw_quotas_tick (gtw_gateway_t *gateway)
 {
   uint64_t now_ms = tmr_boot_ms ();
-  follow_heard (gateway, now_ms);
+  update_contacts (gateway, now_ms);
   gtw_quota_t *idle = find_idle (gateway, now_ms);
   if (idle != NULL)
     {
-      kb_map_remove (&gateway->quotas, idle->purse.workspace);
+      kb_map_remove (&gateway->quotas, idle->spender.workspace);
       free (idle);
     }
   uint32_t at = 0;
   for (gtw_quota_t *q = kb_map_next (&gateway->quotas, &at); q != NULL;
        q = kb_map_next (&gateway->quotas, &at))
     {
-      follow_lender (q, now_ms);
-      qsp_tick (&q->purse, now_ms);
+      update_lender (q, now_ms);
+      qsp_tick (&q->spender, now_ms);
     }
 }
 
 void
-gtw_quotas_pack_elsewhere (const gtw_gateway_t *gateway, uint64_t link,
-                           kb_buf_t *out)
+gtw_quotas_pack_lent_elsewhere (const gtw_gateway_t *gateway, uint64_t link,
+                                kb_buf_t *out)
 {
   uint64_t now_ms = tmr_boot_ms ();
   const gtw_target_t *target = kb_map_get (&gateway->links, link);
-  // One that is not heard here may lend to others.
+  // One that is not contact_count here may lend to others.
   bool is_silent = target == NULL || !gtw_target_is_heard (gateway, target);
   uint32_t at = 0;
   for (const gtw_quota_t *q = kb_map_next (&gateway->quotas, &at); q != NULL;
        q = kb_map_next (&gateway->quotas, &at))
     {
-      const qsp_purse_t *purse = &q->purse;
-      bool is_in_use
-          = purse->lender.id != 0 && now_ms - purse->demand_ms < IN_USE_MS;
-      if (is_in_use && (is_silent || q->next == link)
-          && out->len_bytes < QOF_WORKSPACES_MOST * sizeof purse->workspace)
-        kb_buf_append (out, &purse->workspace, sizeof purse->workspace);
+      const qsp_purse_t *spender = &q->spender;
+      bool is_in_use = spender->lender.id != 0
+                       && now_ms - spender->demand_ms < QUOTA_IN_USE_MS;
+      if (is_in_use && (is_silent || q->standby_lender == link)
+          && out->len_bytes < QOF_WORKSPACES_MOST * sizeof spender->workspace)
+        kb_buf_append (out, &spender->workspace, sizeof spender->workspace);
     }
 }
--- a/src/gateway/gateway_request.c
+++ b/src/gateway/gateway_request.c
@@ -198,7 +198,7 @@
           .path = h1_head_target (&conn->head),
           .adapter = kb_slice_str (adapter),
           .body = kb_buf_slice (&r->body) };
-  r->fingerprints[width] = fpr_of (&parts);
+  r->fingerprints[width] = fpr_compute (&parts);
   return r->fingerprints[width];
 }
 
@@ -208,7 +208,7 @@
   tmr_cancel (&r->gateway->host.timers, &r->silence);
   xch_cancel (&r->exchange);
   gtw_place_release (r);
-  gtw_quota_release (&r->permit, !r->is_permit_used);
+  gtw_quota_release_charge (&r->permit, !r->is_permit_used);
   gtw_alone_end (r);
   if (r->target != NULL)
     r->target->active--;
@@ -220,7 +220,7 @@
 {
   gtw_gateway_t *gateway = r->gateway;
   bool was_sent = r->stage == GTW_SENT || r->stage == GTW_PASSING;
-  gtw_quota_release (&r->charge, r->is_refused || !was_sent);
+  gtw_quota_release_charge (&r->charge, r->is_refused || !was_sent);
   gtw_request_leave_target (r);
   tmr_cancel (&gateway->host.timers, &r->timer);
   request_unlink (gateway, r);
@@ -291,7 +291,7 @@
       gtw_request_refuse (r, "timeout_unsent", 0);
       return;
     }
-  gtw_quarantine_note_break (r);
+  gtw_quarantine_record_break (r);
   gtw_request_fail (r, HTTP_GATEWAY_TIMEOUT, "timeout");
 }
 
@@ -365,7 +365,7 @@
       return;
     }
   bool is_service_down = r->reason[0] == '\0';
-  uint64_t back_ms = gtw_backpressure_back_ms (r);
+  uint64_t back_ms = gtw_backpressure_retry_after_ms (r);
   if (back_ms > 0)
     gtw_request_refuse (r, is_service_down ? "target_paused" : r->reason,
                         back_ms);
@@ -418,7 +418,7 @@
 static bool
 request_take_quota (gtw_request_t *r)
 {
-  switch (gtw_quota_take (&r->charge))
+  switch (gtw_quota_try_charge (&r->charge))
     {
     case QSP_SPENT:
       return true;
@@ -468,7 +468,7 @@
 static void
 request_send_plain (gtw_request_t *r)
 {
-  switch (gtw_backpressure_take (r))
+  switch (gtw_backpressure_try_permit (r))
     {
     case QSP_SPENT:
       request_begin_plain (r);
@@ -515,7 +515,7 @@
   if (!r->is_routed && !request_route_late (r))
     return;
   uint64_t hold_ms = 0;
-  qrt_verdict_t verdict = gtw_quarantine_judge (r, &hold_ms);
+  qrt_verdict_t verdict = gtw_quarantine_check (r, &hold_ms);
   if (verdict == QRT_HELD)
     {
       gtw_quarantine_refuse (r, hold_ms);
@@ -524,8 +524,8 @@
   if (!request_take_quota (r))
     return;
   r->alone.is_alone = !r->is_engine && verdict == QRT_ALONE;
-  r->begins_alone
-      = r->is_engine ? verdict == QRT_ALONE : gtw_quarantine_has_broken (r);
+  r->begins_alone = r->is_engine ? verdict == QRT_ALONE
+                                 : gtw_quarantine_has_earlier_break (r);
   gtw_target_t *target
       = r->tried_count < GTW_MAX_TRIES ? gtw_target_choose (gateway, r) : NULL;
   if (target == NULL)
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -12,13 +12,13 @@
 {
   MAX_IDLE_CONNECTIONS = 24,
   /// A sidecar says something at least every 400 ms.
-  SIDECAR_SILENT_MS = 1300,
+  SIDECAR_TIMEOUT_MS = 1300,
   /// A new link is given this long for its first word.
-  LINK_FIRST_MS = 1500,
-  TELL_MS = 1000,
+  FIRST_REPORT_TIMEOUT_MS = 1500,
+  STATE_INTERVAL_MS = 1000,
   /// While a request waits for a place, its sidecar is told this often which
   /// places are open, so that a lost message is made good.
-  TELL_AGAIN_MS = 300,
+  STATE_RESEND_INTERVAL_MS = 300,
 };
 
 static uint64_t
@@ -45,7 +45,7 @@
 
 /// What the sidecar said of its engine.
 static void
-take_over_engine (gtw_target_t *target, gtw_target_t *from)
+move_engine_state (gtw_target_t *target, gtw_target_t *from)
 {
   target->condition = from->condition;
   target->slots = from->slots;
@@ -67,22 +67,22 @@
   from->adapter_count = 0;
 }
 
-/// @return  Whether a sidecar's word was about the incarnation before.
+/// @return  Whether a sidecar's word was about the incarnation previous.
 static bool
-is_of_before (const inc_t *engine, const gtw_target_t *next,
-              const gtw_target_t *before)
+is_about_previous (const inc_t *engine, const gtw_target_t *next,
+                   const gtw_target_t *previous)
 {
   uint64_t born_ms = next->told.who.born_ms;
   if (strcmp (engine->id, next->told.who.id) == 0)
     return engine->born_ms > 0 && born_ms > 0 && engine->born_ms != born_ms;
-  return strcmp (engine->id, before->told.who.id) == 0;
+  return strcmp (engine->id, previous->told.who.id) == 0;
 }
 
 /// The same sidecar looks after another incarnation. What it said last holds,
-/// and the engine can be used before its next word, unless that was about the
-/// incarnation before: it said so, and what that one held is gone.
+/// and the engine can be used previous its next word, unless that was about
+/// the incarnation previous: it said so, and what that one held is gone.
 static void
-take_over_link (gtw_target_t *target, gtw_target_t *from)
+move_link (gtw_target_t *target, gtw_target_t *from)
 {
   target->heard_ms = from->heard_ms;
   target->heard_since_ms = from->heard_since_ms;
@@ -91,15 +91,15 @@
   target->incarnation = from->incarnation;
   target->sidecar_revision = from->sidecar_revision;
   target->sidecar_versions = from->sidecar_versions;
-  gtw_backpressure_take_over (target, from);
+  gtw_backpressure_inherit (target, from);
   from->is_linked = false;
-  if (!is_of_before (&from->engine, target, from))
-    take_over_engine (target, from);
+  if (!is_about_previous (&from->engine, target, from))
+    move_engine_state (target, from);
 }
 
 /// Open the link to the sidecar beside an engine.
 void
-gtw_target_link (gtw_gateway_t *gateway, gtw_target_t *target)
+gtw_target_open_link (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   if (target->is_linked || !target->is_listed
       || !is_engine_service (gateway, target->told.service))
@@ -109,25 +109,25 @@
   snprintf (target->link, sizeof target->link, "%s:%d", ip,
             (int)gateway->host.settings.inner_port);
   uint64_t link_key = gtw_link_key (kb_slice_str (target->link));
-  gtw_target_t *present = kb_map_get (&gateway->links, link_key);
-  // After a restart the list names the engine's incarnations before and after
-  // it for a while. The older one must not take the link back: each would
-  // lose what was asked through the other.
-  if (present != NULL && present->is_listed && present->key > target->key)
+  gtw_target_t *current = kb_map_get (&gateway->links, link_key);
+  // After a restart the list names the engine's incarnations previous and
+  // after it for a while. The older one must not take the link back: each
+  // would lose what was asked through the other.
+  if (current != NULL && current->is_listed && current->key > target->key)
     return;
   target->is_linked = true;
   target->linked_ms = gtw_now_ms (gateway);
   target->heard_ms = 0;
   target->list_stamp = 0;
-  if (present != NULL && present != target)
-    take_over_link (target, present);
-  else if (present == NULL)
+  if (current != NULL && current != target)
+    move_link (target, current);
+  else if (current == NULL)
     plk_link_connect (&gateway->host.link, target->link);
   kb_map_put (&gateway->links, link_key, target);
 }
 
 static void
-target_unlink (gtw_gateway_t *gateway, gtw_target_t *target)
+target_close_link (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   if (!target->is_linked)
     return;
@@ -141,7 +141,7 @@
 }
 
 void
-gtw_target_log (const gtw_target_t *target, const char *event)
+gtw_target_log_event (const gtw_target_t *target, const char *event)
 {
   log_event_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", event))
@@ -154,70 +154,71 @@
   log_end (&line);
 }
 
-/// Another incarnation is listed at an address: those before it have ended,
+/// Another incarnation is listed at an address: those previous it have ended,
 /// however short the time was between them.
 static void
-end_those_before (gtw_gateway_t *gateway, const gtw_target_t *next)
+record_previous_ended (gtw_gateway_t *gateway, const gtw_target_t *next)
 {
   uint32_t at = 0;
   for (gtw_target_t *t = kb_map_next (&gateway->targets, &at); t != NULL;
        t = kb_map_next (&gateway->targets, &at))
     if (t != next && t->place_key == next->place_key)
-      gtw_quarantine_target_ended (gateway, t, "replaced");
+      gtw_quarantine_record_target_end (gateway, t, "replaced");
 }
 
 gtw_target_t *
-gtw_target_add (gtw_gateway_t *gateway, const src_target_t *told)
+gtw_target_add (gtw_gateway_t *gateway, const src_target_t *listing)
 {
   gtw_target_t *target = kb_alloc (sizeof *target);
-  *target = (gtw_target_t){ .told = *told,
-                            .belief = { .born_ms = told->who.born_ms },
+  *target = (gtw_target_t){ .told = *listing,
+                            .belief = { .born_ms = listing->who.born_ms },
                             .key = ++gateway->newest_key,
-                            .place_key = address_key (&told->address),
+                            .place_key = address_key (&listing->address),
                             .condition = MSG_ENGINE_DOWN,
                             .is_listed = true };
-  xch_peer_init (&target->peer, &gateway->host.pool, &told->address,
+  xch_peer_init (&target->peer, &gateway->host.pool, &listing->address,
                  MAX_IDLE_CONNECTIONS);
   kb_map_put (&gateway->targets, target->key, target);
-  kb_map_put (&gateway->present, id_key (kb_slice_str (told->who.id)), target);
-  gtw_target_log (target, "target_listed");
-  end_those_before (gateway, target);
+  kb_map_put (&gateway->present, id_key (kb_slice_str (listing->who.id)),
+              target);
+  gtw_target_log_event (target, "target_listed");
+  record_previous_ended (gateway, target);
   return target;
 }
 
 void
-gtw_target_told (gtw_gateway_t *gateway, const src_target_t *told)
+gtw_target_apply_listing (gtw_gateway_t *gateway, const src_target_t *listing)
 {
-  uint64_t key = id_key (kb_slice_str (told->who.id));
+  uint64_t key = id_key (kb_slice_str (listing->who.id));
   gtw_target_t *target = kb_map_get (&gateway->present, key);
   if (target == NULL)
-    target = gtw_target_add (gateway, told);
-  switch (inc_judge (&target->belief, told->who.born_ms))
+    target = gtw_target_add (gateway, listing);
+  switch (inc_judge (&target->belief, listing->who.born_ms))
     {
     case INC_STALE:
-      gtw_target_turn_away (target, told->who.born_ms, "list");
+      gtw_target_report_stale (target, listing->who.born_ms, "list");
       return;
     case INC_ANOTHER:
-      target = gtw_target_reborn (gateway, target, told);
+      target = gtw_target_replace_incarnation (gateway, target, listing);
       break;
     case INC_SAME:
       break;
     }
-  if (told->is_leaving && !target->told.is_leaving)
-    gtw_target_log (target, "target_leaving");
-  target->told = *told;
+  if (listing->is_leaving && !target->told.is_leaving)
+    gtw_target_log_event (target, "target_leaving");
+  target->told = *listing;
   target->is_listed = true;
-  gtw_target_link (gateway, target);
+  gtw_target_open_link (gateway, target);
 }
 
 void
-gtw_target_gone (gtw_gateway_t *gateway, kb_slice_t id)
+gtw_target_remove_listing (gtw_gateway_t *gateway, kb_slice_t id)
 {
   gtw_target_t *target = kb_map_get (&gateway->present, id_key (id));
   if (target == NULL || !target->is_listed)
     return;
   target->is_listed = false;
-  gtw_target_log (target, "target_gone");
+  gtw_target_log_event (target, "target_gone");
   xch_peer_finish (&target->peer);
 }
 
@@ -246,20 +247,21 @@
 {
   uint64_t since_ms
       = target->heard_ms > 0 ? target->heard_ms : target->linked_ms;
-  uint64_t limit_ms = target->heard_ms > 0 ? SIDECAR_SILENT_MS : LINK_FIRST_MS;
+  uint64_t limit_ms
+      = target->heard_ms > 0 ? SIDECAR_TIMEOUT_MS : FIRST_REPORT_TIMEOUT_MS;
   if (now_ms - since_ms < limit_ms)
     return;
   if (target->heard_ms > 0)
-    gtw_target_log (target, "sidecar_lost");
-  target_unlink (gateway, target);
-  gtw_target_link (gateway, target);
+    gtw_target_log_event (target, "sidecar_lost");
+  target_close_link (gateway, target);
+  gtw_target_open_link (gateway, target);
   gtw_places_lost (gateway, target, "sidecar_lost");
 }
 
 static void
 target_free (gtw_gateway_t *gateway, gtw_target_t *target)
 {
-  target_unlink (gateway, target);
+  target_close_link (gateway, target);
   kb_map_remove (&gateway->targets, target->key);
   uint64_t id = id_key (kb_slice_str (target->told.who.id));
   if (kb_map_get (&gateway->present, id) == target)
@@ -296,19 +298,20 @@
 static void
 tick_link (gtw_gateway_t *gateway, gtw_target_t *target, uint64_t now_ms)
 {
-  gtw_target_link (gateway, target);
+  gtw_target_open_link (gateway, target);
   if (!target->is_linked)
     return;
   check_sidecar (gateway, target, now_ms);
   if (gtw_target_pause_ms (target) > 0)
     gtw_places_lost (gateway, target, "target_paused");
-  uint64_t silent_ms = now_ms - target->told_ms;
-  bool is_answer_due
-      = silent_ms > TELL_AGAIN_MS && gtw_places_wait_for (gateway, target);
+  uint64_t since_sent_ms = now_ms - target->told_ms;
+  bool is_resend_due = since_sent_ms > STATE_RESEND_INTERVAL_MS
+                       && gtw_places_wait_for (gateway, target);
   // Until the link is up nothing reaches the sidecar; say it again soon, or a
   // restarted fleet stays without engines for a second.
-  if (silent_ms >= TELL_MS || target->heard_ms == 0 || is_answer_due)
-    gtw_tell_sidecar (gateway, target);
+  if (since_sent_ms >= STATE_INTERVAL_MS || target->heard_ms == 0
+      || is_resend_due)
+    gtw_send_gateway_state (gateway, target);
 }
 
 void
--- a/src/relay/fingerprint.c
+++ b/src/relay/fingerprint.c
@@ -17,7 +17,7 @@
 }
 
 uint64_t
-fpr_of (const fpr_request_t *request)
+fpr_compute (const fpr_request_t *request)
 {
   EVP_MD_CTX *digest = EVP_MD_CTX_new ();
   assert (digest != NULL);
@@ -38,7 +38,7 @@
 }
 
 void
-fpr_text (uint64_t fingerprint, char out[FPR_TEXT_BYTES])
+fpr_format (uint64_t fingerprint, char out[FPR_TEXT_BYTES])
 {
   snprintf (out, FPR_TEXT_BYTES, "%016llx", (unsigned long long)fingerprint);
 }
--- a/src/relay/fingerprint.h
+++ b/src/relay/fingerprint.h
@@ -25,8 +25,8 @@
 /// A cryptographic digest, so that nobody can make a request that passes for
 /// another caller's.
 /// @return  Never zero.
-uint64_t fpr_of (const fpr_request_t *request);
+uint64_t fpr_compute (const fpr_request_t *request);
 /// Write it as in log lines.
-void fpr_text (uint64_t fingerprint, char out[FPR_TEXT_BYTES]);
+void fpr_format (uint64_t fingerprint, char out[FPR_TEXT_BYTES]);
 
 #endif
--- a/src/relay/host.c
+++ b/src/relay/host.c
@@ -9,9 +9,9 @@
 
 enum
 {
-  FLUSH_MS = 250,
+  LOG_FLUSH_INTERVAL_MS = 250,
   /// The settings file may change without a signal.
-  RELOAD_CHECK_MS = 2000,
+  SETTINGS_CHECK_INTERVAL_MS = 2000,
 };
 
 static void
@@ -49,16 +49,16 @@
 static void
 host_reload (hst_host_t *host)
 {
-  set_settings_t fresh;
+  set_settings_t reloaded;
   kb_error_t error = { 0 };
   host->settings_stamp = file_stamp (host->settings_path);
-  if (set_load_file (host->settings_path, &fresh, &error) != KB_OK)
+  if (set_load_file (host->settings_path, &reloaded, &error) != KB_OK)
     {
       log_write (LOG_ERROR, "settings", "The present ones stay: %s.",
                  error.message);
       return;
     }
-  host->settings = fresh;
+  host->settings = reloaded;
   apply_log_settings (host);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "daemon", "reload"))
@@ -112,7 +112,7 @@
 }
 
 static int
-host_answer_page (void *owner, kb_slice_t path, kb_buf_t *body)
+host_serve_page (void *owner, kb_slice_t path, kb_buf_t *body)
 {
   hst_host_t *host = owner;
   if (!kb_slice_equal (path, kb_slice_str ("/metrics")))
@@ -141,7 +141,7 @@
                          "\"listen_address\": \"%s\" is no IP number",
                          s->listen_address);
   return pgs_server_init (&host->metrics, &host->loop, &address,
-                          host_answer_page, host, error);
+                          host_serve_page, host, error);
 }
 
 static void
@@ -172,8 +172,9 @@
   if (status != KB_OK)
     return status;
   host_start_signals (host);
-  tmr_every (&host->timers, &host->flush_timer, FLUSH_MS, host_flush, host);
-  tmr_every (&host->timers, &host->reload_timer, RELOAD_CHECK_MS,
+  tmr_every (&host->timers, &host->flush_timer, LOG_FLUSH_INTERVAL_MS,
+             host_flush, host);
+  tmr_every (&host->timers, &host->reload_timer, SETTINGS_CHECK_INTERVAL_MS,
              host_check_settings, host);
   return KB_OK;
 }
--- a/src/relay/passing.c
+++ b/src/relay/passing.c
@@ -4,24 +4,24 @@
 
 /// The receiver says what it knows in each of its words, and gets it again.
 static void
-give (hst_host_t *host, const char *peer, const msg_t *msg)
+send_or_count (hst_host_t *host, const char *peer, const msg_t *msg)
 {
   if (hst_send (host, peer, msg) != KB_OK)
     MET_INC ("knapweedbay_passing_unsent_total", "");
 }
 
 void
-psn_give_document (hst_host_t *host, const char *peer, uint64_t revision,
+fwd_send_document (hst_host_t *host, const char *peer, uint64_t revision,
                    const kb_buf_t *document)
 {
   msg_t msg = { .type = MSG_DOCUMENT,
                 .document
                 = { .revision = revision, .data = kb_buf_slice (document) } };
-  give (host, peer, &msg);
+  send_or_count (host, peer, &msg);
 }
 
 void
-psn_give_versions (hst_host_t *host, const char *peer,
+fwd_send_versions (hst_host_t *host, const char *peer,
                    const ver_table_t *versions)
 {
   uint32_t at = 0;
@@ -33,16 +33,17 @@
               .adapter_version = { .version = item->version,
                                    .model = kb_slice_str (item->model),
                                    .adapter = kb_slice_str (item->adapter) } };
-      give (host, peer, &msg);
+      send_or_count (host, peer, &msg);
     }
 }
 
 void
-psn_give_quarantine (hst_host_t *host, const char *peer, const kb_buf_t *words)
+fwd_send_quarantine (hst_host_t *host, const char *peer,
+                     const kb_buf_t *records)
 {
-  if (words->len_bytes == 0)
+  if (records->len_bytes == 0)
     return;
   msg_t msg = { .type = MSG_QUARANTINE,
-                .quarantine = { .words = kb_buf_slice (words) } };
-  give (host, peer, &msg);
+                .quarantine = { .words = kb_buf_slice (records) } };
+  send_or_count (host, peer, &msg);
 }
--- a/src/relay/passing.h
+++ b/src/relay/passing.h
@@ -9,13 +9,13 @@
 #include "relay/versions.h"
 
 /// @param document  As the store holds it.
-void psn_give_document (hst_host_t *host, const char *peer, uint64_t revision,
+void fwd_send_document (hst_host_t *host, const char *peer, uint64_t revision,
                         const kb_buf_t *document);
 /// Give every version that is known; the receiver takes what is newer.
-void psn_give_versions (hst_host_t *host, const char *peer,
+void fwd_send_versions (hst_host_t *host, const char *peer,
                         const ver_table_t *versions);
 /// Give words of coordination/quarantine.h; nothing when there are none.
-void psn_give_quarantine (hst_host_t *host, const char *peer,
-                          const kb_buf_t *words);
+void fwd_send_quarantine (hst_host_t *host, const char *peer,
+                          const kb_buf_t *records);
 
 #endif
--- a/src/relay/secret.h
+++ b/src/relay/secret.h
@@ -11,9 +11,9 @@
   SCT_TEXT_BYTES = 9, ///< Hexadecimal digits and the end.
 };
 
-void sct_digest (kb_slice_t key, uint8_t out[WSP_DIGEST_BYTES]);
+void sct_digest_key (kb_slice_t key, uint8_t out[WSP_DIGEST_BYTES]);
 /// Write what names a key in log lines; the key can not be found from it.
-void sct_text (const uint8_t digest[WSP_DIGEST_BYTES],
-               char out[SCT_TEXT_BYTES]);
+void sct_format (const uint8_t digest[WSP_DIGEST_BYTES],
+                 char out[SCT_TEXT_BYTES]);
 
 #endif
--- a/src/relay/turn.h
+++ b/src/relay/turn.h
@@ -14,50 +14,54 @@
 enum
 {
   TRN_PERIOD_MS = 400, ///< Turns change, so that one who lacks it is replaced.
-  TRN_AT_ONCE = 2,     ///< How many have their turn at one time, about.
-  TRN_TELL_LEAST_MS = 100,
-  TRN_TELL_PER_GATEWAY_MS = 8,
-  /// Of sidecars when nothing changes; gateways give up after three.
+  TRN_FANOUT = 2,      ///< How many have their turn at one time, about.
+  TRN_MIN_REPORT_INTERVAL_MS = 100,
+  TRN_REPORT_INTERVAL_PER_GATEWAY_MS = 8,
+  /// Of sidecars when nothing changes; gateway_count give up after three.
   TRN_HEARTBEAT_MS = 400,
 };
 
-/// @return  Shortest time between two words of load to the gateways: longer
+/// @return  Shortest time between two words of load to the gateway_count:
+/// longer
 ///          for each of them, so that the messages of a large fleet grow with
 ///          its size, not with its square; a heartbeat at the most.
 static inline uint64_t
-trn_tell_pause_ms (uint32_t gateways)
+trn_report_interval_ms (uint32_t gateway_count)
 {
-  uint64_t pause_ms = TRN_TELL_PER_GATEWAY_MS * (uint64_t)gateways;
-  if (pause_ms < TRN_TELL_LEAST_MS)
-    return TRN_TELL_LEAST_MS;
+  uint64_t pause_ms
+      = TRN_REPORT_INTERVAL_PER_GATEWAY_MS * (uint64_t)gateway_count;
+  if (pause_ms < TRN_MIN_REPORT_INTERVAL_MS)
+    return TRN_MIN_REPORT_INTERVAL_MS;
   return pause_ms < TRN_HEARTBEAT_MS ? pause_ms : (uint64_t)TRN_HEARTBEAT_MS;
 }
 
-/// @param own     Hash of the one that would pass it on.
-/// @param peer    Hash of the one that lacks it.
-/// @param sharers How many could pass it on.
+/// @param sender     Hash of the one that would pass it on.
+/// @param receiver    Hash of the one that lacks it.
+/// @param sender_count How many could pass it on.
 static inline bool
-trn_is_mine (uint64_t own, uint64_t peer, uint32_t sharers, uint64_t now_ms)
+trn_has_turn (uint64_t sender, uint64_t receiver, uint32_t sender_count,
+              uint64_t now_ms)
 {
-  if (sharers <= TRN_AT_ONCE)
+  if (sender_count <= TRN_FANOUT)
     return true;
-  uint64_t parts[3] = { own, peer, now_ms / TRN_PERIOD_MS };
-  return kb_hash (parts, sizeof parts, 0) % sharers < TRN_AT_ONCE;
+  uint64_t parts[3] = { sender, receiver, now_ms / TRN_PERIOD_MS };
+  return kb_hash (parts, sizeof parts, 0) % sender_count < TRN_FANOUT;
 }
 
 /// Who gets something new at once, before the turns: about two of all that
-/// lack it, others for each giver. When all gateways gave a new configuration
-/// to the first two sidecars of their lists, these were the same two: at 100
-/// gateways the busiest sidecar took in 288 kB a second, the one in the
-/// middle 28.
-/// @param receivers  How many lack it.
+/// lack it, others for each giver. When all gateway_count gave a new
+/// configuration to the first two sidecars of their lists, these were the same
+/// two: at 100 gateway_count the busiest sidecar took in 288 kB a second, the
+/// one in the middle 28.
+/// @param receiver_count  How many lack it.
 static inline bool
-trn_is_first_receiver (uint64_t own, uint64_t peer, uint32_t receivers)
+trn_is_first_receiver (uint64_t sender, uint64_t receiver,
+                       uint32_t receiver_count)
 {
-  if (receivers <= TRN_AT_ONCE)
+  if (receiver_count <= TRN_FANOUT)
     return true;
-  uint64_t parts[2] = { own, peer };
-  return kb_hash (parts, sizeof parts, 0) % receivers < TRN_AT_ONCE;
+  uint64_t parts[2] = { sender, receiver };
+  return kb_hash (parts, sizeof parts, 0) % receiver_count < TRN_FANOUT;
 }
 
 #endif
--- a/src/relay/versions.c
+++ b/src/relay/versions.c
@@ -22,8 +22,8 @@
 }
 
 const ver_item_t *
-ver_learn (ver_table_t *table, kb_slice_t model, kb_slice_t adapter,
-           uint32_t version)
+ver_table_update (ver_table_t *table, kb_slice_t model, kb_slice_t adapter,
+                  uint32_t version)
 {
   char name[EGN_KEY_BYTES];
   uint64_t key = ver_key (model, adapter, name, sizeof name);
@@ -38,7 +38,7 @@
     }
   if (version <= item->version)
     return NULL;
-  table->changes += version - item->version;
+  table->version_sum += version - item->version;
   item->version = version;
   return item;
 }
--- a/src/relay/versions.h
+++ b/src/relay/versions.h
@@ -19,13 +19,13 @@
 typedef struct
 {
   kb_map_t items;
-  uint64_t changes; ///< Sum of all versions: equal sums, equal knowledge.
+  uint64_t version_sum; ///< Sum of all versions: equal sums, equal knowledge.
 } ver_table_t;
 
 void ver_table_finish (ver_table_t *table);
 /// @return  The item when it is newer than what was known, or NULL.
-const ver_item_t *ver_learn (ver_table_t *table, kb_slice_t model,
-                             kb_slice_t adapter, uint32_t version);
+const ver_item_t *ver_table_update (ver_table_t *table, kb_slice_t model,
+                                    kb_slice_t adapter, uint32_t version);
 /// @return  Zero when no version is known.
 uint32_t ver_newest (const ver_table_t *table, uint64_t key);
 /// Key of "model/adapter"; the full name goes to `name`.
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -88,20 +88,20 @@
 {
   uint64_t now_ms = scr_now_ms (s);
   uint64_t own = scr_name_id (kb_slice_str (s->host.settings.name));
-  if (!trn_is_mine (own, gateway->id, s->engine_count, now_ms))
+  if (!trn_has_turn (own, gateway->id, s->engine_count, now_ms))
     return;
   if (s->config != NULL && gateway->revision < s->config->revision
       && is_help_due (s, now_ms))
-    psn_give_document (&s->host, gateway->name, s->config->revision,
+    fwd_send_document (&s->host, gateway->name, s->config->revision,
                        &s->document);
-  if (gateway->versions_known < s->versions.changes)
-    psn_give_versions (&s->host, gateway->name, &s->versions);
+  if (gateway->versions_known < s->versions.version_sum)
+    fwd_send_versions (&s->host, gateway->name, &s->versions);
 }
 
 static void
 take_version (scr_sidecar_t *s, const msg_adapter_version_t *given)
 {
-  const ver_item_t *item = ver_learn (
+  const ver_item_t *item = ver_table_update (
       &s->versions, given->model, given->adapter, (uint32_t)given->version);
   if (item == NULL)
     return;
--- a/src/sidecar/sidecar_quarantine.c
+++ b/src/sidecar/sidecar_quarantine.c
@@ -20,7 +20,7 @@
 tell_all (scr_sidecar_t *s, const kb_buf_t *fresh)
 {
   for (uint32_t i = 0; i < s->gateway_count; i++)
-    psn_give_quarantine (&s->host, s->gateways[i].name, fresh);
+    fwd_send_quarantine (&s->host, s->gateways[i].name, fresh);
 }
 
 void
@@ -43,7 +43,7 @@
 {
   uint64_t own = scr_name_id (kb_slice_str (s->host.settings.name));
   if (stamp != 0)
-    return trn_is_mine (own, gateway->id, s->engine_count, scr_now_ms (s));
+    return trn_has_turn (own, gateway->id, s->engine_count, scr_now_ms (s));
   uint64_t parts[2] = { own, gateway->id };
   return s->engine_count <= GIVERS_AT_START
          || kb_hash (parts, sizeof parts, 0) % s->engine_count
@@ -58,6 +58,6 @@
     return;
   kb_buf_t words = { 0 };
   qrt_pack (&s->quarantine, scr_now_ms (s), &words);
-  psn_give_quarantine (&s->host, gateway->name, &words);
+  fwd_send_quarantine (&s->host, gateway->name, &words);
   kb_buf_finish (&words);
 }
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_tell.c
@@ -88,7 +88,7 @@
     .engine_state
     = { .incarnation = s->host.incarnation,
         .revision = s->config == NULL ? 0 : s->config->revision,
-        .versions_known = s->versions.changes,
+        .versions_known = s->versions.version_sum,
         .condition = s->host.is_stopping ? MSG_ENGINE_LEAVING : s->condition,
         .slots = s->table.options.slots,
         .granted = s->table.granted,
@@ -133,7 +133,7 @@
     return;
   s->is_state_due = true;
   uint64_t since_ms = scr_now_ms (s) - s->told_ms;
-  uint64_t pause_ms = trn_tell_pause_ms (s->gateway_count);
+  uint64_t pause_ms = trn_report_interval_ms (s->gateway_count);
   tmr_after (&s->host.timers, &s->tell_timer,
              since_ms >= pause_ms ? 0 : pause_ms - since_ms, tell_on_time, s);
 }
--- a/test/model/gateway.cc
+++ b/test/model/gateway.cc
@@ -114,7 +114,8 @@
 void
 Gateway::take_version (uint32_t version)
 {
-  ver_learn (&versions_, kb_slice_str ("m"), kb_slice_str ("a1"), version);
+  ver_table_update (&versions_, kb_slice_str ("m"), kb_slice_str ("a1"),
+                    version);
 }
 
 uint32_t
--- a/test/relay/leaving_failure_test.cc
+++ b/test/relay/leaving_failure_test.cc
@@ -12,9 +12,9 @@
 
 /// What callers send that much later than a gateway passed on such an answer
 /// reaches the target from that gateway no more.
-constexpr int kBoundMs = 2000;
+constexpr int kDrainBoundMs = 2000;
 /// By then each gateway under load has passed one on.
-constexpr int kHeardMs = 500;
+constexpr int kReactionMs = 500;
 
 Call
 stream (const std::string &id)
@@ -39,30 +39,31 @@
   site.store.set_mode (Store::SILENT);
   site.far_store.set_mode (Store::SILENT);
   leaving.says_leaving = true;
-  Moment bound
-      = std::chrono::steady_clock::now () + milliseconds (kHeardMs + kBoundMs);
-  std::this_thread::sleep_for (milliseconds (kHeardMs + kBoundMs + 1500));
+  Moment bound = std::chrono::steady_clock::now ()
+                 + milliseconds (kReactionMs + kDrainBoundMs);
+  std::this_thread::sleep_for (
+      milliseconds (kReactionMs + kDrainBoundMs + 1500));
   Load::Counts counts = load.stop ();
   EXPECT_EQ (most_in (arrivals_at (leaving), bound, 1500), 0);
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
 // Guards against leaving that only the list tells.
-TEST (Leaving, AnEngineThatSaysSoGetsNothingNew)
+TEST (Leaving, EngineThatStatesItGetsNoNewRequests)
 {
   Site site (2, 0, 2);
   expect_nothing_after_bound (site, *site.engines[0].target, stream);
 }
 
 // Guards against the same at a plain target, which has no agent.
-TEST (Leaving, APlainTargetThatSaysSoGetsNothingNew)
+TEST (Leaving, PlainTargetThatStatesItGetsNoNewRequests)
 {
   Site site (1, 2, 2);
   expect_nothing_after_bound (site, *site.plain[0], plain);
 }
 
 // Guards against leaving that outlives the life that said so.
-TEST (Leaving, EndsWithTheBirthThatSaidSo)
+TEST (Leaving, EndsWithTheIncarnationThatStatedIt)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -78,7 +79,7 @@
 }
 
 // Guards against an entry of the list that takes leaving back.
-TEST (Leaving, IsNotTakenBackByTheList)
+TEST (Leaving, IsNotRevertedByTheList)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -97,7 +98,7 @@
 }
 
 // Guards against retries and resumed streams that go to a target which leaves.
-TEST (Leaving, RetriesAndResumedStreamsGoElsewhere)
+TEST (Leaving, RetriesAndResumedStreamsAvoidTheTarget)
 {
   Site site (3, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
--- a/test/relay/limit_failure_test.cc
+++ b/test/relay/limit_failure_test.cc
@@ -12,12 +12,12 @@
 
 using std::chrono::milliseconds;
 
-/// The limit binds from then on, over any window, with this tolerance.
-constexpr int kBindsAfterMs = 3000;
+/// The limit enforced_from from then on, over any window, with this tolerance.
+constexpr int kEnforcedAfterMs = 3000;
 constexpr int kWindowMs = 4000;
 
 int
-allowed (double per_s)
+max_allowed (double per_s)
 {
   return (int)(1.5 * per_s * kWindowMs / 1000) + 5;
 }
@@ -43,27 +43,28 @@
   Load load (&site, call_of, 4, 10);
   std::this_thread::sleep_for (milliseconds (1000));
   limited.limit_per_s = per_s;
-  Moment binds
-      = std::chrono::steady_clock::now () + milliseconds (kBindsAfterMs);
-  std::this_thread::sleep_for (milliseconds (kBindsAfterMs + 2 * kWindowMs));
+  Moment enforced_from
+      = std::chrono::steady_clock::now () + milliseconds (kEnforcedAfterMs);
+  std::this_thread::sleep_for (
+      milliseconds (kEnforcedAfterMs + 2 * kWindowMs));
   Load::Counts counts = load.stop ();
-  int most = most_in (arrivals_at (limited), binds, kWindowMs);
-  printf ("%d of %d in %d ms\n", most, allowed (per_s), kWindowMs);
-  EXPECT_LE (most, allowed (per_s));
+  int most = most_in (arrivals_at (limited), enforced_from, kWindowMs);
+  printf ("%d of %d in %d ms\n", most, max_allowed (per_s), kWindowMs);
+  EXPECT_LE (most, max_allowed (per_s));
   // It is used, and the other targets serve what it does not take.
   EXPECT_GE (most, (int)(per_s * kWindowMs / 1000 / 2));
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
 // Guards against a limit of an engine that each gateway, or none, keeps.
-TEST (Limit, AnEngineGetsWhatItTakesFromAllGateways)
+TEST (Limit, EngineLimitHoldsOverAllGateways)
 {
   Site site (3, 0, 3);
   expect_limit_holds (site, *site.engines[0].target, stream, 5);
 }
 
 // Guards against the same at a plain target, which has no agent.
-TEST (Limit, APlainTargetGetsWhatItTakesFromAllGateways)
+TEST (Limit, PlainTargetLimitHoldsOverAllGateways)
 {
   Site site (2, 3, 3);
   expect_limit_holds (site, *site.plain[0], plain, 5);
@@ -72,7 +73,7 @@
 /// One after the other: the agent beside the limited engine, agents that lend
 /// permits, gateways, the store.
 void
-let_daemons_fail (Site &site)
+fail_daemons (Site &site)
 {
   for (Engine &engine : site.engines)
     {
@@ -102,20 +103,21 @@
   Load calls (&site, plain, 4, 10);
   site.engines[0].target->limit_per_s = per_s;
   site.plain[0]->limit_per_s = per_s;
-  Moment binds
-      = std::chrono::steady_clock::now () + milliseconds (kBindsAfterMs);
-  std::this_thread::sleep_for (milliseconds (kBindsAfterMs));
-  let_daemons_fail (site);
+  Moment enforced_from
+      = std::chrono::steady_clock::now () + milliseconds (kEnforcedAfterMs);
+  std::this_thread::sleep_for (milliseconds (kEnforcedAfterMs));
+  fail_daemons (site);
   streams.stop ();
   calls.stop ();
-  EXPECT_LE (most_in (arrivals_at (*site.engines[0].target), binds, kWindowMs),
-             allowed (per_s));
-  EXPECT_LE (most_in (arrivals_at (*site.plain[0]), binds, kWindowMs),
-             allowed (per_s));
+  EXPECT_LE (most_in (arrivals_at (*site.engines[0].target), enforced_from,
+                      kWindowMs),
+             max_allowed (per_s));
+  EXPECT_LE (most_in (arrivals_at (*site.plain[0]), enforced_from, kWindowMs),
+             max_allowed (per_s));
 }
 
 // Guards against a limit that outlives what the target says.
-TEST (Limit, IsOverWhenTheTargetStatesNone)
+TEST (Limit, EndsWhenTheTargetStatesNone)
 {
   Site site (2, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -136,7 +138,7 @@
 
 // Guards against callers that wait, or learn no time, where no target takes
 // more.
-TEST (Limit, WhatNoTargetTakesIsRefusedAtOnceWithATime)
+TEST (Limit, ExcessIsRefusedAtOnceWithRetryAfter)
 {
   Site site (2, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -159,7 +161,7 @@
 }
 
 // Guards against fields without meaning that change what is believed.
-TEST (Limit, AFieldWithoutMeaningIsToldAndChangesNothing)
+TEST (Limit, MalformedFieldIsLoggedAndIgnored)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
--- a/test/relay/pause_failure_test.cc
+++ b/test/relay/pause_failure_test.cc
@@ -14,9 +14,9 @@
 using std::chrono::milliseconds;
 
 /// Of the pause a gateway may miss this much.
-constexpr int kHeardMs = 500;
+constexpr int kReactionMs = 500;
 /// Requests of one gateway that may come within the rest of it.
-constexpr int kWithinPause = 2;
+constexpr int kMaxWithinPause = 2;
 constexpr double kPauseS = 3;
 constexpr int kPauseMs = (int)(kPauseS * 1000);
 
@@ -34,7 +34,7 @@
 
 /// When requests came, by the gateway that sent them.
 std::map<std::string, std::vector<Moment>>
-by_gateway (const std::vector<Message> &requests)
+arrivals_by_gateway (const std::vector<Message> &requests)
 {
   std::map<std::string, std::vector<Moment>> moments;
   for (const Message &request : requests)
@@ -48,20 +48,23 @@
   return moments;
 }
 
-/// The most requests of a gateway within any pause that it was asked for.
+/// The most requests of a gateway within any pause that it was paused_from
+/// for.
 int
-most_within_pause (Target &target, int pause_ms = kPauseMs)
+max_within_pause (Target &target, int pause_ms = kPauseMs)
 {
-  auto arrivals = by_gateway (target.requests ());
+  auto arrivals = arrivals_by_gateway (target.requests ());
   size_t most = 0;
-  for (const auto &[gateway, asked_at] : by_gateway (target.turned_away ()))
-    for (Moment asked : asked_at)
+  for (const auto &[gateway, pause_times] :
+       arrivals_by_gateway (target.turned_away ()))
+    for (Moment paused_from : pause_times)
       {
         const auto &moments = arrivals[gateway];
-        auto from = std::upper_bound (moments.begin (), moments.end (),
-                                      asked + milliseconds (kHeardMs));
+        auto from
+            = std::upper_bound (moments.begin (), moments.end (),
+                                paused_from + milliseconds (kReactionMs));
         auto to = std::lower_bound (from, moments.end (),
-                                    asked + milliseconds (pause_ms));
+                                    paused_from + milliseconds (pause_ms));
         most = std::max (most, (size_t)(to - from));
       }
   return (int)most;
@@ -69,7 +72,7 @@
 
 /// Press a service, one of whose targets turns everything away.
 void
-expect_pauses_hold (Site &site, Target &pausing,
+expect_pauses_kept (Site &site, Target &pausing,
                     Call (*call_of) (const std::string &))
 {
   ASSERT_TRUE (site.wait_ready ());
@@ -78,28 +81,28 @@
   Load load (&site, call_of, 4, 10);
   std::this_thread::sleep_for (milliseconds (2 * kPauseMs + 1000));
   Load::Counts counts = load.stop ();
-  EXPECT_LE (most_within_pause (pausing), kWithinPause);
-  // It is asked again after each pause.
+  EXPECT_LE (max_within_pause (pausing), kMaxWithinPause);
+  // It is paused_from again after each pause.
   EXPECT_GE ((int)pausing.requests ().size () - before, 2);
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
 // Guards against a pause that ends with the request that was turned away.
-TEST (Pause, AnEngineThatAsksForOneIsLeftAlone)
+TEST (Pause, EngineGetsNoRequestsDuringItsPause)
 {
   Site site (3, 0, 2);
-  expect_pauses_hold (site, *site.engines[0].target, stream);
+  expect_pauses_kept (site, *site.engines[0].target, stream);
 }
 
 // Guards against the same at a plain target, which has no agent.
-TEST (Pause, APlainTargetThatAsksForOneIsLeftAlone)
+TEST (Pause, PlainTargetGetsNoRequestsDuringItsPause)
 {
   Site site (1, 3, 2);
-  expect_pauses_hold (site, *site.plain[0], plain);
+  expect_pauses_kept (site, *site.plain[0], plain);
 }
 
 // Guards against callers that wait, or learn no time, while all targets pause.
-TEST (Pause, WhatAllTargetsTurnAwayIsRefusedAtOnceWithATime)
+TEST (Pause, RefusedAtOnceWithRetryAfterWhenAllTargetsPause)
 {
   Site site (2, 2, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -127,8 +130,8 @@
     }
 }
 
-// Guards against requests that asked for a place before the pause.
-TEST (Pause, WhatWaitsForAPlaceIsNotSentIntoIt)
+// Guards against requests that paused_from for a place before the pause.
+TEST (Pause, RequestsWaitingForAPlaceAreNotSent)
 {
   Site site (1, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -141,13 +144,13 @@
   engine.pause_s = kPauseS;
   std::this_thread::sleep_for (milliseconds (kPauseMs + 2000));
   load.stop ();
-  EXPECT_LE (most_within_pause (engine), kWithinPause);
+  EXPECT_LE (max_within_pause (engine), kMaxWithinPause);
   EXPECT_FALSE (
       Site::log_lines (site.gateways[0].daemon, { "target_paused" }).empty ());
 }
 
-// Guards against a pause that outlives the life that asked for it.
-TEST (Pause, EndsWithTheBirthThatAskedForIt)
+// Guards against a pause that outlives the life that paused_from for it.
+TEST (Pause, EndsWithTheIncarnationThatRequestedIt)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -190,7 +193,7 @@
   }));
   std::this_thread::sleep_for (milliseconds (2000));
   load.stop ();
-  EXPECT_LE (most_within_pause (engine, long_pause_ms), kWithinPause);
+  EXPECT_LE (max_within_pause (engine, long_pause_ms), kMaxWithinPause);
   EXPECT_EQ (most_in (arrivals_at (engine), listed, 4000), 0);
 }
 
--- a/test/relay/quota_failure_test.cc
+++ b/test/relay/quota_failure_test.cc
@@ -1,4 +1,4 @@
-// Quotas of workspaces over all gateways, calm and while daemons fail.
+// Quotas of workspaces over_quota all gateways, calm and while daemons fail.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -29,7 +29,7 @@
 }
 
 int
-allowed (int rate = kRate, int burst = kBurst)
+max_allowed_tokens (int rate = kRate, int burst = kBurst)
 {
   return (int)((rate * kQuotaWindowS + burst) * (1 + kQuotaOvershoot))
          + kQuotaSlack;
@@ -43,10 +43,10 @@
   struct Counts
   {
     int answered = 0;
-    int over = 0;
+    int over_quota = 0;
     int other = 0;
-    int untimed = 0;  ///< Refused without a time to come back.
-    int worst_ms = 0; ///< Of those answered.
+    int without_retry_after = 0; ///< Refused without a time to come back.
+    int max_latency_ms = 0;      ///< Of those answered.
   };
   Callers (Site *site, const std::string &key, int per_gateway,
            int pause_ms = 2)
@@ -86,27 +86,28 @@
         auto began = steady_clock::now ();
         Message m = send_call (site_->gateways[gateway],
                                make_call (gateway, caller, n));
-        auto took = steady_clock::now () - began;
-        note (m,
-              (int)std::chrono::duration_cast<milliseconds> (took).count ());
+        auto latency = steady_clock::now () - began;
+        record (
+            m,
+            (int)std::chrono::duration_cast<milliseconds> (latency).count ());
         std::this_thread::sleep_for (milliseconds (pause_ms_));
       }
   }
   void
-  note (const Message &m, int took_ms)
+  record (const Message &m, int latency_ms)
   {
     std::lock_guard<std::mutex> lock (mutex_);
     if (m.status == 200)
       {
         counts_.answered++;
-        counts_.worst_ms = std::max (counts_.worst_ms, took_ms);
+        counts_.max_latency_ms = std::max (counts_.max_latency_ms, latency_ms);
       }
     else if (m.status == 429)
-      counts_.over++;
+      counts_.over_quota++;
     else
       counts_.other++;
     if (m.status == 429 && atof (m.header ("retry-after").c_str ()) <= 0)
-      counts_.untimed++;
+      counts_.without_retry_after++;
   }
   Site *site_;
   std::string key_;
@@ -150,39 +151,40 @@
       site->start (&gateway.daemon);
   }
   void
-  expect_sum_holds (Site &site)
+  expect_limit_holds (Site &site)
   {
     auto tokens = tokens_of (site, "red");
     int most = most_in_window (tokens, kQuotaWindowS);
-    EXPECT_LE (most, allowed ());
-    printf ("%d of %d tokens in %d s\n", most, allowed (), kQuotaWindowS);
+    EXPECT_LE (most, max_allowed_tokens ());
+    printf ("%d of %d tokens in %d s\n", most, max_allowed_tokens (),
+            kQuotaWindowS);
   }
 };
 
 // One workspace sends far beyond its quota through all gateways, each of which
 // would let in the whole quota by itself.
-TEST_F (Quota, TheSumOverAllGatewaysHolds)
+TEST_F (Quota, LimitHoldsOverAllGateways)
 {
   Site site (3, 1, 3);
   begin (&site);
   Callers callers (&site, "k-red", 3);
   std::this_thread::sleep_for (seconds (10));
   Callers::Counts counts = callers.stop ();
-  expect_sum_holds (site);
+  expect_limit_holds (site);
   EXPECT_GT (counts.answered, 0);
-  EXPECT_GT (counts.over, 0);
+  EXPECT_GT (counts.over_quota, 0);
   EXPECT_EQ (counts.other, 0);
-  EXPECT_EQ (counts.untimed, 0);
+  EXPECT_EQ (counts.without_retry_after, 0);
   // Most of the quota is used.
   int sum = 0;
-  for (const auto &[came, count] : tokens_of (site, "red"))
+  for (const auto &[arrival, count] : tokens_of (site, "red"))
     sum += count;
   EXPECT_GE (sum, 10 * kRate * 7 / 10);
 }
 
 // What lies within the quota is not refused, though it comes through one
 // gateway of three.
-TEST_F (Quota, WhatLiesWithinTheQuotaIsServed)
+TEST_F (Quota, RequestsWithinTheQuotaAreServed)
 {
   Site site (3, 1, 3);
   begin (&site);
@@ -197,7 +199,7 @@
 
 // A workspace far beyond its quota costs its neighbours nothing: what is
 // refused asks for no place, no fetch and no target.
-TEST_F (Quota, NeighboursAreServed)
+TEST_F (Quota, OtherWorkspacesAreServed)
 {
   Site site (2, 1, 2);
   begin (&site);
@@ -206,9 +208,9 @@
   std::this_thread::sleep_for (seconds (5));
   Callers::Counts of_blue = blue.stop ();
   Callers::Counts of_red = red.stop ();
-  EXPECT_GT (of_red.over, 10 * of_red.answered);
+  EXPECT_GT (of_red.over_quota, 10 * of_red.answered);
   EXPECT_GT (of_blue.answered, 0);
-  EXPECT_EQ (of_blue.over + of_blue.other, 0);
+  EXPECT_EQ (of_blue.over_quota + of_blue.other, 0);
   for (const Gateway &gateway : site.gateways)
     {
       auto refused
@@ -221,7 +223,7 @@
 
 // The sidecar that lends is killed, stopped and started again; gateways start
 // again and know nothing.
-TEST_F (Quota, TheSumHoldsWhileDaemonsFail)
+TEST_F (Quota, LimitHoldsWhileDaemonsFail)
 {
   Site site (3, 1, 3);
   begin (&site);
@@ -238,13 +240,13 @@
         std::this_thread::sleep_for (milliseconds (700));
       }
   Callers::Counts counts = callers.stop ();
-  expect_sum_holds (site);
+  expect_limit_holds (site);
   EXPECT_GT (counts.answered, 0);
 }
 
 // All daemons lose power at one moment, and with it what was lent; more than
 // once in a window.
-TEST_F (Quota, TheSumHoldsWhenAllStartAgain)
+TEST_F (Quota, LimitHoldsWhenAllDaemonsRestart)
 {
   Site site (3, 1, 3);
   begin (&site);
@@ -259,13 +261,13 @@
     }
   std::this_thread::sleep_for (seconds (kQuotaWindowS));
   callers.stop ();
-  expect_sum_holds (site);
+  expect_limit_holds (site);
   auto tokens = tokens_of (site, "red");
   EXPECT_GT (tokens.back ().first, stopped + seconds (2));
 }
 
 // A gateway that hears no sidecar any more, and so no lender.
-TEST_F (Quota, WithoutALenderLittleIsServedAndTheRestToldWhy)
+TEST_F (Quota, WithoutALenderMostRequestsAreRefused)
 {
   Site site (1, 1, 1);
   begin (&site);
@@ -290,7 +292,7 @@
 }
 
 // The operator lowers a limit while it is pressed.
-TEST_F (Quota, ALowerLimitHolds)
+TEST_F (Quota, LoweredLimitIsEnforced)
 {
   Site site (2, 1, 2);
   begin (&site);
@@ -303,9 +305,9 @@
   auto tokens = tokens_of (site, "red");
   auto bound = tokens.back ().first - seconds (kQuotaWindowS);
   int sum = 0;
-  for (const auto &[came, count] : tokens)
-    sum += came >= bound ? count : 0;
-  EXPECT_LE (sum, allowed (60, 60));
+  for (const auto &[arrival, count] : tokens)
+    sum += arrival >= bound ? count : 0;
+  EXPECT_LE (sum, max_allowed_tokens (60, 60));
 }
 
 // A limit of zero and none at all are no limit.
--- a/test/relay/repeat_failure_test.cc
+++ b/test/relay/repeat_failure_test.cc
@@ -12,9 +12,9 @@
 {
 
 /// By then all gateways that reach the platform know what one of them does.
-constexpr int kContactMs = 3000;
+constexpr int kPropagationMs = 3000;
 /// Sends that may still reach targets, that long after the third end.
-constexpr int kSendsAfterThird = 3;
+constexpr int kMaxEndsAfterThird = 3;
 
 Call
 fatal_stream (int attempt)
@@ -79,8 +79,8 @@
   site.end_on ("/fatal");
   int attempt = send_until_ends (site, call_of, 3);
   ASSERT_GE (site.ends (), 3);
-  std::this_thread::sleep_for (std::chrono::milliseconds (kContactMs));
-  EXPECT_LE (send_more (site, call_of, attempt, sends), kSendsAfterThird);
+  std::this_thread::sleep_for (std::chrono::milliseconds (kPropagationMs));
+  EXPECT_LE (send_more (site, call_of, attempt, sends), kMaxEndsAfterThird);
 }
 
 // A caller sends one request again and again, through any gateway. Each engine
@@ -89,7 +89,7 @@
 // its own, and what an attempt did was forgotten with it; each one went on to
 // the next engine as well. Evidence: 24 ends by 12 sends, two each; the same
 // caller, path and body at the ends, and none while it is not sent.
-TEST (Repeat, ARequestThatEndsEnginesReachesFewAfterTheThird)
+TEST (Repeat, FatalRequestReachesFewEnginesAfterTheThirdEnd)
 {
   Site site (6, 0, 2);
   expect_few_after_third (site, fatal_stream, 12);
@@ -97,7 +97,7 @@
 
 // An engine does not end under the request, it hangs: connections stay open
 // and nothing is answered until it is started again.
-TEST (Repeat, ARequestThatHangsEnginesReachesFewAfterTheThird)
+TEST (Repeat, HangingRequestReachesFewEnginesAfterTheThirdEnd)
 {
   Site site (6, 0, 2);
   for (const Engine &engine : site.engines)
@@ -107,43 +107,43 @@
 
 // The same with a plain service, beside whose targets no process of ours runs:
 // gateways alone can see what ended them.
-TEST (Repeat, ARequestThatEndsPlainTargetsReachesFewAfterTheThird)
+TEST (Repeat, FatalRequestReachesFewPlainTargetsAfterTheThirdEnd)
 {
   Site site (1, 6, 2);
   expect_few_after_third (site, fatal_plain, 12);
 }
 
 Call
-other_plain (const std::string &id)
+unique_plain (const std::string &id)
 {
   // Each one is a request of its own.
   return plain_call (id, "/plain/" + id);
 }
 
 Call
-another_plain (const std::string &id)
+unique_plain_m (const std::string &id)
 {
   return plain_call ("m" + id, "/plain/m" + id);
 }
 
 Call
-yet_another_plain (const std::string &id)
+unique_plain_n (const std::string &id)
 {
   return plain_call ("n" + id, "/plain/n" + id);
 }
 
 // Guards against a request that is never alone at the plain targets which it
 // ends, because others are always there.
-TEST (Repeat, ARequestThatEndsPressedPlainTargetsReachesFewAfterTheThird)
+TEST (Repeat, FatalRequestReachesFewLoadedPlainTargetsAfterTheThirdEnd)
 {
   Site site (1, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
   for (const auto &target : site.plain)
     target->answer_ms = 120;
   // Not all in step: there are others at each moment.
-  Load load (&site, other_plain, 12, 1);
-  Load more (&site, another_plain, 12, 13);
-  Load yet_more (&site, yet_another_plain, 12, 31);
+  Load load (&site, unique_plain, 12, 1);
+  Load more (&site, unique_plain_m, 12, 13);
+  Load yet_more (&site, unique_plain_n, 12, 31);
   std::this_thread::sleep_for (std::chrono::milliseconds (500));
   expect_few_after_third (site, fatal_unsafe, 12);
   // Others lose nothing by it once it is held.
@@ -157,7 +157,7 @@
 /// Send a request until it is held, through the first gateway.
 /// @return  Whether it is.
 bool
-hold (Site &site, Call (*call_of) (int))
+send_until_held (Site &site, Call (*call_of) (int))
 {
   site.end_on ("/fatal");
   for (int attempt = 1000; attempt < 1020; attempt++)
@@ -187,11 +187,11 @@
 // The caller of a held request gets an answer at once, that it has not run and
 // when it may come back. Nobody else loses anything: its other requests, and
 // the same one of another caller, once it ends nothing any more.
-TEST (Repeat, AHeldRequestIsRefusedAtOnceAndNothingElseIs)
+TEST (Repeat, OnlyTheHeldRequestIsRefused)
 {
   Site site (5, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
-  ASSERT_TRUE (hold (site, fatal_stream));
+  ASSERT_TRUE (send_until_held (site, fatal_stream));
   site.end_on ("");
   Message refused = send_call (site.gateways[0], fatal_stream (1));
   EXPECT_EQ (refused.status, 503);
@@ -210,7 +210,7 @@
 // An innocent request is sent again and again at the same moments as the one
 // that ends engines, to the only two engines, and shares each that ends. It
 // must be served as soon as the other one is held, and never refused for it.
-TEST (Repeat, ARequestThatSharedEnginesThatEndedIsServed)
+TEST (Repeat, InnocentRequestOnEndedEnginesIsServed)
 {
   Site site (2, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -241,12 +241,12 @@
 
 // The store is away, and entries start again: they have learnt nothing by
 // themselves, and the request would end three targets more through each.
-TEST (Repeat, AHoldOutlivesRestartsWhileTheStoreIsAway)
+TEST (Repeat, HoldSurvivesRestartsWhileTheStoreIsUnavailable)
 {
   Site site (5, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
-  ASSERT_TRUE (hold (site, fatal_stream));
-  EXPECT_TRUE (is_held (site.gateways[1], fatal_stream, kContactMs))
+  ASSERT_TRUE (send_until_held (site, fatal_stream));
+  EXPECT_TRUE (is_held (site.gateways[1], fatal_stream, kPropagationMs))
       << "the other gateway does not know it";
   int before = site.ends ();
   for (Gateway &gateway : site.gateways)
@@ -276,11 +276,11 @@
 
 // All daemons lose power at one moment, and with it all that they know. The
 // request comes again as soon as they are back.
-TEST (Repeat, AHoldOutlivesALossOfPowerOfAllDaemons)
+TEST (Repeat, HoldSurvivesPowerLossOfAllDaemons)
 {
   Site site (5, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
-  ASSERT_TRUE (hold (site, fatal_stream));
+  ASSERT_TRUE (send_until_held (site, fatal_stream));
   std::this_thread::sleep_for (std::chrono::milliseconds (500));
   int before = site.ends ();
   site.stop (&site.gateways[0].daemon, SIGKILL);
@@ -295,7 +295,7 @@
 
 // Without engines there is no agent through which gateways could tell each
 // other; each would let the request end three targets.
-TEST (Repeat, GatewaysWithoutAgentsShareWhatTheyKnow)
+TEST (Repeat, GatewaysWithoutSidecarsShareRecords)
 {
   Site site (0, 6, 3);
   expect_few_after_third (site, fatal_plain, 12);
--- a/test/relay/share_failure_test.cc
+++ b/test/relay/share_failure_test.cc
@@ -21,7 +21,7 @@
 {
 public:
   explicit Heartbeats (Site *site)
-      : site_ (site), thread_ ([this] { beat (); })
+      : site_ (site), thread_ ([this] { write_entries (); })
   {
   }
   ~Heartbeats ()
@@ -32,7 +32,7 @@
 
 private:
   void
-  beat ()
+  write_entries ()
   {
     while (!is_ended_)
       {
@@ -66,7 +66,7 @@
 
 /// Gateways are past their start and ask a sidecar.
 bool
-wait_shared (Site &site)
+wait_until_shared (Site &site)
 {
   if (!site.wait_ready ())
     return false;
@@ -77,7 +77,7 @@
 
 /// Calls to the first store in 7 s, which is ten pauses of a reader.
 int
-calls_of_ten_pauses (Site &site)
+store_calls_in_ten_intervals (Site &site)
 {
   int before = site.store.calls;
   std::this_thread::sleep_for (milliseconds (7000));
@@ -110,27 +110,27 @@
 {
   Site site (2, 2, 6);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
-  EXPECT_LE (calls_of_ten_pauses (site), 25);
+  ASSERT_TRUE (wait_until_shared (site));
+  EXPECT_LE (store_calls_in_ten_intervals (site), 25);
 }
 
 // Nothing changes in the store. A sidecar that waited there for a change would
 // answer too late, and each gateway would read for itself after all: 35 calls
 // in 7 s, of which half is allowed.
-TEST (SharedReads, AQuietStoreIsReadOnceForAll)
+TEST (SharedReads, UnchangedStoreIsReadOnceForAll)
 {
   Site site (2, 2, 6);
-  ASSERT_TRUE (wait_shared (site));
-  EXPECT_LE (calls_of_ten_pauses (site), 17);
+  ASSERT_TRUE (wait_until_shared (site));
+  EXPECT_LE (store_calls_in_ten_intervals (site), 17);
 }
 
 // The gateway whose settings name another store must not be told of this
 // one's changes: its revisions mean something else.
-TEST (SharedReads, AGatewayOfAnotherStoreIsToldNothing)
+TEST (SharedReads, GatewayOfAnotherStoreReadsItself)
 {
   Site site (2, 2, 6);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
+  ASSERT_TRUE (wait_until_shared (site));
   int before = site.far_store.calls;
   std::this_thread::sleep_for (milliseconds (3000));
   EXPECT_GE (site.far_store.calls - before, 3);
@@ -138,11 +138,11 @@
 
 // The sidecar that reads is frozen. Its gateways hear nothing; a target is
 // taken away in that moment and must not be used 2 s later.
-TEST (SharedReads, AFrozenReaderDelaysNoRemoval)
+TEST (SharedReads, FrozenReaderDelaysNoRemoval)
 {
   Site site (2, 2, 4);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
+  ASSERT_TRUE (wait_until_shared (site));
   for (Engine &engine : site.engines)
     kill (engine.sidecar.pid, SIGSTOP);
   expect_removal_in_time (site);
@@ -155,19 +155,19 @@
 {
   Site site (2, 2, 4);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
+  ASSERT_TRUE (wait_until_shared (site));
   for (Engine &engine : site.engines)
     site.stop (&engine.sidecar, SIGKILL);
   expect_removal_in_time (site);
 }
 
 // Answers of the sidecar are cut off while questions still reach it.
-TEST (SharedReads, AReaderThatIsCutOneWayDelaysNoRemoval)
+TEST (SharedReads, ReaderCutOneWayDelaysNoRemoval)
 {
   Proxies proxies;
   Site site (2, 2, 4, &proxies);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
+  ASSERT_TRUE (wait_until_shared (site));
   for (Proxy *agent : proxies.agents)
     agent->set_path (Path::ONE_WAY);
   expect_removal_in_time (site);
@@ -175,11 +175,11 @@
 
 // The reader is thawed after seconds. What it read before it froze must not
 // bring a target back that was taken away meanwhile.
-TEST (SharedReads, AThawedReaderBringsNothingBack)
+TEST (SharedReads, ThawedReaderRestoresNoRemovedTarget)
 {
   Site site (2, 2, 4);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
+  ASSERT_TRUE (wait_until_shared (site));
   for (Engine &engine : site.engines)
     kill (engine.sidecar.pid, SIGSTOP);
   expect_removal_in_time (site);
@@ -197,11 +197,11 @@
 
 // A configuration is acknowledged while gateways learn of the store through a
 // sidecar, which passes no configuration on. It holds everywhere in 2 s.
-TEST (SharedReads, AConfigurationHoldsInTime)
+TEST (SharedReads, ConfigurationAppliesInTime)
 {
   Site site (2, 2, 4);
   Heartbeats heartbeats (&site);
-  ASSERT_TRUE (wait_shared (site));
+  ASSERT_TRUE (wait_until_shared (site));
   site.store.mute ("op/");
   site.write_config (2, ",{\"Name\":\"new\",\"Host\":\"a.example\","
                         "\"Prefix\":\"/new/\",\"Kind\":\"safe\","
--- a/test/unit/peers_test.cc
+++ b/test/unit/peers_test.cc
@@ -13,8 +13,8 @@
 namespace
 {
 
-/// What the source was handed.
-struct Handed
+/// What the source was recorder.
+struct SourceRecorder
 {
   src_source_t source; ///< First.
   int calls = 0;
@@ -26,13 +26,13 @@
 void
 on_changes (src_source_t *source, const src_changes_t *changes)
 {
-  auto *handed = reinterpret_cast<Handed *> (source);
-  handed->calls++;
-  handed->has_changes = changes != nullptr;
+  auto *recorder = reinterpret_cast<SourceRecorder *> (source);
+  recorder->calls++;
+  recorder->has_changes = changes != nullptr;
   if (changes == nullptr)
     return;
-  handed->began_ms = changes->began_ms;
-  handed->count = changes->change_count;
+  recorder->began_ms = changes->began_ms;
+  recorder->count = changes->change_count;
 }
 
 class Peers : public testing::Test
@@ -41,10 +41,10 @@
   Peers () : gateway (new gtw_gateway_t ())
   {
     vtable.on_changes = on_changes;
-    handed.source.vtable = &vtable;
+    recorder.source.vtable = &vtable;
     uv_loop_init (&gateway->host.loop);
     tmr_service_init (&gateway->host.timers, &gateway->host.loop);
-    gateway->source = &handed.source;
+    gateway->source = &recorder.source;
     gtw_peers_init (gateway.get ());
     snprintf (sidecar.link, sizeof sidecar.link, "10.0.0.1:7380");
     kb_map_put (&gateway->links, gtw_link_key (kb_slice_str (sidecar.link)),
@@ -63,84 +63,84 @@
   }
 
   msg_changes_t
-  word ()
+  make_answer ()
   {
-    msg_changes_t told = {};
-    told.id = 5;
-    told.status = MSG_CHANGES_KNOWN;
-    told.as_of = 20;
-    return told;
+    msg_changes_t answer = {};
+    answer.id = 5;
+    answer.status = MSG_CHANGES_KNOWN;
+    answer.as_of = 20;
+    return answer;
   }
 
   std::unique_ptr<gtw_gateway_t> gateway;
   src_vtable_t vtable = {};
-  Handed handed;
+  SourceRecorder recorder;
   gtw_target_t sidecar = {};
 };
 
-TEST_F (Peers, AnAnswerIsHandedOver)
+TEST_F (Peers, PassesTheAnswerToTheSource)
 {
   kb_buf_t packed = {};
   src_change_t change
       = { 15, kb_slice_str ("key"), kb_slice_str ("value"), false };
   chg_pack (&packed, &change);
-  msg_changes_t told = word ();
-  told.changes = kb_buf_slice (&packed);
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  EXPECT_EQ (handed.calls, 1);
-  EXPECT_TRUE (handed.has_changes);
-  EXPECT_EQ (handed.count, 1u);
+  msg_changes_t answer = make_answer ();
+  answer.changes = kb_buf_slice (&packed);
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  EXPECT_EQ (recorder.calls, 1);
+  EXPECT_TRUE (recorder.has_changes);
+  EXPECT_EQ (recorder.count, 1u);
   kb_buf_finish (&packed);
 }
 
 // The age of an answer is counted from when the question was sent, never from
-// when the answer came: a word that waited in a connection is old.
-TEST_F (Peers, TheAgeIsThatOfTheRead)
+// when the answer came: a make_answer that waited in a connection is old.
+TEST_F (Peers, AgeCountsFromTheStartOfTheRead)
 {
-  msg_changes_t told = word ();
-  told.began_before_ms = 300;
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  EXPECT_EQ (handed.began_ms, 700u);
+  msg_changes_t answer = make_answer ();
+  answer.began_before_ms = 300;
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  EXPECT_EQ (recorder.began_ms, 700u);
   gateway->peers.id = 5;
-  told.began_before_ms = 0;
-  told.began_after_ms = 40;
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  EXPECT_EQ (handed.began_ms, 1040u);
+  answer.began_before_ms = 0;
+  answer.began_after_ms = 40;
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  EXPECT_EQ (recorder.began_ms, 1040u);
 }
 
 // Words that nobody asked for, from the process before this one, or from
 // another sidecar than the one that was asked.
-TEST_F (Peers, AWordThatWasNotAskedForChangesNothing)
+TEST_F (Peers, UnrequestedAnswersAreIgnored)
 {
-  msg_changes_t told = word ();
-  told.id = 4;
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  told.id = 5;
+  msg_changes_t answer = make_answer ();
+  answer.id = 4;
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  answer.id = 5;
   gtw_target_t other = {};
   snprintf (other.link, sizeof other.link, "10.0.0.2:7380");
-  gtw_peers_answered (gateway.get (), &other, &told);
+  gtw_peers_receive_changes (gateway.get (), &other, &answer);
   gateway->peers.id = 0;
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  EXPECT_EQ (handed.calls, 0);
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  EXPECT_EQ (recorder.calls, 0);
 }
 
-TEST_F (Peers, AWordThatCanNotBeReadIsNone)
+TEST_F (Peers, MalformedAnswerFailsTheQuery)
 {
-  msg_changes_t told = word ();
-  told.changes = kb_slice_str ("not changes");
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  EXPECT_EQ (handed.calls, 1);
-  EXPECT_FALSE (handed.has_changes);
+  msg_changes_t answer = make_answer ();
+  answer.changes = kb_slice_str ("not changes");
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  EXPECT_EQ (recorder.calls, 1);
+  EXPECT_FALSE (recorder.has_changes);
 }
 
 // The store gave the sidecar no answer: the gateway goes there itself at once.
-TEST_F (Peers, AStoreThatIsSilentIsSaidSo)
+TEST_F (Peers, StoreWithoutAnswerFailsTheQuery)
 {
-  msg_changes_t told = word ();
-  told.status = MSG_CHANGES_NO_ANSWER;
-  gtw_peers_answered (gateway.get (), &sidecar, &told);
-  EXPECT_EQ (handed.calls, 1);
-  EXPECT_FALSE (handed.has_changes);
+  msg_changes_t answer = make_answer ();
+  answer.status = MSG_CHANGES_NO_ANSWER;
+  gtw_peers_receive_changes (gateway.get (), &sidecar, &answer);
+  EXPECT_EQ (recorder.calls, 1);
+  EXPECT_FALSE (recorder.has_changes);
 }
 
 } // namespace
--- a/test/unit/turn_test.cc
+++ b/test/unit/turn_test.cc
@@ -18,7 +18,7 @@
 // An operator writes a configuration, and all gateways of a large fleet have
 // it at the same moment. Each gives it to two sidecars; when these are the
 // same for all, their links carry nothing else for a second.
-TEST (Turn, NewDocumentsDoNotAllGoToTheSameReceivers)
+TEST (Turn, FirstReceiversDifferBetweenGateways)
 {
   std::vector<int> copies (kSidecars, 0);
   int sum = 0;
@@ -33,22 +33,22 @@
   EXPECT_LE (*std::max_element (copies.begin (), copies.end ()), 8);
 }
 
-TEST (Turn, AFewReceiversGetItFromAll)
+TEST (Turn, FewReceiversAreAllFirstReceivers)
 {
   EXPECT_TRUE (trn_is_first_receiver (1, 1, 1));
   EXPECT_TRUE (trn_is_first_receiver (1, 2, 2));
 }
 
 // Whoever lacks it gets it from somebody within a few turns.
-TEST (Turn, EveryPeerIsServedSoon)
+TEST (Turn, EveryPeerHasASenderWithinAFewTurns)
 {
   for (uint64_t sidecar = 1; sidecar <= kSidecars; sidecar++)
     {
       int turns = 0;
       for (uint64_t turn = 0; turn < 5; turn++)
         for (uint64_t gateway = 1; gateway <= kGateways; gateway++)
-          turns += trn_is_mine (gateway, sidecar, kGateways,
-                                turn * TRN_PERIOD_MS);
+          turns += trn_has_turn (gateway, sidecar, kGateways,
+                                 turn * TRN_PERIOD_MS);
       EXPECT_GT (turns, 0) << sidecar;
     }
 }
