--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -517,7 +517,7 @@
 void gtw_observe_grant (const gtw_request_t *r);
 void gtw_set_gauges (const gtw_gateway_t *gateway, bool is_ready);
 
-// gateway_births.c
+// gateway_incarnations.c
 /// Another incarnation lives under a target's id: what was learnt of this one
 /// ends, and requests under way there are broken off.
 /// @param told  What takes its place.
--- a/src/gateway/gateway_births.c
+++ b/src/gateway/gateway_incarnations.c
@@ -1,4 +1,4 @@
-/// @file gateway_births.c
+/// @file gateway_incarnations.c
 /// Another incarnation lives under a target's id: what ends with the one
 /// before, and what is said of words about it that come late.
 #include "gateway/gateway_defs.h"
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 
 #include "gateway/gateway_defs.h"
-#include "relay/passing.h"
+#include "relay/forward.h"
 #include "relay/turn.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -5,7 +5,7 @@
 #include "coordination/quarantine.h"
 #include "gateway/gateway_defs.h"
 #include "relay/fingerprint.h"
-#include "relay/passing.h"
+#include "relay/forward.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
 
--- a/src/relay/passing.c
+++ b/src/relay/forward.c
@@ -1,4 +1,4 @@
-#include "relay/passing.h"
+#include "relay/forward.h"
 
 #include "transport/metrics.h"
 
--- a/src/relay/passing.h
+++ b/src/relay/forward.h
@@ -1,8 +1,8 @@
-/// @file passing.h
+/// @file forward.h
 /// Configuration and adapter versions that one daemon passes on to another,
 /// which may be cut off from the store.
-#ifndef KB_RELAY_PASSING_H
-#define KB_RELAY_PASSING_H
+#ifndef KB_RELAY_FORWARD_H
+#define KB_RELAY_FORWARD_H
 
 #include "coordination/quarantine.h"
 #include "relay/host.h"
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -1,7 +1,7 @@
 /// @file sidecar_links.c
 /// Messages of the gateways: configuration and versions that are passed on,
 /// and places that are asked for, granted, declined and released.
-#include "relay/passing.h"
+#include "relay/forward.h"
 #include "relay/turn.h"
 #include "sidecar/sidecar_defs.h"
 #include "transport/log.h"
--- a/src/sidecar/sidecar_quarantine.c
+++ b/src/sidecar/sidecar_quarantine.c
@@ -1,7 +1,7 @@
 /// @file sidecar_quarantine.c
 /// What gateways know of requests under which targets ended, kept and passed
 /// on. Gateways have no links among each other, and forget when they restart.
-#include "relay/passing.h"
+#include "relay/forward.h"
 #include "relay/turn.h"
 #include "sidecar/sidecar_defs.h"
 #include "transport/log.h"
