--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -1,5 +1,6 @@
 /// @file gateway_backpressure.c
-/// What targets ask of their callers in the heads of their answers.
+/// Limits, pauses and leaving that targets state in the heads of their
+/// answers.
 #include "coordination/backpressure.h"
 #include "gateway/gateway_defs.h"
 #include "transport/log.h"
@@ -7,7 +8,7 @@
 
 enum
 {
-  /// Targets that may ask for a pause because of one request.
+  /// Targets that may request a pause because of one request.
   MAX_PAUSES_PER_REQUEST = 3,
 };
 
@@ -45,8 +46,9 @@
   return strcmp (a->id, b->id) == 0 && !is_other_birth;
 }
 
-/// The target that is used at the address of the present one: of an engine the
-/// list may name two incarnations for a while, and its sidecar serves one.
+/// @return  The target that is used at the address of the present one. The
+///          list may have two incarnations of an engine for a while, while its
+///          sidecar serves one.
 static gtw_target_t *
 linked_target (const gtw_request_t *r)
 {
@@ -57,7 +59,7 @@
   return linked != NULL ? linked : r->target;
 }
 
-/// @return  What the addressee of a request has said so far.
+/// @return  What the addressee of a request has stated so far.
 static gtw_stated_t *
 stated_of_addressee (const gtw_request_t *r)
 {
@@ -85,11 +87,11 @@
                            tmr_boot_ms ()))
     return;
   log_limit (r, stated);
-  // Its sidecar is to know with the next tick.
+  // The next tick reports it to the sidecar.
   linked_target (r)->told_ms = 0;
 }
 
-/// It holds for the incarnation; the list may tell it much later.
+/// Holds for this incarnation; the list may state it much later.
 static void
 apply_leaving (const gtw_request_t *r, gtw_stated_t *stated)
 {
@@ -105,8 +107,8 @@
   log_end (&line);
 }
 
-/// It turned a request away, and wants none for a while. Each such answer
-/// holds: a shorter pause does not end a longer one.
+/// The target refused a request and wants none for a while. Pauses overlap: a
+/// shorter one does not end a longer one.
 static void
 apply_pause (const gtw_request_t *r, gtw_stated_t *stated, uint64_t pause_ms)
 {
@@ -132,7 +134,7 @@
     HTTP_MISDIRECTED = 421,
     HTTP_UNAVAILABLE = 503,
   };
-  // Another incarnation may answer so at its address.
+  // Another incarnation may give this answer at the target's address.
   if (r->http_status == HTTP_MISDIRECTED)
     return;
   if (answer->malformed != NULL)
@@ -150,7 +152,7 @@
 {
   enum
   {
-    TARGET_KEY_SEED = 1, ///< Keys of workspaces have another one.
+    TARGET_KEY_SEED = 1, ///< Differs from the seed of workspace keys.
   };
   uint64_t parts[2] = { 0, target->belief.born_ms };
   const char *id = target->told.who.id;
@@ -180,7 +182,7 @@
   if (r->permit.quota == NULL)
     prepare_permit (r);
   qsp_verdict_t verdict = gtw_quota_try_charge (&r->permit);
-  // Another target may take it sooner than a lender is there.
+  // Another target may accept it before a lender is found.
   if (verdict == QSP_WAITS && !gtw_quota_has_lender (&r->permit))
     verdict = QSP_UNKNOWN;
   uint64_t wait_ms = gtw_quota_wait_ms (&r->permit);
@@ -205,7 +207,7 @@
   return ++r->pauses < MAX_PAUSES_PER_REQUEST;
 }
 
-/// Whether a target would be used if it asked for no pause.
+/// @return  Whether a target would be used if it were not paused.
 static bool
 is_usable_without_pause (const gtw_request_t *r, const gtw_target_t *target)
 {
--- a/src/gateway/gateway_incarnations.c
+++ b/src/gateway/gateway_incarnations.c
@@ -1,14 +1,14 @@
 /// @file gateway_incarnations.c
-/// Another incarnation lives under a target's id: what ends with the one
-/// before, and what is said of words about it that come late.
+/// Replaces a target by another incarnation with the same id, and reports late
+/// messages about an earlier one.
 #include "gateway/gateway_defs.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
 
 enum
 {
-  /// How far clocks of two VMs are apart without a fault: what was sent this
-  /// close to a birth may run at either incarnation and is left alone.
+  /// Clock difference of two VMs in normal operation. A request that was sent
+  /// this close to a birth may run at either incarnation and is not cut.
   MAX_CLOCK_SKEW_MS = 500,
 };
 
@@ -27,7 +27,7 @@
   log_end (&line);
 }
 
-/// @return  How long nothing has been heard of an attempt.
+/// @return  Time since an attempt was sent or its answer last progressed.
 static uint64_t
 since_received_ms (const gtw_request_t *r)
 {
@@ -35,10 +35,11 @@
   return gtw_now_ms (r->gateway) - received_ms;
 }
 
-/// What was sent to an incarnation before it ended will not be answered; its
-/// connections may be silent, behind a cut, and callers would wait for their
-/// timeout. What was sent after the birth of the next one runs there, since
-/// both bear one id, and goes on.
+/// Requests that were sent to an incarnation before it ended will not be
+/// answered; behind a network partition their connections stay open, and
+/// callers would wait for their time-out. Requests that were sent after the
+/// birth of the next incarnation run there, since both have the same id, and
+/// go on.
 static void
 cut_requests (gtw_gateway_t *gateway, const gtw_target_t *target,
               uint64_t born_ms)
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -1,7 +1,7 @@
 /// @file gateway_links.c
-/// What gateways and sidecars tell each other, and the configuration and
-/// versions that are passed on through sidecars to gateways which the store
-/// does not serve.
+/// Messages between gateways and sidecars, including the configuration and
+/// adapter versions that sidecars forward to gateways which can not reach the
+/// store.
 #include <stdlib.h>
 
 #include "gateway/gateway_defs.h"
@@ -12,8 +12,8 @@
 
 enum
 {
-  /// By then a gateway of a sidecar's own failure domain has had two turns to
-  /// give it a configuration.
+  /// By then a gateway of the sidecar's own failure domain has had two turns
+  /// (relay/turn.h) to send it a configuration.
   REMOTE_DOMAIN_DELAY_MS = 1000,
 };
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A limit of zero is told as the smallest one.
+/// Zero means no limit in the message: a limit of zero becomes the smallest.
 static uint64_t
 limit_milli (const bkp_limit_t *limit)
 {
@@ -100,10 +100,11 @@
          == 0;
 }
 
-/// A sidecar gets a configuration from its own failure domain; one whose
-/// domain has no gateway that could give it gets it from others a little
-/// later. A document of 0.3 MB for each of 120 sidecars, five of six from
-/// other domains, was most of what crossed them on a day with many changes.
+/// A sidecar gets a configuration from gateways of its own failure domain, and
+/// from others if it still lacks it after REMOTE_DOMAIN_DELAY_MS, because its
+/// domain may have no gateway that could send it. A document of 0.3 MB for
+/// each of 120 sidecars, five of six in other domains, was most of the traffic
+/// between domains when the configuration changed often.
 static bool
 may_send_config (gtw_gateway_t *gateway, gtw_target_t *target)
 {
@@ -118,7 +119,7 @@
          || now_ms - target->lacks_since_ms >= REMOTE_DOMAIN_DELAY_MS;
 }
 
-/// Give a sidecar what it lacks.
+/// Send a sidecar the configuration, versions and records that it lacks.
 static void
 sync_sidecar (gtw_gateway_t *gateway, gtw_target_t *target)
 {
@@ -133,7 +134,7 @@
   gtw_quarantine_sync_sidecar (gateway, target);
 }
 
-/// @return  How many sidecars are in the own failure domain.
+/// @return  Number of sidecars in this gateway's failure domain.
 static uint32_t
 count_same_domain (const gtw_gateway_t *gateway)
 {
@@ -224,7 +225,7 @@
                 target->adapters[i].version);
 }
 
-/// @return  Whether a sidecar speaks of another engine than before.
+/// @return  Whether a sidecar reports another engine than before.
 static bool
 is_other_engine (const gtw_target_t *target, const msg_engine_state_t *state)
 {
@@ -234,7 +235,7 @@
              || target->engine.born_ms != state->born_ms);
 }
 
-/// @return  Whether the engine that served at the last word has ended since.
+/// @return  Whether the engine that was ready in the last report has ended.
 static bool
 reports_engine_ended (const gtw_target_t *target,
                       const msg_engine_state_t *state)
@@ -244,7 +245,7 @@
   return is_down || is_other_engine (target, state);
 }
 
-/// @return  Whether an engine that was taken for ended goes on: its reports
+/// @return  Whether an engine that was considered ended is alive: its reports
 ///          were late.
 static bool
 reports_engine_alive (const gtw_target_t *target,
@@ -255,7 +256,7 @@
                             kb_slice_str (target->told.who.id));
 }
 
-/// A restarted engine has lost the copies of what it held.
+/// A restarted engine has lost the copies of the adapters that it held.
 static void
 apply_engine_instance (gtw_target_t *target, const msg_engine_state_t *state)
 {
@@ -267,10 +268,10 @@
   kb_slice_copy (state->instance, target->engine.id, sizeof target->engine.id);
 }
 
-/// Judge the birth that a sidecar names for its engine. It knows of a restart
-/// before the list does; who may be used is the list's to tell.
-/// @return  The target that the word is about, or NULL when it is about an
-///          earlier incarnation than the one that is known.
+/// Judge the birth time of the engine in a sidecar's report. A sidecar learns
+/// of a restart before the list does; the list decides which target is used.
+/// @return  The target that the report is about, or NULL when it is about an
+///          earlier incarnation than the known one.
 static gtw_target_t *
 target_of_report (gtw_gateway_t *gateway, gtw_target_t *target,
                   const msg_engine_state_t *state)
@@ -280,7 +281,7 @@
     return target;
   src_target_t listing = target->told;
   listing.who.born_ms = state->born_ms;
-  // Whether the next life leaves is told by its own entry and its sidecar.
+  // The next incarnation's list entry and sidecar state whether it leaves.
   listing.is_leaving = false;
   switch (inc_judge (&target->belief, state->born_ms))
     {
@@ -294,9 +295,9 @@
     }
 }
 
-/// A list is sent when it changed; without one, the stamp tells whether the
-/// list from before still holds. A stamp that does not fit is told back, and
-/// the list comes with the next word.
+/// Adapters are sent when they change; in a report without them, the stamp
+/// shows whether the previous list still holds. A stamp that does not match is
+/// reset and sent back, so that the next report includes the list.
 static void
 apply_adapter_list (gtw_target_t *target, const msg_engine_state_t *state)
 {
@@ -320,7 +321,7 @@
                       && target->incarnation != state->incarnation;
   bool is_first = target->heard_ms == 0;
   target->heard_ms = gtw_now_ms (gateway);
-  // A sidecar that has just started knows of no engine yet.
+  // A sidecar that has just started does not know its engine yet.
   if (!is_first && !is_restarted && reports_engine_ended (target, state))
     gtw_quarantine_record_target_end (gateway, target, "sidecar");
   else if (reports_engine_alive (target, state))
@@ -366,7 +367,8 @@
       = gateway->deployment->decode_config (document_msg->data, &error);
   if (config == NULL)
     {
-      log_write (LOG_ERROR, "config", "A passed on document is ignored: %s.",
+      log_write (LOG_ERROR, "config",
+                 "Forwarded configuration document ignored: %s.",
                  error.message);
       return;
     }
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -1,10 +1,11 @@
 /// @file gateway_peers.c
 /// Sidecars that read the store for the gateways of their failure domain:
-/// which one is asked, and what its answer is worth.
+/// which one is queried, and how its answer is used.
 ///
-/// All gateways of a domain query the same sidecar, so that one call serves
-/// all of them; one that fails is left alone for a while, and the next one
-/// takes its place. Nobody is elected and nobody has to know the others.
+/// All gateways of a domain query the same sidecar, so that one store call
+/// serves all of them. A sidecar that fails is not queried for a while, and
+/// the next one in rank takes its place. This needs no election, and gateways
+/// need not know each other.
 #include <stdlib.h>
 
 #include "gateway/gateway_defs.h"
@@ -14,16 +15,17 @@
 
 enum
 {
-  /// With fewer gateways in a domain than this, a shared read saves no call.
+  /// With fewer gateways per domain, a shared read saves no store call.
   MIN_GATEWAYS_PER_DOMAIN = 2,
-  /// Counted; more are taken for as many.
+  /// More domains than this are counted as this many.
   MAX_DOMAINS = 64,
-  /// A sidecar that gave no answer is not asked for this long. Its VM may be
-  /// slow, cut off or gone; asking costs a part of a pause each time.
+  /// A sidecar that gave no answer is not queried for this long. Its VM may be
+  /// slow, cut off or gone, and each query costs a part of the time between
+  /// two reads.
   PEER_BACKOFF_MS = 5000,
 };
 
-/// @return  How many failure domains the listed targets are in.
+/// @return  Number of failure domains of the listed targets.
 static uint32_t
 count_domains (const gtw_gateway_t *gateway)
 {
@@ -52,8 +54,8 @@
   return gtw_target_is_heard (gateway, target) && !is_backing_off;
 }
 
-/// @return  The rank of a sidecar for the gateways of this domain: those in
-///          their own one come first, in an order that all agree on.
+/// @return  The rank of a sidecar for the gateways of this domain: sidecars of
+///          the domain come first, in an order that all its gateways share.
 static uint64_t
 rank_of (const gtw_gateway_t *gateway, const gtw_target_t *target)
 {
@@ -85,7 +87,7 @@
          && choose_peer (gateway) != NULL;
 }
 
-/// Hand an answer, or NULL, to the source.
+/// Pass the answer, or NULL, to the source.
 static void
 query_finish (gtw_peers_t *peers, const src_changes_t *changes)
 {
@@ -99,7 +101,7 @@
   gateway->source->vtable->on_changes (gateway->source, changes);
 }
 
-/// The peer is of no use now: say why, and leave it alone.
+/// Log why the sidecar gave no answer, and do not query it for a while.
 static void
 query_fail (gtw_peers_t *peers, const char *reason)
 {
@@ -159,7 +161,7 @@
              is_sent ? query_on_timeout : query_on_unsent, peers);
 }
 
-/// @return  False: these bytes are no changes.
+/// @return  False: the bytes are malformed.
 static bool
 unpack_changes (kb_slice_t packed, src_change_t **changes, uint32_t *count)
 {
@@ -174,10 +176,11 @@
   return status == KB_ENOTFOUND;
 }
 
-/// When the read behind an answer began, by this clock, at the latest. The
-/// sidecar says how much later or earlier than the question's arrival; that
-/// was not before it was sent. The time of the answer is never used: words
-/// wait in connections, and a sidecar that was frozen tells old knowledge.
+/// @return  The earliest time, by this gateway's clock, at which the read
+///          behind an answer can have begun. The sidecar states the begin
+///          relative to the arrival of the query, which was not before the
+///          query was sent. The time of the answer is never used: messages
+///          wait in connections, and a sidecar that was frozen sends old data.
 static uint64_t
 read_began_ms (const gtw_peers_t *peers, const msg_changes_t *answer)
 {
@@ -190,7 +193,7 @@
                            const msg_changes_t *answer)
 {
   gtw_peers_t *peers = &gateway->peers;
-  // An answer that comes too late, or to the process before this one.
+  // A late answer, or one to the process before this one.
   if (peers->id == 0 || answer->id != peers->id
       || gtw_link_key (kb_slice_str (from->link)) != peers->link_key)
     {
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -1,6 +1,7 @@
 /// @file gateway_quarantine.c
-/// Requests under which targets ended (coordination/quarantine.h): who was
-/// beginning at a target when it ended, and what other daemons are told.
+/// Requests under which targets ended (coordination/quarantine.h): which were
+/// starting at a target when it ended, and the records that are shared with
+/// other daemons.
 #include "coordination/alone.h"
 #include "coordination/quarantine.h"
 #include "gateway/gateway_defs.h"
@@ -11,18 +12,18 @@
 
 enum
 {
-  /// Between the break of a connection and the proof that the target has
-  /// ended. A sidecar's word or refused connections tell within a second;
-  /// where something before the target still takes connections, only the next
-  /// incarnation does, some seconds later.
+  /// Longest time from a broken connection to the proof that the target has
+  /// ended. A sidecar's report or refused connections prove it within a
+  /// second; where a proxy still accepts connections for the target, only the
+  /// next incarnation proves it, some seconds later.
   END_EVIDENCE_TIMEOUT_MS = 5000,
-  /// All connections of a process break within this when it ends.
+  /// All connections of a process break within this time when it ends.
   SAME_END_WINDOW_MS = 100,
-  /// Sidecars that are told at once, and join what gateways say.
+  /// Sidecars that get a record at once and merge those of all gateways.
   IMMEDIATE_RECEIVERS = 3,
 };
 
-/// Its workspace, or else the address of its connection.
+/// @return  Hash of its workspace, or without one of its connection's address.
 static uint64_t
 hash_caller (const gtw_request_t *r)
 {
@@ -35,7 +36,7 @@
 gtw_quarantine_check (gtw_request_t *r, uint64_t *hold_ms)
 {
   const qrt_table_t *table = &r->gateway->quarantine;
-  // The fingerprint is not worked out while nothing is known of any request.
+  // The fingerprint is not computed while there are no records.
   if (table->entries.len == 0)
     return QRT_FREE;
   qrt_verdict_t worst = QRT_FREE;
@@ -92,8 +93,8 @@
     send_all_records (gateway, target);
 }
 
-/// @return  The sidecar that is heard and ranks highest for a request below a
-///          rank, or NULL.
+/// @return  The sidecar in contact that ranks highest for a request below
+///          `*rank`, which is set to its rank; NULL: none.
 static const gtw_target_t *
 next_receiver (const gtw_gateway_t *gateway, uint64_t request, uint64_t *rank)
 {
@@ -115,10 +116,10 @@
   return best;
 }
 
-/// Tell a few sidecars at once what changed about a request. All gateways tell
-/// the same ones, so that these can join what each of them saw, and tell all
-/// gateways once it matters.
-/// @return  How many were told.
+/// Send the record of a request to a few sidecars at once. All gateways send
+/// to the same ones, so that these can merge the records of all gateways, and
+/// send them to every gateway once they matter.
+/// @return  Number of sidecars that it was sent to.
 static uint32_t
 send_to_receivers (gtw_gateway_t *gateway, uint64_t request)
 {
@@ -137,9 +138,9 @@
   return sent_count;
 }
 
-/// What this gateway found out goes to others. Most requests are suspected
-/// once and never again; only those that may be held are kept at the platform,
-/// unless there is no sidecar that could tell the other gateways.
+/// Share a record that has changed. Most requests are suspected once and never
+/// again; the platform keeps only those that may be held, unless there is no
+/// sidecar to inform the other gateways.
 static void
 publish_request (gtw_gateway_t *gateway, uint64_t request, bool may_be_held)
 {
@@ -153,11 +154,10 @@
   if (qrt_take (&gateway->quarantine, records, gtw_now_ms (gateway), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
-  log_write (LOG_WARN, "gateway",
-             "A word about requests that end targets is ignored.");
+  log_write (LOG_WARN, "gateway", "Malformed quarantine records are ignored.");
 }
 
-/// The same in all gateways.
+/// @return  Equal at all gateways.
 static uint64_t
 incarnation_hash (const gtw_target_t *target)
 {
@@ -189,7 +189,7 @@
   log_end (&line);
 }
 
-/// A target ended while this request was beginning there.
+/// Record that a target ended while this request was starting there.
 static void
 record_suspect (gtw_gateway_t *gateway, const gtw_target_t *target,
                 const gtw_break_t *broken, bool is_alone)
@@ -220,13 +220,14 @@
          && gtw_now_ms (gateway) - broken->at_ms <= END_EVIDENCE_TIMEOUT_MS;
 }
 
-/// Beside a plain target no sidecar lets a request begin alone. One that this
-/// gateway kept its others from, or that had broken off before and was the
-/// only one of this gateway's there, counts as if it had: others may have been
-/// there through other gateways, but not time and again. One that is sent all
-/// the time is at several targets that end at one moment; it had not broken
-/// off before any of them. What breaks off later does so because the target
-/// has ended.
+/// Whether a request was alone at a target when the target ended. A sidecar
+/// lets requests start alone at its engine; a plain target has no sidecar. A
+/// request counts as alone there if this gateway kept its other requests away,
+/// or if it had broken off before and was this gateway's only request there:
+/// others may have been there through other gateways, but not repeatedly. A
+/// request that is sent all the time is at several targets that end at the
+/// same moment; it had not broken off before any of them. Requests that break
+/// off later do so because the target has ended.
 static bool
 was_alone (const gtw_gateway_t *gateway, const gtw_target_t *target,
            const gtw_break_t *broken)
@@ -244,8 +245,9 @@
   return true;
 }
 
-/// Whom the end of a target may be put down to, once it is certain.
-/// @return  How many.
+/// Record all requests that may have caused the end of a target, once the end
+/// is certain.
+/// @return  Number of suspects.
 static uint32_t
 record_suspects (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
@@ -269,7 +271,7 @@
 gtw_quarantine_record_target_end (gtw_gateway_t *gateway, gtw_target_t *target,
                                   const char *evidence)
 {
-  // A target that leaves ends by itself.
+  // A target that is leaving is expected to end.
   if (target->ended_ms > 0 || gtw_target_is_leaving (target))
     return;
   target->ended_ms = gtw_now_ms (gateway);
@@ -284,8 +286,8 @@
   log_end (&line);
 }
 
-/// Whether a request was beginning at its target. What has run there for a
-/// while merely shared it.
+/// Whether a request was starting at its target. Requests that have run there
+/// for a while merely shared it.
 static bool
 is_starting (const gtw_request_t *r)
 {
@@ -310,7 +312,7 @@
                          .is_alone = r->begins_alone || r->alone.is_alone };
   for (int width = 0; width < GTW_WIDTHS; width++)
     broken.requests[width] = gtw_request_fingerprint (r, width);
-  // The proof came first: who else was there is looked through already.
+  // The end was proved before; its other suspects are recorded already.
   if (target->ended_ms > 0)
     {
       record_suspect (gateway, target, &broken,
@@ -322,7 +324,7 @@
     gtw_probe_start (gateway, target);
 }
 
-/// A target answers: what broke off there before broke for another reason.
+/// A target that answers has not ended: earlier breaks had another cause.
 static void
 forget_breaks (gtw_gateway_t *gateway, const gtw_target_t *target)
 {
@@ -337,7 +339,7 @@
 gtw_quarantine_record_served (gtw_request_t *r)
 {
   gtw_gateway_t *gateway = r->gateway;
-  // Whatever it was taken for: it lives.
+  // It answers, so it has not ended.
   r->target->ended_ms = 0;
   if (gateway->break_count > 0)
     forget_breaks (gateway, r->target);
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -12,10 +12,11 @@
 enum
 {
   MILLI = 1000,
-  /// A workspace without requests for this long uses no lender.
+  /// A quota without requests for this long is not reported to sidecars.
   QUOTA_IN_USE_MS = 2000,
-  DECIDED_DELAY_MS = 0, ///< At the standby_lender turn of the loop.
-  /// When a first sidecar is contact_count, others follow that rank before it.
+  DECIDED_DELAY_MS = 0, ///< At the next iteration of the event loop.
+  /// After contact with a first sidecar, the time that sidecars of a higher
+  /// rank get to connect before a lender is chosen.
   LENDER_SETTLE_MS = 500,
 };
 
@@ -25,8 +26,8 @@
   return (gtw_charge_t *)((char *)waiter - offsetof (gtw_charge_t, waiter));
 }
 
-/// Clocks of two VMs tell nothing to each other: of a target, the age of the
-/// limit is sent.
+/// Clocks of two VMs are not comparable, so a target's limit is sent with its
+/// age.
 static uint64_t
 revision_to_send (const gtw_quota_t *quota, const qln_ask_t *credit_request)
 {
@@ -65,7 +66,7 @@
         .gateway_peak_age_ms = tmr_boot_ms () - gateway->peak.seen_ms }
   };
   MET_INC ("knapweedbay_quota_asks_total", "");
-  // One that can not be sent is sent again by the standby_lender tick.
+  // A request that can not be sent is sent again by the next tick.
   if (target == NULL || hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
 }
@@ -169,8 +170,7 @@
   };
 }
 
-/// Find who lends and who would be standby_lender, of those that are
-/// contact_count.
+/// Find the lender and its standby among the sidecars in contact.
 static qrk_rank_t
 rank_lenders (const gtw_gateway_t *gateway, uint64_t workspace,
               uint64_t now_ms)
@@ -197,7 +197,8 @@
   return rank;
 }
 
-/// Sidecars are to know at once who borrows where.
+/// Send a state report with the next tick, so that the sidecar learns at once
+/// who borrows where.
 static void
 expedite_state_report (const gtw_gateway_t *gateway, uint64_t link)
 {
@@ -348,7 +349,7 @@
     target->unheard_ms = now_ms;
 }
 
-/// Note which sidecars are contact_count, and since when.
+/// Record which sidecars are in contact, and since when.
 static void
 update_contacts (gtw_gateway_t *gateway, uint64_t now_ms)
 {
@@ -368,7 +369,7 @@
     gateway->alone_ms = now_ms;
 }
 
-/// @return  A quota that nobody needs any more, or NULL.
+/// @return  A quota that is no longer used, or NULL.
 static gtw_quota_t *
 find_idle (const gtw_gateway_t *gateway, uint64_t now_ms)
 {
@@ -406,7 +407,7 @@
 {
   uint64_t now_ms = tmr_boot_ms ();
   const gtw_target_t *target = kb_map_get (&gateway->links, link);
-  // One that is not contact_count here may lend to others.
+  // A sidecar without contact to this gateway may lend to others.
   bool is_silent = target == NULL || !gtw_target_is_heard (gateway, target);
   uint32_t at = 0;
   for (const gtw_quota_t *q = kb_map_next (&gateway->quotas, &at); q != NULL;
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -1,6 +1,6 @@
 /// @file gateway_targets.c
 /// Targets as this gateway knows them: the list, and the links to the sidecars
-/// beside them.
+/// of engines.
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -11,13 +11,13 @@
 enum
 {
   MAX_IDLE_CONNECTIONS = 24,
-  /// A sidecar says something at least every 400 ms.
+  /// A sidecar sends a report at least every 400 ms.
   SIDECAR_TIMEOUT_MS = 1300,
-  /// A new link is given this long for its first word.
+  /// Time-out of the first report on a new link.
   FIRST_REPORT_TIMEOUT_MS = 1500,
   STATE_INTERVAL_MS = 1000,
-  /// While a request waits for a place, its sidecar is told this often which
-  /// places are open, so that a lost message is made good.
+  /// While a request waits for a place, its sidecar is sent the open places
+  /// this often, to recover from lost messages.
   STATE_RESEND_INTERVAL_MS = 300,
 };
 
@@ -43,7 +43,7 @@
   return known != NULL && known->is_engine;
 }
 
-/// What the sidecar said of its engine.
+/// Move what the sidecar reported of its engine.
 static void
 move_engine_state (gtw_target_t *target, gtw_target_t *from)
 {
@@ -67,7 +67,7 @@
   from->adapter_count = 0;
 }
 
-/// @return  Whether a sidecar's word was about the incarnation previous.
+/// @return  Whether a sidecar's report was about the previous incarnation.
 static bool
 is_about_previous (const inc_t *engine, const gtw_target_t *next,
                    const gtw_target_t *previous)
@@ -78,9 +78,9 @@
   return strcmp (engine->id, previous->told.who.id) == 0;
 }
 
-/// The same sidecar looks after another incarnation. What it said last holds,
-/// and the engine can be used previous its next word, unless that was about
-/// the incarnation previous: it said so, and what that one held is gone.
+/// Move the link to another incarnation beside the same sidecar. The last
+/// report still holds, and the engine can be used before the next one, unless
+/// the report was about the previous incarnation, whose adapters are gone.
 static void
 move_link (gtw_target_t *target, gtw_target_t *from)
 {
@@ -110,9 +110,9 @@
             (int)gateway->host.settings.inner_port);
   uint64_t link_key = gtw_link_key (kb_slice_str (target->link));
   gtw_target_t *current = kb_map_get (&gateway->links, link_key);
-  // After a restart the list names the engine's incarnations previous and
-  // after it for a while. The older one must not take the link back: each
-  // would lose what was asked through the other.
+  // After a restart the list has both incarnations of the engine for a while.
+  // The older one must not take the link back: each would lose the requests
+  // made through the other.
   if (current != NULL && current->is_listed && current->key > target->key)
     return;
   target->is_linked = true;
@@ -154,8 +154,8 @@
   log_end (&line);
 }
 
-/// Another incarnation is listed at an address: those previous it have ended,
-/// however short the time was between them.
+/// Another incarnation is listed at an address, so the previous ones have
+/// ended, however short the time between them.
 static void
 record_previous_ended (gtw_gateway_t *gateway, const gtw_target_t *next)
 {
@@ -240,8 +240,8 @@
          && target->condition == MSG_ENGINE_READY;
 }
 
-/// A sidecar that fell silent: its VM is gone, or the connection carries
-/// nothing any more while new ones would.
+/// Reconnect to a sidecar that is silent: its VM is gone, or the connection is
+/// dead while a new one would work.
 static void
 check_sidecar (gtw_gateway_t *gateway, gtw_target_t *target, uint64_t now_ms)
 {
@@ -272,7 +272,7 @@
   free (target);
 }
 
-/// @return  A target that is off the list and no longer used, or NULL.
+/// @return  An unlisted target without requests and connections, or NULL.
 static gtw_target_t *
 find_unused (const gtw_gateway_t *gateway)
 {
@@ -284,9 +284,9 @@
   return NULL;
 }
 
-/// All of them at once: after a loss of power the list drops hundreds, and
-/// what comes behind this in a tick, the word to each sidecar, may not wait.
-/// With one a tick, 120 of them kept every link silent for 12 s.
+/// Free all of them at once: after a loss of power the list drops hundreds,
+/// and the state reports to sidecars, which follow in the tick, must not wait.
+/// With one per tick, 120 of them kept every link silent for 12 s.
 static void
 free_unused (gtw_gateway_t *gateway)
 {
@@ -307,8 +307,8 @@
   uint64_t since_sent_ms = now_ms - target->told_ms;
   bool is_resend_due = since_sent_ms > STATE_RESEND_INTERVAL_MS
                        && gtw_places_wait_for (gateway, target);
-  // Until the link is up nothing reaches the sidecar; say it again soon, or a
-  // restarted fleet stays without engines for a second.
+  // Nothing reaches the sidecar until the link is up. Repeat the state at each
+  // tick, or a restarted fleet has no engines for a second.
   if (since_sent_ms >= STATE_INTERVAL_MS || target->heard_ms == 0
       || is_resend_due)
     gtw_send_gateway_state (gateway, target);
--- a/src/relay/changes.c
+++ b/src/relay/changes.c
@@ -1,6 +1,6 @@
 #include "relay/changes.h"
 
-/// Comes before the bytes of each key and value.
+/// Precedes the bytes of each key and value.
 typedef struct
 {
   uint64_t revision;
--- a/src/relay/deployment.h
+++ b/src/relay/deployment.h
@@ -15,11 +15,11 @@
 {
   const rly_dialect_t *dialect;
   src_decode_t decode_config;
-  /// @return  NULL with the reason in `error`.
+  /// The make functions return NULL with the reason in `error` on failure.
   src_source_t *(*make_source) (xch_pool_t *pool,
                                 const set_settings_t *settings,
                                 kb_error_t *error);
-  /// A reader of the same store, for a sidecar that reads for several
+  /// Make a reader of the same store, for a sidecar that reads for several
   /// gateways.
   rdr_reader_t *(*make_reader) (xch_pool_t *pool,
                                 const set_settings_t *settings,
--- a/src/relay/fingerprint.c
+++ b/src/relay/fingerprint.c
@@ -4,8 +4,8 @@
 #include <openssl/evp.h>
 #include <stdio.h>
 
-/// Each part goes in with its length, so that bytes can not move from one
-/// part to the next.
+/// Hash a part with its length, so that moving bytes from one part to the next
+/// changes the digest.
 static void
 add_part (EVP_MD_CTX *digest, kb_slice_t part)
 {
--- a/src/relay/forward.c
+++ b/src/relay/forward.c
@@ -2,7 +2,8 @@
 
 #include "transport/metrics.h"
 
-/// The receiver says what it knows in each of its words, and gets it again.
+/// A lost message needs no retry here: the receiver states what it has in each
+/// of its reports, and is sent what it lacks again.
 static void
 send_or_count (hst_host_t *host, const char *peer, const msg_t *msg)
 {
--- a/src/relay/host.c
+++ b/src/relay/host.c
@@ -10,7 +10,7 @@
 enum
 {
   LOG_FLUSH_INTERVAL_MS = 250,
-  /// The settings file may change without a signal.
+  /// Period of the check for a settings file that changed without a signal.
   SETTINGS_CHECK_INTERVAL_MS = 2000,
 };
 
@@ -44,8 +44,8 @@
                  (uint32_t)host->settings.log_lines_per_s);
 }
 
-/// Read the settings again; a file that is not proper leaves the present ones
-/// in force.
+/// Read the settings again. With an invalid file the current ones stay in
+/// force.
 static void
 host_reload (hst_host_t *host)
 {
@@ -54,7 +54,8 @@
   host->settings_stamp = file_stamp (host->settings_path);
   if (set_load_file (host->settings_path, &reloaded, &error) != KB_OK)
     {
-      log_write (LOG_ERROR, "settings", "The present ones stay: %s.",
+      log_write (LOG_ERROR, "settings",
+                 "Reload failed, current settings stay in force: %s.",
                  error.message);
       return;
     }
@@ -138,7 +139,7 @@
   struct sockaddr_in address;
   if (uv_ip4_addr (s->listen_address, (int)s->metrics_port, &address) != 0)
     return kb_error_set (error, KB_EINVAL,
-                         "\"listen_address\": \"%s\" is no IP number",
+                         "\"listen_address\": \"%s\" is not an IPv4 address",
                          s->listen_address);
   return pgs_server_init (&host->metrics, &host->loop, &address,
                           host_serve_page, host, error);
--- a/src/relay/host.h
+++ b/src/relay/host.h
@@ -1,6 +1,6 @@
 /// @file host.h
-/// What both relay roles share: the loop and the services on it, signals,
-/// settings that are read again, the metrics page, and the log.
+/// Runtime of both relay roles: the event loop and its services, signals,
+/// reload of the settings, the metrics page and the log.
 #ifndef KB_RELAY_HOST_H
 #define KB_RELAY_HOST_H
 
@@ -11,15 +11,15 @@
 
 typedef struct hst_host hst_host_t;
 
-/// What a role provides.
+/// Callbacks of a role.
 typedef struct
 {
   void (*on_message) (hst_host_t *host, kb_slice_t peer, const msg_t *msg);
-  /// SIGTERM or SIGINT, once.
+  /// Called once, at the first SIGTERM or SIGINT.
   void (*on_stop) (hst_host_t *host);
-  /// The settings were read again and are good.
+  /// Called after new valid settings were read.
   void (*on_reload) (hst_host_t *host);
-  /// Set gauges before the metrics are written.
+  /// Sets gauges before the metrics page is written.
   void (*on_metrics) (hst_host_t *host);
 } hst_role_t;
 
@@ -37,7 +37,7 @@
   uv_signal_t signals[3];
   tmr_sub_t flush_timer;
   tmr_sub_t reload_timer;
-  uint64_t settings_stamp; ///< Of the file, to see it change.
+  uint64_t settings_stamp; ///< Hash of the file's mtime and size.
   uint64_t incarnation;
   bool is_stopping;
   int exit_code;
@@ -47,9 +47,11 @@
 kb_status_t hst_host_init (hst_host_t *host, const hst_role_t *role,
                            void *state, const char *settings_path,
                            const char *link_name, kb_error_t *error);
+/// Run the event loop until hst_host_exit.
+/// @return  The exit code.
 int hst_host_run (hst_host_t *host);
 void hst_host_exit (hst_host_t *host, int exit_code);
-/// Send to a peer.
+/// Queue a message to a peer.
 kb_status_t hst_send (hst_host_t *host, const char *peer, const msg_t *msg);
 static inline uint64_t
 hst_now_ms (const hst_host_t *host)
--- a/src/relay/reader.h
+++ b/src/relay/reader.h
@@ -1,6 +1,7 @@
 /// @file reader.h
-/// The deployment's store as a sidecar reads it for several gateways: changes
-/// behind a revision, as bytes that only the gateways' source understands.
+/// Interface through which a sidecar reads the deployment's store for several
+/// gateways: the changes after a revision, as bytes that only the gateways'
+/// source interprets.
 #ifndef KB_RELAY_READER_H
 #define KB_RELAY_READER_H
 
@@ -11,20 +12,20 @@
 
 typedef struct
 {
-  /// KB_OK; KB_ENOTFOUND: the history behind the revision is forgotten;
-  /// anything else: no answer.
+  /// KB_OK; KB_ENOTFOUND: the store no longer has the history after the
+  /// revision; any other value: no answer.
   kb_status_t status;
-  const shr_change_t *changes; ///< Gone after the callback.
+  const shr_change_t *changes; ///< Valid during the callback.
   uint32_t change_count;
-  uint64_t as_of;           ///< All changes up to here.
-  uint64_t config_revision; ///< Of a configuration among them, or zero.
+  uint64_t as_of;           ///< Includes all changes up to this revision.
+  uint64_t config_revision; ///< Of a configuration in `changes`, or zero.
 } rdr_result_t;
 
 typedef void (*rdr_done_t) (void *arg, const rdr_result_t *result);
 
 typedef struct
 {
-  /// Read the changes behind a revision; one read at a time.
+  /// Read the changes after a revision; one read at a time.
   void (*read) (rdr_reader_t *reader, uint64_t after, rdr_done_t done,
                 void *arg);
 } rdr_vtable_t;
--- a/src/relay/versions.h
+++ b/src/relay/versions.h
@@ -1,6 +1,6 @@
 /// @file versions.h
-/// The newest version known of each adapter. Versions only rise, so that a
-/// late or repeated word can not bring an older one back.
+/// The newest known version of each adapter. Versions only rise, so that a
+/// late or repeated message can not bring an older one back.
 #ifndef KB_RELAY_VERSIONS_H
 #define KB_RELAY_VERSIONS_H
 
@@ -19,16 +19,18 @@
 typedef struct
 {
   kb_map_t items;
-  uint64_t version_sum; ///< Sum of all versions: equal sums, equal knowledge.
+  uint64_t version_sum; ///< Of all versions; equal sums mean equal tables.
 } ver_table_t;
 
 void ver_table_finish (ver_table_t *table);
-/// @return  The item when it is newer than what was known, or NULL.
+/// Record a version.
+/// @return  The item if the version is newer than the known one, or NULL.
 const ver_item_t *ver_table_update (ver_table_t *table, kb_slice_t model,
                                     kb_slice_t adapter, uint32_t version);
 /// @return  Zero when no version is known.
 uint32_t ver_newest (const ver_table_t *table, uint64_t key);
-/// Key of "model/adapter"; the full name goes to `name`.
+/// @param name  Receives the full name, "model/adapter".
+/// @return      The key of that name.
 uint64_t ver_key (kb_slice_t model, kb_slice_t adapter, char *name,
                   size_t name_bytes);
 
--- a/test/relay/leaving_failure_test.cc
+++ b/test/relay/leaving_failure_test.cc
@@ -1,4 +1,5 @@
-// Targets that say in their answers that they leave, while the list does not.
+// Targets that state in their answers that they leave, while the list does
+// not.
 #include <gtest/gtest.h>
 
 #include "load.h"
@@ -10,10 +11,10 @@
 
 using std::chrono::milliseconds;
 
-/// What callers send that much later than a gateway passed on such an answer
-/// reaches the target from that gateway no more.
+/// This long after a gateway has passed on such an answer, requests that
+/// callers send no longer reach the target through that gateway.
 constexpr int kDrainBoundMs = 2000;
-/// By then each gateway under load has passed one on.
+/// By then each gateway under load has passed on such an answer.
 constexpr int kReactionMs = 500;
 
 Call
@@ -28,7 +29,7 @@
   return plain_call (id);
 }
 
-/// The store is silent, and a target says that it leaves.
+/// The store is silent, and a target states that it leaves.
 void
 expect_nothing_after_bound (Site &site, Target &leaving,
                             Call (*call_of) (const std::string &))
@@ -48,21 +49,21 @@
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
-// Guards against leaving that only the list tells.
+// Guards against leaving that takes effect only through the list.
 TEST (Leaving, EngineThatStatesItGetsNoNewRequests)
 {
   Site site (2, 0, 2);
   expect_nothing_after_bound (site, *site.engines[0].target, stream);
 }
 
-// Guards against the same at a plain target, which has no agent.
+// Guards against the same at a plain target, which has no sidecar.
 TEST (Leaving, PlainTargetThatStatesItGetsNoNewRequests)
 {
   Site site (1, 2, 2);
   expect_nothing_after_bound (site, *site.plain[0], plain);
 }
 
-// Guards against leaving that outlives the life that said so.
+// Guards against leaving that outlives the incarnation that stated it.
 TEST (Leaving, EndsWithTheIncarnationThatStatedIt)
 {
   Site site (1, 1, 1);
@@ -78,7 +79,7 @@
       3000));
 }
 
-// Guards against an entry of the list that takes leaving back.
+// Guards against an entry of the list that reverts leaving.
 TEST (Leaving, IsNotRevertedByTheList)
 {
   Site site (1, 1, 1);
@@ -97,7 +98,7 @@
   EXPECT_EQ (site.plain[0]->runs (), 1);
 }
 
-// Guards against retries and resumed streams that go to a target which leaves.
+// Guards against retries and resumed streams that go to a leaving target.
 TEST (Leaving, RetriesAndResumedStreamsAvoidTheTarget)
 {
   Site site (3, 0, 1);
--- a/test/relay/limit_failure_test.cc
+++ b/test/relay/limit_failure_test.cc
@@ -12,7 +12,7 @@
 
 using std::chrono::milliseconds;
 
-/// The limit enforced_from from then on, over any window, with this tolerance.
+/// From then on the limit holds over any window, with this tolerance.
 constexpr int kEnforcedAfterMs = 3000;
 constexpr int kWindowMs = 4000;
 
@@ -34,7 +34,7 @@
   return plain_call (id);
 }
 
-/// Press a site, one of whose targets states a limit.
+/// Load a site in which one target states a limit.
 void
 expect_limit_holds (Site &site, Target &limited,
                     Call (*call_of) (const std::string &), double per_s)
@@ -51,27 +51,28 @@
   int most = most_in (arrivals_at (limited), enforced_from, kWindowMs);
   printf ("%d of %d in %d ms\n", most, max_allowed (per_s), kWindowMs);
   EXPECT_LE (most, max_allowed (per_s));
-  // It is used, and the other targets serve what it does not take.
+  // At least half of the limit is used, and other targets serve the rest.
   EXPECT_GE (most, (int)(per_s * kWindowMs / 1000 / 2));
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
-// Guards against a limit of an engine that each gateway, or none, keeps.
+// Guards against an engine's limit that is enforced by each gateway on its
+// own, or by none.
 TEST (Limit, EngineLimitHoldsOverAllGateways)
 {
   Site site (3, 0, 3);
   expect_limit_holds (site, *site.engines[0].target, stream, 5);
 }
 
-// Guards against the same at a plain target, which has no agent.
+// Guards against the same at a plain target, which has no sidecar.
 TEST (Limit, PlainTargetLimitHoldsOverAllGateways)
 {
   Site site (2, 3, 3);
   expect_limit_holds (site, *site.plain[0], plain, 5);
 }
 
-/// One after the other: the agent beside the limited engine, agents that lend
-/// permits, gateways, the store.
+/// Fail daemons one after the other: the sidecars, among them the one beside
+/// the limited engine and those that lend permits, the gateways, the store.
 void
 fail_daemons (Site &site)
 {
@@ -93,7 +94,7 @@
   site.store.set_mode (Store::WELL);
 }
 
-// Guards against a limit that is forgotten with the daemons that know it.
+// Guards against a limit that is lost with the daemons that know it.
 TEST (Limit, HoldsWhileDaemonsFail)
 {
   constexpr double per_s = 5;
@@ -116,7 +117,7 @@
              max_allowed (per_s));
 }
 
-// Guards against a limit that outlives what the target says.
+// Guards against a limit that stays after the target has withdrawn it.
 TEST (Limit, EndsWhenTheTargetStatesNone)
 {
   Site site (2, 2, 2);
@@ -136,8 +137,8 @@
   EXPECT_GT (most_in (arrivals_at (*site.plain[0]), lifted, 1000), 20);
 }
 
-// Guards against callers that wait, or learn no time, where no target takes
-// more.
+// Guards against callers that wait, or get no retry-after time, when all
+// targets are at their limits.
 TEST (Limit, ExcessIsRefusedAtOnceWithRetryAfter)
 {
   Site site (2, 2, 2);
@@ -155,12 +156,12 @@
       EXPECT_GT (counts.refused, counts.answered);
       EXPECT_EQ (counts.untimed, 0);
       EXPECT_EQ (counts.other, 0);
-      // An engine's objective is 800 ms, a plain target's 150 ms.
+      // The objective is 800 ms at engines, 150 ms at plain targets.
       EXPECT_LE (counts.longest_refused_ms, call_of == stream ? 1000 : 400);
     }
 }
 
-// Guards against fields without meaning that change what is believed.
+// Guards against a malformed field that changes the known limit.
 TEST (Limit, MalformedFieldIsLoggedAndIgnored)
 {
   Site site (1, 1, 1);
--- a/test/relay/pause_failure_test.cc
+++ b/test/relay/pause_failure_test.cc
@@ -1,4 +1,4 @@
-// Targets that turn requests away and ask a gateway for a pause.
+// Targets that refuse requests and ask a gateway for a pause.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 
 using std::chrono::milliseconds;
 
-/// Of the pause a gateway may miss this much.
+/// Start of a pause, in which a gateway may still send.
 constexpr int kReactionMs = 500;
-/// Requests of one gateway that may come within the rest of it.
+/// Requests of one gateway that may arrive within the rest of a pause.
 constexpr int kMaxWithinPause = 2;
 constexpr double kPauseS = 3;
 constexpr int kPauseMs = (int)(kPauseS * 1000);
@@ -32,14 +32,14 @@
   return plain_call (id);
 }
 
-/// When requests came, by the gateway that sent them.
+/// Arrival times of requests, by the gateway that sent them.
 std::map<std::string, std::vector<Moment>>
 arrivals_by_gateway (const std::vector<Message> &requests)
 {
   std::map<std::string, std::vector<Moment>> moments;
   for (const Message &request : requests)
     {
-      // Callers name their gateway in their ids.
+      // Callers put the name of their gateway into their ids.
       std::string id = request.header ("x-knapweedbay-attempt-id");
       moments[id.substr (0, id.find ('-'))].push_back (request.came);
     }
@@ -48,8 +48,7 @@
   return moments;
 }
 
-/// The most requests of a gateway within any pause that it was paused_from
-/// for.
+/// The most requests of a gateway within any pause that it was asked for.
 int
 max_within_pause (Target &target, int pause_ms = kPauseMs)
 {
@@ -70,7 +69,7 @@
   return (int)most;
 }
 
-/// Press a service, one of whose targets turns everything away.
+/// Load a service in which one target refuses all requests.
 void
 expect_pauses_kept (Site &site, Target &pausing,
                     Call (*call_of) (const std::string &))
@@ -82,26 +81,27 @@
   std::this_thread::sleep_for (milliseconds (2 * kPauseMs + 1000));
   Load::Counts counts = load.stop ();
   EXPECT_LE (max_within_pause (pausing), kMaxWithinPause);
-  // It is paused_from again after each pause.
+  // It is tried again after each pause.
   EXPECT_GE ((int)pausing.requests ().size () - before, 2);
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
-// Guards against a pause that ends with the request that was turned away.
+// Guards against a pause that ends with the request that was refused.
 TEST (Pause, EngineGetsNoRequestsDuringItsPause)
 {
   Site site (3, 0, 2);
   expect_pauses_kept (site, *site.engines[0].target, stream);
 }
 
-// Guards against the same at a plain target, which has no agent.
+// Guards against the same at a plain target, which has no sidecar.
 TEST (Pause, PlainTargetGetsNoRequestsDuringItsPause)
 {
   Site site (1, 3, 2);
   expect_pauses_kept (site, *site.plain[0], plain);
 }
 
-// Guards against callers that wait, or learn no time, while all targets pause.
+// Guards against callers that wait, or get no retry-after time, while all
+// targets pause.
 TEST (Pause, RefusedAtOnceWithRetryAfterWhenAllTargetsPause)
 {
   Site site (2, 2, 1);
@@ -121,7 +121,7 @@
           EXPECT_EQ (answer.status, 503);
           EXPECT_LE (std::chrono::steady_clock::now () - began,
                      milliseconds (300));
-          // Within the pause, and as much again so that not all come at once.
+          // The rest of the pause, and up to as much again as jitter.
           double after_s = atof (answer.header ("retry-after").c_str ());
           EXPECT_GT (after_s, 2);
           EXPECT_LE (after_s, 10);
@@ -130,7 +130,7 @@
     }
 }
 
-// Guards against requests that paused_from for a place before the pause.
+// Guards against sending requests that asked for a place before the pause.
 TEST (Pause, RequestsWaitingForAPlaceAreNotSent)
 {
   Site site (1, 0, 1);
@@ -149,7 +149,7 @@
       Site::log_lines (site.gateways[0].daemon, { "target_paused" }).empty ());
 }
 
-// Guards against a pause that outlives the life that paused_from for it.
+// Guards against a pause that outlives the incarnation that asked for it.
 TEST (Pause, EndsWithTheIncarnationThatRequestedIt)
 {
   Site site (1, 1, 1);
@@ -165,7 +165,8 @@
       3000));
 }
 
-// Guards against a pause that is kept with a life which the list names late.
+// Guards against a pause that is kept with an incarnation which is listed
+// late.
 TEST (Pause, HoldsThoughTheListNamesItsLifeLater)
 {
   constexpr int long_pause_ms = 10000;
@@ -197,13 +198,13 @@
   EXPECT_EQ (most_in (arrivals_at (engine), listed, 4000), 0);
 }
 
-// Guards against one request that shuts all others out: each target turns it
-// away and asks for a pause.
+// Guards against one request that makes all targets unavailable to others:
+// each target refuses it and asks for a pause.
 TEST (Pause, OneRequestPausesFewTargets)
 {
   Site site (1, 8, 1);
   ASSERT_TRUE (site.wait_ready ());
-  // Room in the retry budget.
+  // Leave room in the retry budget.
   for (int i = 0; i < 20; i++)
     send_call (site.gateways[0], plain ("w" + std::to_string (i)));
   for (const auto &target : site.plain)
--- a/test/relay/quota_failure_test.cc
+++ b/test/relay/quota_failure_test.cc
@@ -1,4 +1,5 @@
-// Quotas of workspaces over_quota all gateways, calm and while daemons fail.
+// Quotas of workspaces over all gateways, without faults and while daemons
+// fail.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -17,7 +18,7 @@
 using std::chrono::seconds;
 using std::chrono::steady_clock;
 
-/// Of workspace red: ten streams of 150 tokens in a window, and a burst.
+/// Limit of workspace red: ten streams of 150 tokens in a window, and a burst.
 constexpr int kRate = 300;
 constexpr int kBurst = 300;
 
@@ -35,8 +36,8 @@
          + kQuotaSlack;
 }
 
-/// Callers of one workspace that send one request after the other, as fast as
-/// they are answered.
+/// Callers of one workspace, each of which sends its next request when the
+/// last one is answered.
 class Callers
 {
 public:
@@ -45,8 +46,8 @@
     int answered = 0;
     int over_quota = 0;
     int other = 0;
-    int without_retry_after = 0; ///< Refused without a time to come back.
-    int max_latency_ms = 0;      ///< Of those answered.
+    int without_retry_after = 0; ///< Refused without a retry-after time.
+    int max_latency_ms = 0;      ///< Of answered requests.
   };
   Callers (Site *site, const std::string &key, int per_gateway,
            int pause_ms = 2)
@@ -135,7 +136,7 @@
         call.headers += key_line ("k-free");
         return send_call (gateway, call).status == 200;
       }));
-    // All have met by then, and a lender lends all of a quota.
+    // By then all daemons are in contact, and a lender lends a whole quota.
     std::this_thread::sleep_for (milliseconds (2500));
   }
   static void
@@ -162,7 +163,7 @@
 };
 
 // One workspace sends far beyond its quota through all gateways, each of which
-// would let in the whole quota by itself.
+// would admit the whole quota by itself.
 TEST_F (Quota, LimitHoldsOverAllGateways)
 {
   Site site (3, 1, 3);
@@ -175,15 +176,15 @@
   EXPECT_GT (counts.over_quota, 0);
   EXPECT_EQ (counts.other, 0);
   EXPECT_EQ (counts.without_retry_after, 0);
-  // Most of the quota is used.
+  // At least 70 % of the quota is used.
   int sum = 0;
   for (const auto &[arrival, count] : tokens_of (site, "red"))
     sum += count;
   EXPECT_GE (sum, 10 * kRate * 7 / 10);
 }
 
-// What lies within the quota is not refused, though it comes through one
-// gateway of three.
+// Requests within the quota are not refused, even if all of them come through
+// one gateway of three.
 TEST_F (Quota, RequestsWithinTheQuotaAreServed)
 {
   Site site (3, 1, 3);
@@ -197,8 +198,8 @@
     }
 }
 
-// A workspace far beyond its quota costs its neighbours nothing: what is
-// refused asks for no place, no fetch and no target.
+// A workspace far beyond its quota does not affect other workspaces: refused
+// requests use no place, no fetch and no target.
 TEST_F (Quota, OtherWorkspacesAreServed)
 {
   Site site (2, 1, 2);
@@ -221,8 +222,8 @@
     }
 }
 
-// The sidecar that lends is killed, stopped and started again; gateways start
-// again and know nothing.
+// The lending sidecar is killed, stopped and restarted; gateways restart
+// without any record of what was lent.
 TEST_F (Quota, LimitHoldsWhileDaemonsFail)
 {
   Site site (3, 1, 3);
@@ -244,8 +245,8 @@
   EXPECT_GT (counts.answered, 0);
 }
 
-// All daemons lose power at one moment, and with it what was lent; more than
-// once in a window.
+// All daemons lose power at the same moment, more than once in a window, and
+// lose the record of what was lent.
 TEST_F (Quota, LimitHoldsWhenAllDaemonsRestart)
 {
   Site site (3, 1, 3);
@@ -266,8 +267,8 @@
   EXPECT_GT (tokens.back ().first, stopped + seconds (2));
 }
 
-// A gateway that hears no sidecar any more, and so no lender.
-TEST_F (Quota, WithoutALenderMostRequestsAreRefused)
+// A gateway without contact to any sidecar has no lender.
+TEST_F (Quota, WithoutALenderSomeAreServedAndTheRestRefused)
 {
   Site site (1, 1, 1);
   begin (&site);
@@ -291,7 +292,7 @@
   kill (site.engines[0].sidecar.pid, SIGCONT);
 }
 
-// The operator lowers a limit while it is pressed.
+// The operator lowers a limit under load.
 TEST_F (Quota, LoweredLimitIsEnforced)
 {
   Site site (2, 1, 2);
@@ -310,7 +311,7 @@
   EXPECT_LE (sum, max_allowed_tokens (60, 60));
 }
 
-// A limit of zero and none at all are no limit.
+// A limit of zero means no limit.
 TEST_F (Quota, ZeroIsNoLimit)
 {
   Site site (1, 1, 1);
--- a/test/relay/repeat_failure_test.cc
+++ b/test/relay/repeat_failure_test.cc
@@ -1,5 +1,5 @@
-// A request that ends each target that begins to run it, and is sent again
-// and again: by its caller, under new attempt ids, through any gateway.
+// A request that ends each target that begins to run it, and that its caller
+// sends repeatedly, under new attempt ids and through any gateway.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -11,9 +11,9 @@
 namespace
 {
 
-/// By then all gateways that reach the platform know what one of them does.
+/// By then the records of a gateway are known to all that reach the platform.
 constexpr int kPropagationMs = 3000;
-/// Sends that may still reach targets, that long after the third end.
+/// Targets that may still end after the third end and kPropagationMs.
 constexpr int kMaxEndsAfterThird = 3;
 
 Call
@@ -36,7 +36,7 @@
   return plain_call ("fatal" + std::to_string (attempt), "/unsafe/fatal");
 }
 
-/// Send until a number of targets ended.
+/// Send until a number of targets have ended.
 /// @param call_of  The call for an attempt.
 /// @return         The next attempt's number.
 int
@@ -55,7 +55,7 @@
 }
 
 /// Send through all gateways in turn.
-/// @return  How many targets ended.
+/// @return  Number of targets that ended.
 int
 send_more (Site &site, Call (*call_of) (int), int attempt, int count)
 {
@@ -70,8 +70,8 @@
   return site.ends () - before;
 }
 
-/// A request that has ended three targets, sent on after all gateways can
-/// know.
+/// Send a request that has ended three targets, after all gateways have had
+/// time to learn of it.
 void
 expect_few_after_third (Site &site, Call (*call_of) (int), int sends)
 {
@@ -83,20 +83,20 @@
   EXPECT_LE (send_more (site, call_of, attempt, sends), kMaxEndsAfterThird);
 }
 
-// A caller sends one request again and again, through any gateway. Each engine
-// that begins to run it ends, and with it the streams of all others there;
-// dozens of engines end within seconds. Cause: each send has an attempt id of
-// its own, and what an attempt did was forgotten with it; each one went on to
-// the next engine as well. Evidence: 24 ends by 12 sends, two each; the same
-// caller, path and body at the ends, and none while it is not sent.
+// A caller sends one request repeatedly through any gateway. Each engine that
+// begins to run it ends, with the streams of all other callers there; dozens
+// of engines ended within seconds: 24 ends by 12 sends, two each. Each send
+// has an attempt id of its own, what an attempt did was forgotten with it, and
+// each attempt went on to the next engine as well. The ends have caller, path
+// and body in common, and stop when the request is not sent.
 TEST (Repeat, FatalRequestReachesFewEnginesAfterTheThirdEnd)
 {
   Site site (6, 0, 2);
   expect_few_after_third (site, fatal_stream, 12);
 }
 
-// An engine does not end under the request, it hangs: connections stay open
-// and nothing is answered until it is started again.
+// The engine hangs instead of ending: connections stay open without an answer
+// until it is restarted.
 TEST (Repeat, HangingRequestReachesFewEnginesAfterTheThirdEnd)
 {
   Site site (6, 0, 2);
@@ -105,8 +105,8 @@
   expect_few_after_third (site, fatal_stream, 6);
 }
 
-// The same with a plain service, beside whose targets no process of ours runs:
-// gateways alone can see what ended them.
+// The same with a plain service, whose targets have no sidecar: only gateways
+// can detect what ended them.
 TEST (Repeat, FatalRequestReachesFewPlainTargetsAfterTheThirdEnd)
 {
   Site site (1, 6, 2);
@@ -116,7 +116,7 @@
 Call
 unique_plain (const std::string &id)
 {
-  // Each one is a request of its own.
+  // Each id makes a different request.
   return plain_call (id, "/plain/" + id);
 }
 
@@ -132,21 +132,21 @@
   return plain_call ("n" + id, "/plain/n" + id);
 }
 
-// Guards against a request that is never alone at the plain targets which it
-// ends, because others are always there.
+// Guards against a request that is never alone at the plain targets that it
+// ends, because other requests are always there.
 TEST (Repeat, FatalRequestReachesFewLoadedPlainTargetsAfterTheThirdEnd)
 {
   Site site (1, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
   for (const auto &target : site.plain)
     target->answer_ms = 120;
-  // Not all in step: there are others at each moment.
+  // Different periods, so that there are other requests at each moment.
   Load load (&site, unique_plain, 12, 1);
   Load more (&site, unique_plain_m, 12, 13);
   Load yet_more (&site, unique_plain_n, 12, 31);
   std::this_thread::sleep_for (std::chrono::milliseconds (500));
   expect_few_after_third (site, fatal_unsafe, 12);
-  // Others lose nothing by it once it is held.
+  // Other requests are not affected once it is held.
   int refused = load.counts ().refused;
   int answered = load.counts ().answered;
   std::this_thread::sleep_for (std::chrono::milliseconds (1000));
@@ -154,8 +154,8 @@
   EXPECT_GT (load.counts ().answered, answered);
 }
 
-/// Send a request until it is held, through the first gateway.
-/// @return  Whether it is.
+/// Send a request through the first gateway until it is held.
+/// @return  Whether it is held.
 bool
 send_until_held (Site &site, Call (*call_of) (int))
 {
@@ -171,8 +171,8 @@
   return false;
 }
 
-/// @return  Whether a gateway holds a request within a time, asked again and
-///          again.
+/// @return  Whether a gateway holds a request within a time; sends it
+///          repeatedly.
 bool
 is_held (const Gateway &gateway, Call (*call_of) (int), int timeout_ms)
 {
@@ -184,9 +184,9 @@
       timeout_ms);
 }
 
-// The caller of a held request gets an answer at once, that it has not run and
-// when it may come back. Nobody else loses anything: its other requests, and
-// the same one of another caller, once it ends nothing any more.
+// A held request is refused at once, as not run and with a retry-after time.
+// Nothing else is refused: other requests of its caller, and the same request
+// of another caller once it ends no targets any more.
 TEST (Repeat, OnlyTheHeldRequestIsRefused)
 {
   Site site (5, 1, 1);
@@ -207,9 +207,9 @@
   EXPECT_EQ (send_call (site.gateways[0], plain_call ("p")).status, 200);
 }
 
-// An innocent request is sent again and again at the same moments as the one
-// that ends engines, to the only two engines, and shares each that ends. It
-// must be served as soon as the other one is held, and never refused for it.
+// An innocent request is sent at the same moments as one that ends engines, to
+// the only two engines, and is at each engine that ends. It must be served as
+// soon as the other one is held, and never be refused because of it.
 TEST (Repeat, InnocentRequestOnEndedEnginesIsServed)
 {
   Site site (2, 0, 1);
@@ -239,8 +239,8 @@
   }));
 }
 
-// The store is away, and entries start again: they have learnt nothing by
-// themselves, and the request would end three targets more through each.
+// Gateways restart while the store is unavailable. They have no records of
+// their own, and the request would end three more targets through each.
 TEST (Repeat, HoldSurvivesRestartsWhileTheStoreIsUnavailable)
 {
   Site site (5, 2, 2);
@@ -254,10 +254,10 @@
       site.restart (&gateway.daemon, SIGKILL);
       ASSERT_TRUE (
           Site::wait_for ([&] { return dial (gateway.ready) != nullptr; }));
-      // The first answers may be that it has no configuration yet.
+      // Until it has a configuration, the gateway gives other answers.
       EXPECT_TRUE (is_held (gateway, fatal_stream, 4000));
     }
-  // Agents that start again learn it from gateways, and tell it on.
+  // Restarted sidecars get the records from gateways and send them on.
   for (Engine &engine : site.engines)
     {
       site.restart (&engine.sidecar, SIGKILL);
@@ -274,8 +274,8 @@
   EXPECT_EQ (site.ends (), before);
 }
 
-// All daemons lose power at one moment, and with it all that they know. The
-// request comes again as soon as they are back.
+// All daemons lose power at the same moment, and with it their records. The
+// request is sent again as soon as they are back.
 TEST (Repeat, HoldSurvivesPowerLossOfAllDaemons)
 {
   Site site (5, 0, 1);
@@ -293,8 +293,8 @@
   EXPECT_EQ (site.ends (), before);
 }
 
-// Without engines there is no agent through which gateways could tell each
-// other; each would let the request end three targets.
+// Without engines there is no sidecar through which gateways could share
+// records; each gateway would let the request end three targets.
 TEST (Repeat, GatewaysWithoutSidecarsShareRecords)
 {
   Site site (0, 6, 3);
--- a/test/relay/share_failure_test.cc
+++ b/test/relay/share_failure_test.cc
@@ -1,5 +1,5 @@
-// Gateways that let a sidecar read the store for them, while that sidecar
-// works, freezes, is killed or falls silent.
+// Gateways that read the store through a sidecar, while the sidecar works, is
+// frozen, is killed or can not be reached.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-/// Targets write to the store all the time.
+/// Rewrites the store entries of targets all the time, as heartbeats do.
 class Heartbeats
 {
 public:
@@ -47,7 +47,7 @@
   std::thread thread_;
 };
 
-/// Sum of a counter over the agents.
+/// Sum of a counter over the sidecars.
 int
 sum_of (Site &site, const std::string &name)
 {
@@ -64,7 +64,7 @@
 
 const char kSharedReads[] = "knapweedbay_shared_reads_total{result=\"ok\"} ";
 
-/// Gateways are past their start and ask a sidecar.
+/// Wait until the start-up of the gateways is over and they query a sidecar.
 bool
 wait_until_shared (Site &site)
 {
@@ -75,7 +75,7 @@
   return Site::wait_for ([&] { return sum_of (site, kSharedReads) > before; });
 }
 
-/// Calls to the first store in 7 s, which is ten pauses of a reader.
+/// Calls to the first store in 7 s, which is ten read intervals.
 int
 store_calls_in_ten_intervals (Site &site)
 {
@@ -86,8 +86,8 @@
   return calls;
 }
 
-/// A plain target that is removed now gets nothing new 2 s later, from any
-/// gateway.
+/// A plain target that is removed now gets no new requests 2 s later, through
+/// any gateway.
 void
 expect_removal_in_time (Site &site)
 {
@@ -103,9 +103,9 @@
   EXPECT_EQ (site.plain[1]->runs (), before);
 }
 
-// Five gateways that read the store themselves make a call each in every
-// pause of 0.7 s, fifty in 7 s. Through one sidecar it is one call for all of
-// them; half is allowed.
+// Five gateways that read the store directly make a call each in every read
+// interval of 0.7 s, fifty in 7 s. Through a sidecar all of them need one call
+// per interval; half of fifty is allowed.
 TEST (SharedReads, OneReadServesAllGateways)
 {
   Site site (2, 2, 6);
@@ -115,8 +115,8 @@
 }
 
 // Nothing changes in the store. A sidecar that waited there for a change would
-// answer too late, and each gateway would read for itself after all: 35 calls
-// in 7 s, of which half is allowed.
+// answer too late, and each gateway would read the store directly after all:
+// 35 calls in 7 s, of which half is allowed.
 TEST (SharedReads, UnchangedStoreIsReadOnceForAll)
 {
   Site site (2, 2, 6);
@@ -124,8 +124,8 @@
   EXPECT_LE (store_calls_in_ten_intervals (site), 17);
 }
 
-// The gateway whose settings name another store must not be told of this
-// one's changes: its revisions mean something else.
+// A gateway whose settings name another store must not receive changes of this
+// one, since revisions of the two stores are unrelated.
 TEST (SharedReads, GatewayOfAnotherStoreReadsItself)
 {
   Site site (2, 2, 6);
@@ -136,8 +136,8 @@
   EXPECT_GE (site.far_store.calls - before, 3);
 }
 
-// The sidecar that reads is frozen. Its gateways hear nothing; a target is
-// taken away in that moment and must not be used 2 s later.
+// The sidecar that reads is frozen, and its gateways receive nothing. A target
+// that is removed at that moment must not be used 2 s later.
 TEST (SharedReads, FrozenReaderDelaysNoRemoval)
 {
   Site site (2, 2, 4);
@@ -150,7 +150,7 @@
     kill (engine.sidecar.pid, SIGCONT);
 }
 
-// It is killed, and so are all others of its failure domain.
+// The sidecar that reads and all others of its failure domain are killed.
 TEST (SharedReads, DeadReadersDelayNoRemoval)
 {
   Site site (2, 2, 4);
@@ -161,7 +161,7 @@
   expect_removal_in_time (site);
 }
 
-// Answers of the sidecar are cut off while questions still reach it.
+// Answers of the sidecar are lost while queries still reach it.
 TEST (SharedReads, ReaderCutOneWayDelaysNoRemoval)
 {
   Proxies proxies;
@@ -174,7 +174,7 @@
 }
 
 // The reader is thawed after seconds. What it read before it froze must not
-// bring a target back that was taken away meanwhile.
+// restore a target that was removed meanwhile.
 TEST (SharedReads, ThawedReaderRestoresNoRemovedTarget)
 {
   Site site (2, 2, 4);
@@ -195,8 +195,8 @@
   EXPECT_EQ (site.plain[1]->runs (), before);
 }
 
-// A configuration is acknowledged while gateways learn of the store through a
-// sidecar, which passes no configuration on. It holds everywhere in 2 s.
+// A configuration is acknowledged while gateways read the store through a
+// sidecar, which does not send configurations. It applies everywhere in 2 s.
 TEST (SharedReads, ConfigurationAppliesInTime)
 {
   Site site (2, 2, 4);
--- a/test/unit/fingerprint_test.cc
+++ b/test/unit/fingerprint_test.cc
@@ -1,4 +1,4 @@
-// Which requests are the same one, sent again.
+// Fingerprints that tell whether a request was sent before.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -44,7 +44,7 @@
     }
 }
 
-// Bytes that move from the path into the body are another request.
+// A request with bytes moved from the path into the body is another one.
 TEST (Fingerprint, BoundariesBetweenPartsMatter)
 {
   fpr_request_t first = request ();
--- a/test/unit/peers_test.cc
+++ b/test/unit/peers_test.cc
@@ -1,4 +1,4 @@
-// What a gateway makes of words about the store that sidecars tell it.
+// Answers of sidecars to a gateway's query for changes of the store.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -13,10 +13,10 @@
 namespace
 {
 
-/// What the source was recorder.
+/// Records the calls of on_changes.
 struct SourceRecorder
 {
-  src_source_t source; ///< First.
+  src_source_t source; ///< First member.
   int calls = 0;
   bool has_changes = false;
   uint64_t began_ms = 0;
@@ -93,8 +93,8 @@
   kb_buf_finish (&packed);
 }
 
-// The age of an answer is counted from when the question was sent, never from
-// when the answer came: a make_answer that waited in a connection is old.
+// The age of an answer counts from when the query was sent, never from when
+// the answer arrived: a message that waited in a connection is old.
 TEST_F (Peers, AgeCountsFromTheStartOfTheRead)
 {
   msg_changes_t answer = make_answer ();
@@ -108,8 +108,8 @@
   EXPECT_EQ (recorder.began_ms, 1040u);
 }
 
-// Words that nobody asked for, from the process before this one, or from
-// another sidecar than the one that was asked.
+// Answers without an open query, to the process before this one, or from
+// another sidecar than the one that was queried.
 TEST_F (Peers, UnrequestedAnswersAreIgnored)
 {
   msg_changes_t answer = make_answer ();
@@ -133,7 +133,7 @@
   EXPECT_FALSE (recorder.has_changes);
 }
 
-// The store gave the sidecar no answer: the gateway goes there itself at once.
+// The store gave the sidecar no answer: the gateway reads it directly at once.
 TEST_F (Peers, StoreWithoutAnswerFailsTheQuery)
 {
   msg_changes_t answer = make_answer ();
--- a/test/unit/turn_test.cc
+++ b/test/unit/turn_test.cc
@@ -1,4 +1,4 @@
-// Who passes on what all have.
+// Choice of the daemons that send data to peers which lack it.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 constexpr uint32_t kSidecars = 200;
 
 // An operator writes a configuration, and all gateways of a large fleet have
-// it at the same moment. Each gives it to two sidecars; when these are the
-// same for all, their links carry nothing else for a second.
+// it at the same moment. Each sends it to two sidecars; if these were the same
+// for all gateways, their links would carry nothing else for a second.
 TEST (Turn, FirstReceiversDifferBetweenGateways)
 {
   std::vector<int> copies (kSidecars, 0);
@@ -39,7 +39,7 @@
   EXPECT_TRUE (trn_is_first_receiver (1, 2, 2));
 }
 
-// Whoever lacks it gets it from somebody within a few turns.
+// A peer that lacks data gets it from some gateway within a few turns.
 TEST (Turn, EveryPeerHasASenderWithinAFewTurns)
 {
   for (uint64_t sidecar = 1; sidecar <= kSidecars; sidecar++)
