--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -40,10 +40,10 @@
   if (table->entries.len == 0)
     return QRT_FREE;
   qrt_verdict_t worst = QRT_FREE;
-  for (int width = 0; width < GTW_WIDTHS; width++)
+  for (int scope = 0; scope < GTW_WIDTHS; scope++)
     {
       qrt_verdict_t verdict
-          = qrt_judge (table, gtw_request_fingerprint (r, width),
+          = qrt_judge (table, gtw_request_fingerprint (r, scope),
                        hash_caller (r), gtw_now_ms (r->gateway), hold_ms);
       if (verdict > worst)
         worst = verdict;
@@ -198,9 +198,9 @@
                     .caller = broken->caller,
                     .is_alone = is_alone };
   bool is_new = false;
-  for (int width = 0; width < GTW_WIDTHS; width++)
+  for (int scope = 0; scope < GTW_WIDTHS; scope++)
     {
-      uint64_t request = broken->requests[width];
+      uint64_t request = broken->requests[scope];
       if (!qrt_note_end (&gateway->quarantine, request, &end,
                          gtw_now_ms (gateway)))
         continue;
@@ -310,8 +310,8 @@
                          .is_plain = !r->is_engine,
                          .is_isolated = r->alone.is_alone,
                          .is_alone = r->begins_alone || r->alone.is_alone };
-  for (int width = 0; width < GTW_WIDTHS; width++)
-    broken.requests[width] = gtw_request_fingerprint (r, width);
+  for (int scope = 0; scope < GTW_WIDTHS; scope++)
+    broken.requests[scope] = gtw_request_fingerprint (r, scope);
   // The end was proved before; its other suspects are recorded already.
   if (target->ended_ms > 0)
     {
@@ -345,9 +345,9 @@
     forget_breaks (gateway, r->target);
   if (gateway->quarantine.entries.len == 0)
     return;
-  for (int width = 0; width < GTW_WIDTHS; width++)
+  for (int scope = 0; scope < GTW_WIDTHS; scope++)
     {
-      uint64_t request = gtw_request_fingerprint (r, width);
+      uint64_t request = gtw_request_fingerprint (r, scope);
       uint32_t ends = qrt_ends (&gateway->quarantine, request);
       if (qrt_note_served (&gateway->quarantine, request,
                            gtw_now_ms (gateway)))
