--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -287,7 +287,7 @@
 {
   agt_agent_t *agent = arg;
   dmn_exit (agent->daemon,
-            agent->queue.running == 0 ? DMN_EXIT_OK : DMN_EXIT_CUT);
+            agent->queue.running == 0 ? DMN_EXIT_OK : DMN_EXIT_DRAIN_LIMIT);
 }
 
 static void
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -18,7 +18,7 @@
 }
 
 uint64_t
-dmn_attempt_id (dmn_daemon_t *daemon)
+dmn_new_attempt_id (dmn_daemon_t *daemon)
 {
   return daemon->attempt_base | ++daemon->attempt_count;
 }
@@ -65,23 +65,23 @@
 }
 
 static bool
-path_is (const hts_request_t *request, const char *path)
+path_equals (const hts_request_t *request, const char *path)
 {
   return kb_slice_equal (request->path, kb_slice_str (path));
 }
 
 /// Compare in constant time, so that the key cannot be guessed byte by byte.
 static bool
-is_operator (dmn_daemon_t *daemon, hts_request_t *request)
+has_operator_key (dmn_daemon_t *daemon, hts_request_t *request)
 {
   const char *key = daemon->settings.operator_key;
   kb_slice_t header = hts_request_header (request, "authorization");
   const char bearer[] = "Bearer ";
-  size_t skip = sizeof bearer - 1;
+  size_t prefix_len = sizeof bearer - 1;
   size_t len = strlen (key);
-  return len > 0 && header.len_bytes == skip + len
-         && memcmp (header.ptr, bearer, skip) == 0
-         && CRYPTO_memcmp (header.ptr + skip, key, len) == 0;
+  return len > 0 && header.len_bytes == prefix_len + len
+         && memcmp (header.ptr, bearer, prefix_len) == 0
+         && CRYPTO_memcmp (header.ptr + prefix_len, key, len) == 0;
 }
 
 static void
@@ -126,25 +126,26 @@
 server_on_request (hts_server_t *server, hts_request_t *request)
 {
   dmn_daemon_t *daemon = server->owner;
-  if (path_is (request, "/healthz"))
+  if (path_equals (request, "/healthz"))
     reply_text (request, 200, "ok\n");
-  else if (path_is (request, "/readyz"))
+  else if (path_equals (request, "/readyz"))
     {
       bool is_ready = !daemon->is_draining && daemon->role->is_ready (daemon);
       reply_text (request, is_ready ? 200 : 503,
                   is_ready ? "ready\n" : "not ready\n");
     }
-  else if (path_is (request, "/metrics"))
+  else if (path_equals (request, "/metrics"))
     reply_metrics (daemon, request);
-  else if (path_is (request, "/v1/status") || path_is (request, "/v1/drain"))
+  else if (path_equals (request, "/v1/status")
+           || path_equals (request, "/v1/drain"))
     {
-      if (!is_operator (daemon, request))
+      if (!has_operator_key (daemon, request))
         {
           dmn_reply_error (request, 401, "not_run",
                            "the operator key is missing or wrong", 0);
           return;
         }
-      if (path_is (request, "/v1/drain"))
+      if (path_equals (request, "/v1/drain"))
         {
           if (!kb_slice_equal (request->method, kb_slice_str ("POST")))
             {
@@ -186,7 +187,7 @@
 }
 
 static void
-signal_start (dmn_daemon_t *daemon, uv_signal_t *handle, int number)
+signal_register (dmn_daemon_t *daemon, uv_signal_t *handle, int number)
 {
   uv_signal_init (&daemon->loop, handle);
   handle->data = daemon;
@@ -243,8 +244,8 @@
                             &server_events, daemon, &http_options, error);
   if (status != KB_OK)
     return status;
-  signal_start (daemon, &daemon->sigterm, SIGTERM);
-  signal_start (daemon, &daemon->sigint, SIGINT);
+  signal_register (daemon, &daemon->sigterm, SIGTERM);
+  signal_register (daemon, &daemon->sigint, SIGINT);
   printf ("ready name=%s role=%s http=%u inner=%u\n", s->name, s->role_name,
           daemon->server.port, daemon->inner_port);
   fflush (stdout);
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -13,9 +13,9 @@
 enum
 {
   DMN_EXIT_OK = 0,
-  DMN_EXIT_SETTINGS = 2, ///< The settings were refused.
-  DMN_EXIT_START = 3,    ///< A port or service could not be had.
-  DMN_EXIT_CUT = 4,      ///< The drain limit cut requests in progress.
+  DMN_EXIT_SETTINGS = 2,     ///< The settings were refused.
+  DMN_EXIT_START_FAILED = 3, ///< A port or service could not be had.
+  DMN_EXIT_DRAIN_LIMIT = 4,  ///< The drain limit cut requests in progress.
 };
 
 typedef struct dmn_daemon dmn_daemon_t;
@@ -66,7 +66,7 @@
 void dmn_drain (dmn_daemon_t *daemon);
 uint64_t dmn_random (void);
 /// A new attempt id, unique over daemons and restarts.
-uint64_t dmn_attempt_id (dmn_daemon_t *daemon);
+uint64_t dmn_new_attempt_id (dmn_daemon_t *daemon);
 /// @return  Hash of the daemon's name, as others know it.
 uint64_t dmn_own_id (const dmn_daemon_t *daemon);
 /// @return  Hash of a daemon's name.
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -12,50 +12,52 @@
 enum
 {
   TICK_MS = 100,
-  FORGET_ADAPTERS_TICKS = 100,
-  ADAPTER_IDLE_MS = 3600000,
+  REMOVE_ADAPTERS_TICKS = 100,
+  ADAPTER_IDLE_LIMIT_MS = 3600000,
   EXIT_FLUSH_MS = 200,
 };
 
-static void gate_pump (ent_entry_t *entry);
+static void gate_grant_pending (ent_entry_t *entry);
 
 static void
-gate_tick (void *arg)
+gate_timer_on_expire (void *arg)
 {
-  gate_pump (arg);
+  gate_grant_pending (arg);
 }
 
 static void
-gate_pump (ent_entry_t *entry)
+gate_grant_pending (ent_entry_t *entry)
 {
-  const gat_wish_t *wish;
-  while ((wish = gat_next (&entry->gate, tmr_now_us ())) != NULL)
+  const gat_wish_t *grant;
+  while ((grant = gat_next (&entry->gate, tmr_now_us ())) != NULL)
     {
-      ent_vm_t *vm = kb_map_get (&entry->vms, wish->agent);
+      ent_vm_t *vm = kb_map_get (&entry->vms, grant->agent);
       msg_t msg = { .type = MSG_GATE_GRANT };
-      msg.gate_grant.id = wish->id;
+      msg.gate_grant.id = grant->id;
       if (vm == NULL || dmn_send (entry->daemon, vm->name, &msg) != KB_OK)
-        gat_done (&entry->gate, wish->agent, wish->id);
+        gat_done (&entry->gate, grant->agent, grant->id);
     }
   uint64_t wait_us = gat_wait_us (&entry->gate, tmr_now_us ());
   if (wait_us > 0)
     tmr_after (&entry->daemon->timers, &entry->gate_timer, wait_us / 1000 + 1,
-               gate_tick, entry);
+               gate_timer_on_expire, entry);
 }
 
 static void
-on_gate_ask (ent_entry_t *entry, ent_vm_t *vm, const msg_gate_ask_t *ask)
+on_gate_request (ent_entry_t *entry, ent_vm_t *vm,
+                 const msg_gate_ask_t *load_request)
 {
-  gat_ask (&entry->gate, vm->id, ask->id, (uint8_t)ask->priority_class,
-           (uint32_t)ask->waiting, tmr_now_us ());
-  gate_pump (entry);
+  gat_ask (&entry->gate, vm->id, load_request->id,
+           (uint8_t)load_request->priority_class,
+           (uint32_t)load_request->waiting, tmr_now_us ());
+  gate_grant_pending (entry);
 }
 
 static void
 on_announce (ent_entry_t *entry, kb_slice_t from, const msg_announce_t *a)
 {
-  ent_config_heard (entry, a->revision, from);
-  if (a->map_revision > entry->shards_mod_revision)
+  ent_config_record_revision (entry, a->revision, from);
+  if (a->map_revision > entry->shard_map_mod_revision)
     ent_claims_read_map (entry);
 }
 
@@ -66,26 +68,26 @@
   switch (msg->type)
     {
     case MSG_PONG:
-      ent_members_pong (entry, vm, &msg->pong);
+      ent_members_on_pong (entry, vm, &msg->pong);
       break;
     case MSG_PART:
-      ent_request_part (entry, &msg->part);
+      ent_request_on_part (entry, &msg->part);
       break;
     case MSG_END:
-      ent_request_end (entry, kb_slice_str (vm->name), &msg->end);
+      ent_request_on_end (entry, kb_slice_str (vm->name), &msg->end);
       break;
     case MSG_QUARANTINE:
-      ent_quarantine_take (entry, msg->quarantine.words);
+      ent_quarantine_merge (entry, msg->quarantine.words);
       break;
     case MSG_REVOKED:
-      ent_request_revoked (entry, &msg->revoked);
+      ent_request_on_revoked (entry, &msg->revoked);
       break;
     case MSG_GATE_ASK:
-      on_gate_ask (entry, vm, &msg->gate_ask);
+      on_gate_request (entry, vm, &msg->gate_ask);
       break;
     case MSG_GATE_DONE:
       gat_done (&entry->gate, vm->id, msg->gate_done.id);
-      gate_pump (entry);
+      gate_grant_pending (entry);
       break;
     default:
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"unexpected\"");
@@ -98,14 +100,14 @@
   ent_entry_t *entry = ((dmn_daemon_t *)link->owner)->role_state;
   ent_vm_t *vm = ent_vm_find (entry, from);
   if (vm != NULL)
-    mem_vm_note_heard (&vm->mem, MEM_SAYS_NOTHING, tmr_now_ms ());
+    mem_vm_note_heard (&vm->member, MEM_SAYS_NOTHING, tmr_now_ms ());
   switch (msg->type)
     {
     case MSG_HELLO:
-      ent_members_hello (entry, from, &msg->hello);
+      ent_members_on_hello (entry, from, &msg->hello);
       break;
     case MSG_PING:
-      ent_members_ping (entry, from, &msg->ping);
+      ent_members_on_ping (entry, from, &msg->ping);
       break;
     case MSG_ANNOUNCE:
       on_announce (entry, from, &msg->announce);
@@ -144,56 +146,57 @@
 {
   ent_entry_t *entry = ((dmn_daemon_t *)link->owner)->role_state;
   uint64_t key = kb_hash (address, strlen (address), 0) | 1;
-  ent_vm_t *vm = kb_map_get (&entry->vm_of_address, key);
+  ent_vm_t *vm = kb_map_get (&entry->vms_by_address, key);
   if (vm == NULL)
     return;
-  mem_vm_note_disconnect (&vm->mem);
-  ent_vm_update (entry, vm);
+  mem_vm_note_disconnect (&vm->member);
+  ent_vm_update_state (entry, vm);
   gat_drop_agent (&entry->gate, vm->id);
 }
 
 static void
-exit_now (void *arg)
+exit_timer_on_expire (void *arg)
 {
   ent_entry_t *entry = arg;
   dmn_exit (entry->daemon,
-            entry->request_count == 0 ? DMN_EXIT_OK : DMN_EXIT_CUT);
+            entry->request_count == 0 ? DMN_EXIT_OK : DMN_EXIT_DRAIN_LIMIT);
 }
 
 static void
-check_drain (ent_entry_t *entry, uint64_t now)
+check_drain_progress (ent_entry_t *entry, uint64_t now)
 {
   if (!entry->daemon->is_draining || entry->exit_timer.heap_at != 0)
     return;
-  uint64_t limit = (uint64_t)entry->daemon->settings.drain_limit_ms;
-  bool is_late = now - entry->drain_started_ms > limit;
-  bool is_done = entry->request_count == 0 && entry->is_handed_over;
-  if (!is_done && !is_late)
+  uint64_t limit_ms = (uint64_t)entry->daemon->settings.drain_limit_ms;
+  bool is_limit_reached = now - entry->drain_started_ms > limit_ms;
+  bool is_done = entry->request_count == 0 && entry->is_handover_done;
+  if (!is_done && !is_limit_reached)
     return;
   if (!is_done)
     log_write (LOG_ERROR, "daemon",
                "The drain limit is reached with %u requests in progress.",
                entry->request_count);
   tmr_after (&entry->daemon->timers, &entry->exit_timer, EXIT_FLUSH_MS,
-             exit_now, entry);
+             exit_timer_on_expire, entry);
 }
 
 static void
-tick (void *arg)
+on_tick (void *arg)
 {
   ent_entry_t *entry = arg;
   uint64_t now = tmr_now_ms ();
-  entry->ticks++;
+  entry->tick_count++;
   ent_members_tick (entry, now);
   qrt_lapse (&entry->quarantine, now);
   ent_config_tick (entry, now);
   ent_claims_tick (entry, now);
-  gate_pump (entry); // Grants whose holders died expire here.
-  if (entry->ticks % FORGET_ADAPTERS_TICKS == 0 && now > ADAPTER_IDLE_MS)
-    rt_forget_idle (&entry->routes, now - ADAPTER_IDLE_MS);
+  gate_grant_pending (entry); // Grants whose holders died expire here.
+  if (entry->tick_count % REMOVE_ADAPTERS_TICKS == 0
+      && now > ADAPTER_IDLE_LIMIT_MS)
+    rt_forget_idle (&entry->routes, now - ADAPTER_IDLE_LIMIT_MS);
   met_set (met_counter ("knapweedbay_requests_in_progress", ""),
            entry->request_count);
-  check_drain (entry, now);
+  check_drain_progress (entry, now);
 }
 
 static void
@@ -207,7 +210,7 @@
 static void
 on_request (dmn_daemon_t *daemon, hts_request_t *request)
 {
-  ent_http_request (daemon->role_state, request);
+  ent_http_handle_request (daemon->role_state, request);
 }
 
 static void
@@ -221,7 +224,7 @@
 is_ready (dmn_daemon_t *daemon)
 {
   ent_entry_t *entry = daemon->role_state;
-  return entry->config.current != NULL && entry->config.has_evidence;
+  return entry->config.current != NULL && entry->config.is_confirmed;
 }
 
 static void
@@ -236,9 +239,9 @@
       ",\"inflight\":%u,\"stall_ms_total\":%" PRIu64 ",\"step_fill\":%.3f}",
       is_first ? "" : ",", vm->name, vm->is_entry ? "entry" : "agent",
       vm->domain, vm->service, states[vm->state], vm->revision,
-      vm->report.queue_len, vm->report.running, vm->inflight,
-      vm->report.stall_us_total / 1000,
-      (double)vm->report.fill_permille / 1000);
+      vm->last_pong.queue_len, vm->last_pong.running, vm->inflight,
+      vm->last_pong.stall_us_total / 1000,
+      (double)vm->last_pong.fill_permille / 1000);
 }
 
 static void
@@ -250,9 +253,10 @@
                  ",\"revision\":%" PRIu64
                  ",\"adapters\":%u,\"requests\":%u,\"shards_owned\":%u,"
                  "\"claims\":%u,\"watcher\":%s,\"gate_wishes\":%u,\"vms\":[",
-                 ent_revision (entry), config ? config->adapter_count : 0,
-                 entry->request_count, ent_claims_owned (entry),
-                 entry->owner.records.len,
+                 ent_config_revision (entry),
+                 config ? config->adapter_count : 0, entry->request_count,
+                 ent_claims_count_owned_shards (entry),
+                 entry->claim_owner.records.len,
                  entry->config.is_watcher ? "true" : "false", entry->gate.len);
   uint32_t at = 0;
   bool is_first = true;
@@ -275,31 +279,31 @@
 {
   enum
   {
-    RETRY_MOST = 100,
-    GRANT_HOLD_US = 30000000
+    MAX_RETRY_BUDGET = 100,
+    GRANT_HOLD_LIMIT_US = 30000000
   };
   static ent_entry_t entry;
   const set_settings_t *s = &daemon->settings;
   entry.daemon = daemon;
   entry.started_ms = tmr_now_ms ();
-  entry.mem_options
+  entry.member_options
       = (mem_options_t){ .silence_ms = (uint64_t)s->silence_ms,
                          .gone_after_ms = (uint64_t)s->vm_gone_after_ms };
   rt_options_t route_options;
   rt_options_default (&route_options);
   rt_table_init (&entry.routes, &route_options);
-  lim_retry_init (&entry.retries, 0.2, RETRY_MOST);
-  clm_owner_init (&entry.owner, (uint32_t)s->claim_limit,
+  lim_retry_init (&entry.retry_budget, 0.2, MAX_RETRY_BUDGET);
+  clm_owner_init (&entry.claim_owner, (uint32_t)s->claim_limit,
                   (uint64_t)s->claim_window_ms);
   gat_options_t gate_options = { .rate_per_s = s->load_rate_per_s,
                                  .concurrency = (uint32_t)s->load_concurrency,
-                                 .hold_limit_us = GRANT_HOLD_US };
+                                 .hold_limit_us = GRANT_HOLD_LIMIT_US };
   gat_gate_init (&entry.gate, &gate_options, tmr_now_us ());
   kb_status_t status
       = dmn_init (daemon, &entry_role, &link_events, &entry, error);
   if (status != KB_OK)
     return status;
   ent_members_start (&entry);
-  tmr_every (&daemon->timers, &entry.tick, TICK_MS, tick, &entry);
+  tmr_every (&daemon->timers, &entry.tick, TICK_MS, on_tick, &entry);
   return KB_OK;
 }
--- a/src/daemon/entry_config.c
+++ b/src/daemon/entry_config.c
@@ -17,12 +17,12 @@
   /// An open watch proves nothing: its connection may be silent. The read
   /// beside it bounds how late a change is taken, 3 s being promised; ten
   /// watchers make 6.7 of the store's 2,000 reads a second with it.
-  POLL_WATCHER_MS = 1500,
-  POLL_OTHER_MS = 60000,
-  PULL_PAUSE_MS = 100, ///< One peer is asked at a time.
-  BEHIND_MS = 700,
-  BACKOFF_MIN_MS = 100,
-  BACKOFF_MAX_MS = 5000,
+  WATCHER_POLL_INTERVAL_MS = 1500,
+  OTHER_POLL_INTERVAL_MS = 60000,
+  PULL_INTERVAL_MS = 100, ///< One peer is asked at a time.
+  CATCH_UP_INTERVAL_MS = 700,
+  MIN_BACKOFF_MS = 100,
+  MAX_BACKOFF_MS = 5000,
 };
 
 static uint64_t
@@ -50,7 +50,7 @@
 }
 
 static bool
-head_uses (const doc_head_t *head, uint64_t id)
+head_has_chunk (const doc_head_t *head, uint64_t id)
 {
   for (uint32_t i = 0; i < head->folder.len; i++)
     for (uint32_t k = 0; k < head->folder.files[i].chunk_count; k++)
@@ -61,14 +61,14 @@
 
 /// Drop chunks that no file of the head uses.
 static void
-chunks_trim (ent_config_t *c)
+chunks_remove_unused (ent_config_t *c)
 {
   for (;;)
     {
       uint64_t unused = 0;
       for (uint32_t i = 0; i < c->chunks.cap && unused == 0; i++)
         if (c->chunks.entries[i].key != 0
-            && !head_uses (&c->head, c->chunks.entries[i].key))
+            && !head_has_chunk (&c->head, c->chunks.entries[i].key))
           unused = c->chunks.entries[i].key;
       if (unused == 0)
         return;
@@ -88,21 +88,21 @@
         return KB_ENOTFOUND;
       kb_buf_append (&file->text, chunk->ptr, chunk->len_bytes);
     }
-  bool is_good = doc_digest_equal (doc_digest (kb_buf_slice (&file->text)),
-                                   file->digest);
-  return is_good ? KB_OK : KB_EINVAL;
+  bool is_digest_correct = doc_digest_equal (
+      doc_digest (kb_buf_slice (&file->text)), file->digest);
+  return is_digest_correct ? KB_OK : KB_EINVAL;
 }
 
 /// Tell the other entries, if this one watches the store, and the agents,
 /// which refuse what is dispatched by an older configuration.
 static void
-announce (ent_entry_t *entry)
+announce_revision (ent_entry_t *entry)
 {
   msg_t to_entry = { .type = MSG_ANNOUNCE };
-  to_entry.announce.revision = ent_revision (entry);
+  to_entry.announce.revision = ent_config_revision (entry);
   msg_t to_agent = { .type = MSG_PING };
   to_agent.ping = (msg_ping_t){ .stamp_us = tmr_now_us (),
-                                .revision = ent_revision (entry),
+                                .revision = ent_config_revision (entry),
                                 .target_count = entry->routes.by_id.len };
   uint32_t at = 0;
   ent_vm_t *vm;
@@ -112,33 +112,34 @@
 }
 
 static void
-fetch_stop (ent_config_t *c)
+fetch_reset (ent_config_t *c)
 {
-  doc_head_finish (&c->wanted);
-  c->wanted = (doc_head_t){ 0 };
+  doc_head_finish (&c->pending_head);
+  c->pending_head = (doc_head_t){ 0 };
   c->is_fetching = false;
-  c->missing = 0;
+  c->missing_chunks = 0;
 }
 
 /// Build and switch to the wanted head, if all of it is here.
 static void
-adopt (ent_entry_t *entry)
+apply_pending_head (ent_entry_t *entry)
 {
   ent_config_t *c = &entry->config;
   kb_error_t error = { 0 };
   kb_status_t status = KB_OK;
-  for (uint32_t i = 0; i < c->wanted.folder.len && status == KB_OK; i++)
-    status = file_assemble (c, &c->wanted.folder.files[i]);
+  for (uint32_t i = 0; i < c->pending_head.folder.len && status == KB_OK; i++)
+    status = file_assemble (c, &c->pending_head.folder.files[i]);
   cfg_config_t built;
   if (status == KB_OK)
-    status = doc_build_config (&c->wanted.folder, c->wanted.revision, NULL,
-                               NULL, &built, &error);
+    status
+        = doc_build_config (&c->pending_head.folder, c->pending_head.revision,
+                            NULL, NULL, &built, &error);
   if (status != KB_OK)
     {
       log_write (LOG_ERROR, "config", "Revision %" PRIu64 " is unusable: %s.",
-                 c->wanted.revision, error.message);
+                 c->pending_head.revision, error.message);
       MET_INC ("knapweedbay_config_rejected_total", "");
-      fetch_stop (c);
+      fetch_reset (c);
       return;
     }
   if (c->current != NULL)
@@ -147,13 +148,13 @@
     c->current = kb_alloc (sizeof *c->current);
   *c->current = built;
   doc_head_finish (&c->head);
-  c->head = c->wanted;
-  c->wanted = (doc_head_t){ 0 };
+  c->head = c->pending_head;
+  c->pending_head = (doc_head_t){ 0 };
   for (uint32_t i = 0; i < c->head.folder.len; i++)
     kb_buf_finish (&c->head.folder.files[i].text);
-  c->has_evidence = true;
-  fetch_stop (c);
-  chunks_trim (c);
+  c->is_confirmed = true;
+  fetch_reset (c);
+  chunks_remove_unused (c);
   // The parse needs several times the memory of what it builds; without the
   // trim the peak stays resident for the life of the process.
   malloc_trim (0);
@@ -162,14 +163,14 @@
              built.revision, built.adapter_count);
   met_set (met_counter ("knapweedbay_config_revision", ""),
            (int64_t)built.revision);
-  announce (entry);
+  announce_revision (entry);
 }
 
 static void
 fetch_failed (ent_entry_t *entry, const char *reason)
 {
   log_write (LOG_WARN, "config", "Fetch failed: %s.", reason);
-  fetch_stop (&entry->config);
+  fetch_reset (&entry->config);
 }
 
 /// A chunk read from the store; the digest says which one was asked.
@@ -177,10 +178,10 @@
 {
   ent_entry_t *entry;
   doc_digest_t digest;
-} chunk_call_t;
+} chunk_read_t;
 
 static void
-chunk_arrived (ent_entry_t *entry, const doc_digest_t *digest, kb_slice_t data)
+on_chunk (ent_entry_t *entry, const doc_digest_t *digest, kb_slice_t data)
 {
   ent_config_t *c = &entry->config;
   if (!c->is_fetching || chunk_find (c, digest) != NULL)
@@ -192,87 +193,89 @@
     }
   met_add (met_counter ("knapweedbay_config_bytes_total", ""), data.len_bytes);
   chunk_store (c, digest, data);
-  if (--c->missing == 0)
-    adopt (entry);
+  if (--c->missing_chunks == 0)
+    apply_pending_head (entry);
 }
 
 static void
-chunk_got (void *arg, kb_status_t status, const kvc_item_t *items,
-           uint32_t count)
+on_chunk_read (void *arg, kb_status_t status, const kvc_item_t *items,
+               uint32_t count)
 {
-  chunk_call_t *call = arg;
+  chunk_read_t *chunk_read = arg;
   if (status == KB_OK && count > 0)
-    chunk_arrived (call->entry, &call->digest, items[0].value);
-  free (call);
+    on_chunk (chunk_read->entry, &chunk_read->digest, items[0].value);
+  free (chunk_read);
 }
 
 static void
-chunk_ask_store (ent_entry_t *entry, const doc_digest_t *digest)
+chunk_read_from_store (ent_entry_t *entry, const doc_digest_t *digest)
 {
   char text[2 * DOC_DIGEST_BYTES + 1];
   char key[KVC_KEY_BYTES];
   doc_digest_text (*digest, text);
   snprintf (key, sizeof key, "kb/c/%s", text);
-  chunk_call_t *call = kb_alloc (sizeof *call);
-  *call = (chunk_call_t){ entry, *digest };
-  kvc_get (&entry->daemon->kv, key, chunk_got, call);
+  chunk_read_t *chunk_read = kb_alloc (sizeof *chunk_read);
+  *chunk_read = (chunk_read_t){ entry, *digest };
+  kvc_get (&entry->daemon->kv, key, on_chunk_read, chunk_read);
 }
 
 /// Ask for every chunk of the wanted head that is not here: only what
 /// changed travels.
 static void
-fetch_missing (ent_entry_t *entry)
+fetch_missing_chunks (ent_entry_t *entry)
 {
   ent_config_t *c = &entry->config;
-  kb_buf_t digests = { 0 };
-  for (uint32_t i = 0; i < c->wanted.folder.len; i++)
-    for (uint32_t k = 0; k < c->wanted.folder.files[i].chunk_count; k++)
+  kb_buf_t missing_digests = { 0 };
+  for (uint32_t i = 0; i < c->pending_head.folder.len; i++)
+    for (uint32_t k = 0; k < c->pending_head.folder.files[i].chunk_count; k++)
       {
-        const doc_digest_t *digest = &c->wanted.folder.files[i].chunks[k];
+        const doc_digest_t *digest
+            = &c->pending_head.folder.files[i].chunks[k];
         if (chunk_find (c, digest) != NULL)
           continue;
         bool is_listed = false;
-        for (size_t at = 0; at < digests.len_bytes; at += DOC_DIGEST_BYTES)
-          is_listed
-              |= memcmp (digests.ptr + at, digest->bytes, DOC_DIGEST_BYTES)
-                 == 0;
+        for (size_t at = 0; at < missing_digests.len_bytes;
+             at += DOC_DIGEST_BYTES)
+          is_listed |= memcmp (missing_digests.ptr + at, digest->bytes,
+                               DOC_DIGEST_BYTES)
+                       == 0;
         if (!is_listed)
-          kb_buf_append (&digests, digest->bytes, DOC_DIGEST_BYTES);
+          kb_buf_append (&missing_digests, digest->bytes, DOC_DIGEST_BYTES);
       }
-  c->missing = (uint32_t)(digests.len_bytes / DOC_DIGEST_BYTES);
-  if (c->missing == 0)
-    adopt (entry);
-  else if (c->from_peer[0] != '\0')
+  c->missing_chunks = (uint32_t)(missing_digests.len_bytes / DOC_DIGEST_BYTES);
+  if (c->missing_chunks == 0)
+    apply_pending_head (entry);
+  else if (c->source_peer[0] != '\0')
     {
       msg_t msg = { .type = MSG_CONFIG_PULL };
       msg.config_pull
-          = (msg_config_pull_t){ .have_revision = ent_revision (entry),
-                                 .digests = kb_buf_slice (&digests) };
-      if (dmn_send (entry->daemon, c->from_peer, &msg) != KB_OK)
+          = (msg_config_pull_t){ .have_revision = ent_config_revision (entry),
+                                 .digests = kb_buf_slice (&missing_digests) };
+      if (dmn_send (entry->daemon, c->source_peer, &msg) != KB_OK)
         fetch_failed (entry, "the peer is not reachable");
     }
   else
-    for (size_t at = 0; at < digests.len_bytes; at += DOC_DIGEST_BYTES)
+    for (size_t at = 0; at < missing_digests.len_bytes; at += DOC_DIGEST_BYTES)
       {
         doc_digest_t digest;
-        memcpy (digest.bytes, digests.ptr + at, DOC_DIGEST_BYTES);
-        chunk_ask_store (entry, &digest);
+        memcpy (digest.bytes, missing_digests.ptr + at, DOC_DIGEST_BYTES);
+        chunk_read_from_store (entry, &digest);
       }
-  kb_buf_finish (&digests);
+  kb_buf_finish (&missing_digests);
 }
 
 static void
-note_heard (ent_config_t *c, uint64_t revision)
+record_latest_revision (ent_config_t *c, uint64_t revision)
 {
-  if (revision <= c->heard_revision)
+  if (revision <= c->latest_revision)
     return;
-  c->heard_revision = revision;
-  c->heard_ms = tmr_now_ms ();
+  c->latest_revision = revision;
+  c->latest_revision_since_ms = tmr_now_ms ();
 }
 
 /// A head arrived from the store or a peer.
 static void
-head_arrived (ent_entry_t *entry, kb_slice_t text, const char *from_peer)
+on_head (ent_entry_t *entry, kb_slice_t text, const char *source_peer)
 {
   ent_config_t *c = &entry->config;
   kb_error_t error = { 0 };
@@ -282,24 +285,25 @@
       log_write (LOG_ERROR, "config", "%s.", error.message);
       return;
     }
-  c->has_evidence = true;
+  c->is_confirmed = true;
   met_add (met_counter ("knapweedbay_config_bytes_total", ""), text.len_bytes);
-  note_heard (c, head.revision);
+  record_latest_revision (c, head.revision);
   // Adopting only higher revisions is what keeps a change from being undone
   // by a daemon that comes back with old data or by a lagging read.
-  bool is_older = head.revision <= ent_revision (entry)
-                  || (c->is_fetching && head.revision <= c->wanted.revision);
+  bool is_older
+      = head.revision <= ent_config_revision (entry)
+        || (c->is_fetching && head.revision <= c->pending_head.revision);
   if (is_older)
     {
       doc_head_finish (&head);
       return;
     }
-  fetch_stop (c);
-  c->wanted = head;
+  fetch_reset (c);
+  c->pending_head = head;
   c->is_fetching = true;
   c->fetch_started_ms = tmr_now_ms ();
-  snprintf (c->from_peer, sizeof c->from_peer, "%s", from_peer);
-  fetch_missing (entry);
+  snprintf (c->source_peer, sizeof c->source_peer, "%s", source_peer);
+  fetch_missing_chunks (entry);
 }
 
 static void
@@ -307,17 +311,17 @@
 {
   ent_entry_t *entry = arg;
   if (strcmp (item->key, "kb/w/head") == 0 && item->mod_revision != 0)
-    head_arrived (entry, item->value, "");
+    on_head (entry, item->value, "");
   else if (strcmp (item->key, SHM_KEY) == 0)
-    ent_claims_map_item (entry, item);
+    ent_claims_apply_map_item (entry, item);
 }
 
 static uint64_t
-backoff_next (ent_config_t *c)
+next_backoff_ms (ent_config_t *c)
 {
-  c->backoff_ms = c->backoff_ms == 0 ? BACKOFF_MIN_MS : c->backoff_ms * 2;
-  if (c->backoff_ms > BACKOFF_MAX_MS)
-    c->backoff_ms = BACKOFF_MAX_MS;
+  c->backoff_ms = c->backoff_ms == 0 ? MIN_BACKOFF_MS : c->backoff_ms * 2;
+  if (c->backoff_ms > MAX_BACKOFF_MS)
+    c->backoff_ms = MAX_BACKOFF_MS;
   return c->backoff_ms / 2 + dmn_random () % c->backoff_ms;
 }
 
@@ -326,7 +330,8 @@
 {
   ent_entry_t *entry = arg;
   entry->config.watch = NULL;
-  entry->config.watch_retry_ms = tmr_now_ms () + backoff_next (&entry->config);
+  entry->config.watch_retry_at_ms
+      = tmr_now_ms () + next_backoff_ms (&entry->config);
 }
 
 static const kvc_watch_events_t watch_events
@@ -335,8 +340,8 @@
 /// The values as they stand, read after a watch was opened so that no change
 /// falls between the two.
 static void
-current_got (void *arg, kb_status_t status, const kvc_item_t *items,
-             uint32_t count)
+on_current_values_read (void *arg, kb_status_t status, const kvc_item_t *items,
+                        uint32_t count)
 {
   ent_entry_t *entry = arg;
   if (status != KB_OK)
@@ -351,16 +356,16 @@
       watch_on_item (entry, &items[i]);
     }
   if (!has_head)
-    entry->config.has_evidence = true;
+    entry->config.is_confirmed = true;
   if (!has_map)
     entry->is_map_known = true;
 }
 
 static void
-read_current (ent_entry_t *entry)
+read_current_values (ent_entry_t *entry)
 {
-  entry->config.polled_ms = tmr_now_ms ();
-  kvc_range (&entry->daemon->kv, "kb/w/", current_got, entry);
+  entry->config.last_poll_ms = tmr_now_ms ();
+  kvc_range (&entry->daemon->kv, "kb/w/", on_current_values_read, entry);
 }
 
 /// Two entries of each failure domain watch the store; the others hear from
@@ -370,16 +375,16 @@
 is_watcher (ent_entry_t *entry)
 {
   const set_settings_t *s = &entry->daemon->settings;
-  uint64_t own = kb_hash (s->name, strlen (s->name), 7);
-  uint32_t before = 0;
+  uint64_t own_rank = kb_hash (s->name, strlen (s->name), 7);
+  uint32_t lower_rank_count = 0;
   uint32_t at = 0;
   ent_vm_t *vm;
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
     if (vm->is_entry && vm->state == MEM_UP
         && strcmp (vm->domain, s->failure_domain) == 0
-        && kb_hash (vm->name, strlen (vm->name), 7) < own)
-      before++;
-  return before < WATCHERS_PER_DOMAIN;
+        && kb_hash (vm->name, strlen (vm->name), 7) < own_rank)
+      lower_rank_count++;
+  return lower_rank_count < WATCHERS_PER_DOMAIN;
 }
 
 static void
@@ -392,26 +397,26 @@
       kvc_watch_stop (c->watch);
       c->watch = NULL;
     }
-  if (c->is_watcher && c->watch == NULL && now >= c->watch_retry_ms)
+  if (c->is_watcher && c->watch == NULL && now >= c->watch_retry_at_ms)
     {
       c->watch = kvc_watch_start (&entry->daemon->kv, "kb/w/", &watch_events,
                                   entry);
-      read_current (entry);
+      read_current_values (entry);
     }
 }
 
 /// Ask one entry that is ahead for its head.
 static void
-pull_from_peer (ent_entry_t *entry)
+pull_from_newer_peer (ent_entry_t *entry)
 {
   uint32_t at = 0;
   ent_vm_t *vm;
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
     if (vm->is_entry && vm->state == MEM_UP
-        && vm->revision > ent_revision (entry))
+        && vm->revision > ent_config_revision (entry))
       {
         msg_t msg = { .type = MSG_CONFIG_PULL };
-        msg.config_pull.have_revision = ent_revision (entry);
+        msg.config_pull.have_revision = ent_config_revision (entry);
         dmn_send (entry->daemon, vm->name, &msg);
         return;
       }
@@ -424,8 +429,8 @@
 is_behind (const ent_entry_t *entry, uint64_t now_ms)
 {
   const ent_config_t *c = &entry->config;
-  return c->heard_revision > ent_revision (entry) && !c->is_fetching
-         && now_ms - c->heard_ms > BEHIND_MS;
+  return c->latest_revision > ent_config_revision (entry) && !c->is_fetching
+         && now_ms - c->latest_revision_since_ms > CATCH_UP_INTERVAL_MS;
 }
 
 void
@@ -435,31 +440,33 @@
   if (c->is_fetching && now_ms - c->fetch_started_ms > FETCH_TIMEOUT_MS)
     fetch_failed (entry, "timeout");
   watch_update (entry, now_ms);
-  uint64_t period = c->is_watcher ? POLL_WATCHER_MS : POLL_OTHER_MS;
-  bool is_wanting = is_behind (entry, now_ms) || !c->has_evidence;
-  if (is_wanting)
-    period = BEHIND_MS;
-  if (now_ms - c->polled_ms > period)
-    read_current (entry);
-  if (is_wanting && !c->is_fetching)
-    pull_from_peer (entry);
+  uint64_t period_ms
+      = c->is_watcher ? WATCHER_POLL_INTERVAL_MS : OTHER_POLL_INTERVAL_MS;
+  bool is_out_of_date = is_behind (entry, now_ms) || !c->is_confirmed;
+  if (is_out_of_date)
+    period_ms = CATCH_UP_INTERVAL_MS;
+  if (now_ms - c->last_poll_ms > period_ms)
+    read_current_values (entry);
+  if (is_out_of_date && !c->is_fetching)
+    pull_from_newer_peer (entry);
 }
 
 void
-ent_config_heard (ent_entry_t *entry, uint64_t revision, kb_slice_t peer)
+ent_config_record_revision (ent_entry_t *entry, uint64_t revision,
+                            kb_slice_t peer)
 {
   ent_config_t *c = &entry->config;
-  note_heard (c, revision);
+  record_latest_revision (c, revision);
   ent_vm_t *vm = peer.len_bytes > 0 ? ent_vm_find (entry, peer) : NULL;
   if (vm != NULL)
     vm->revision = revision;
   uint64_t now = tmr_now_ms ();
-  if (revision <= ent_revision (entry) || c->is_fetching || vm == NULL
-      || now - c->pulled_ms < PULL_PAUSE_MS)
+  if (revision <= ent_config_revision (entry) || c->is_fetching || vm == NULL
+      || now - c->last_pull_ms < PULL_INTERVAL_MS)
     return;
-  c->pulled_ms = now;
+  c->last_pull_ms = now;
   msg_t msg = { .type = MSG_CONFIG_PULL };
-  msg.config_pull.have_revision = ent_revision (entry);
+  msg.config_pull.have_revision = ent_config_revision (entry);
   lnk_link_send (&entry->daemon->link, peer, &msg);
 }
 
@@ -469,9 +476,10 @@
   kb_buf_t text = { 0 };
   doc_head_write (&entry->config.head, &text);
   msg_t msg = { .type = MSG_CONFIG_PART };
-  msg.config_part = (msg_config_part_t){ .revision = ent_revision (entry),
-                                         .is_head = 1,
-                                         .data = kb_buf_slice (&text) };
+  msg.config_part
+      = (msg_config_part_t){ .revision = ent_config_revision (entry),
+                             .is_head = 1,
+                             .data = kb_buf_slice (&text) };
   lnk_link_send (&entry->daemon->link, to, &msg);
   kb_buf_finish (&text);
 }
@@ -482,7 +490,7 @@
 {
   if (pull->digests.len_bytes == 0)
     {
-      if (ent_revision (entry) > pull->have_revision)
+      if (ent_config_revision (entry) > pull->have_revision)
         send_head (entry, from);
       return;
     }
@@ -496,7 +504,7 @@
         continue;
       msg_t msg = { .type = MSG_CONFIG_PART };
       msg.config_part
-          = (msg_config_part_t){ .revision = ent_revision (entry),
+          = (msg_config_part_t){ .revision = ent_config_revision (entry),
                                  .digest = { (const char *)digest.bytes,
                                              DOC_DIGEST_BYTES },
                                  .data = kb_buf_slice (chunk) };
@@ -512,12 +520,12 @@
     {
       char peer[ENT_NAME_BYTES];
       kb_slice_copy (from, peer, sizeof peer);
-      head_arrived (entry, part->data, peer);
+      on_head (entry, part->data, peer);
       return;
     }
   if (part->digest.len_bytes != DOC_DIGEST_BYTES)
     return;
   doc_digest_t digest;
   memcpy (digest.bytes, part->digest.ptr, DOC_DIGEST_BYTES);
-  chunk_arrived (entry, &digest, part->data);
+  on_chunk (entry, &digest, part->data);
 }
--- a/src/daemon/entry_http.c
+++ b/src/daemon/entry_http.c
@@ -15,11 +15,11 @@
   HTTP_BAD_REQUEST = 400,
   HTTP_UNAUTHORIZED = 401,
   HTTP_NOT_FOUND = 404,
-  HTTP_METHOD = 405,
-  HTTP_TOO_MANY = 429,
+  HTTP_METHOD_NOT_ALLOWED = 405,
+  HTTP_TOO_MANY_REQUESTS = 429,
   HTTP_UNAVAILABLE = 503,
-  INFLIGHT_RETRY_MS = 1000,
-  KEY_MAX_BYTES = 255,
+  DEFAULT_RETRY_AFTER_MS = 1000,
+  MAX_KEY_BYTES = 255,
 };
 
 /// A refusal on its way to the caller.
@@ -63,16 +63,19 @@
 static bool
 check_single_headers (hts_request_t *http, refusal_t *refusal)
 {
-  static const char *const single[] = { "authorization",
-                                        "idempotency-key",
-                                        "x-knapweedbay-idempotent",
-                                        "x-knapweedbay-timeout-ms",
-                                        "content-length",
-                                        "traceparent" };
-  for (size_t i = 0; i < sizeof single / sizeof single[0]; i++)
-    if (hts_request_header_count (http, single[i]) > 1)
+  static const char *const single_value_headers[]
+      = { "authorization",
+          "idempotency-key",
+          "x-knapweedbay-idempotent",
+          "x-knapweedbay-timeout-ms",
+          "content-length",
+          "traceparent" };
+  for (size_t i = 0;
+       i < sizeof single_value_headers / sizeof single_value_headers[0]; i++)
+    if (hts_request_header_count (http, single_value_headers[i]) > 1)
       return refuse (refusal, HTTP_BAD_REQUEST,
-                     "header \"%s\" stands more than once", single[i]);
+                     "header \"%s\" stands more than once",
+                     single_value_headers[i]);
   return true;
 }
 
@@ -116,21 +119,21 @@
 {
   if (entry->request_count >= (uint32_t)entry->daemon->settings.max_inflight)
     {
-      refusal->retry_after_ms = INFLIGHT_RETRY_MS;
+      refusal->retry_after_ms = DEFAULT_RETRY_AFTER_MS;
       return refuse (refusal, HTTP_UNAVAILABLE, "the entry is full");
     }
   if (workspace->max_inflight > 0
       && limits->inflight >= workspace->max_inflight)
     {
-      refusal->retry_after_ms = INFLIGHT_RETRY_MS;
-      return refuse (refusal, HTTP_TOO_MANY,
+      refusal->retry_after_ms = DEFAULT_RETRY_AFTER_MS;
+      return refuse (refusal, HTTP_TOO_MANY_REQUESTS,
                      "workspace \"%s\" has %u requests in progress",
                      workspace->name, limits->inflight);
     }
   if (!lim_bucket_take (&limits->bucket, tmr_now_ms (),
                         &refusal->retry_after_ms))
-    return refuse (refusal, HTTP_TOO_MANY, "workspace \"%s\" exceeds its rate",
-                   workspace->name);
+    return refuse (refusal, HTTP_TOO_MANY_REQUESTS,
+                   "workspace \"%s\" exceeds its rate", workspace->name);
   return true;
 }
 
@@ -139,21 +142,21 @@
                refusal_t *refusal)
 {
   const set_settings_t *s = &entry->daemon->settings;
-  uint64_t deadline = (uint64_t)s->default_deadline_ms;
+  uint64_t deadline_ms = (uint64_t)s->default_deadline_ms;
   kb_slice_t header = hts_request_header (http, "x-knapweedbay-timeout-ms");
   if (header.len_bytes > 0)
     {
       char text[24];
       char *end;
       kb_slice_copy (header, text, sizeof text);
-      deadline = strtoull (text, &end, 10);
-      if (*end != '\0' || deadline == 0)
+      deadline_ms = strtoull (text, &end, 10);
+      if (*end != '\0' || deadline_ms == 0)
         return refuse (refusal, HTTP_BAD_REQUEST,
                        "\"x-knapweedbay-timeout-ms\" must be a number");
     }
-  if (deadline > (uint64_t)s->max_deadline_ms)
-    deadline = (uint64_t)s->max_deadline_ms;
-  r->deadline_at_ms = tmr_now_ms () + deadline;
+  if (deadline_ms > (uint64_t)s->max_deadline_ms)
+    deadline_ms = (uint64_t)s->max_deadline_ms;
+  r->deadline_at_ms = tmr_now_ms () + deadline_ms;
   return true;
 }
 
@@ -169,10 +172,10 @@
   kb_slice_t key = hts_request_header (http, "idempotency-key");
   if (key.len_bytes == 0)
     return true;
-  if (key.len_bytes > KEY_MAX_BYTES)
+  if (key.len_bytes > MAX_KEY_BYTES)
     return refuse (refusal, HTTP_BAD_REQUEST,
                    "\"idempotency-key\" is longer than %d bytes",
-                   KEY_MAX_BYTES);
+                   MAX_KEY_BYTES);
   uint64_t workspace = kb_hash (r->workspace, strlen (r->workspace), 0);
   r->claim_key = kb_hash (key.ptr, key.len_bytes, workspace) | 1;
   uint64_t seed = kb_hash (r->path, strlen (r->path), workspace);
@@ -181,8 +184,9 @@
 }
 
 static bool
-read_completion (ent_entry_t *entry, const cfg_workspace_t *workspace,
-                 hts_request_t *http, ent_request_t *r, refusal_t *refusal)
+read_completion_request (ent_entry_t *entry, const cfg_workspace_t *workspace,
+                         hts_request_t *http, ent_request_t *r,
+                         refusal_t *refusal)
 {
   kb_error_t error = { 0 };
   oai_request_t parsed;
@@ -226,8 +230,8 @@
 
 /// "/v1/services/NAME/rest": the rest goes to the target.
 static bool
-read_plain (ent_entry_t *entry, const cfg_workspace_t *workspace,
-            hts_request_t *http, ent_request_t *r, refusal_t *refusal)
+read_plain_request (ent_entry_t *entry, const cfg_workspace_t *workspace,
+                    hts_request_t *http, ent_request_t *r, refusal_t *refusal)
 {
   const uint32_t skip = sizeof "/v1/services/" - 1;
   kb_slice_t rest = { http->path.ptr + skip, http->path.len_bytes - skip };
@@ -250,9 +254,9 @@
   r->priority_class
       = cfg_priority_class (config, workspace, name, (kb_slice_t){ "", 0 });
   // Reading calls may be repeated by their method; others as configured.
-  bool is_reading = kb_slice_equal (http->method, kb_slice_str ("GET"))
-                    || kb_slice_equal (http->method, kb_slice_str ("HEAD"));
-  return read_idempotency (http, is_reading || service->is_idempotent, r,
+  bool is_read_only = kb_slice_equal (http->method, kb_slice_str ("GET"))
+                      || kb_slice_equal (http->method, kb_slice_str ("HEAD"));
+  return read_idempotency (http, is_read_only || service->is_idempotent, r,
                            refusal);
 }
 
@@ -266,11 +270,12 @@
   r->path = kb_slice_dup (http->path);
   if (!read_deadline (entry, http, r, refusal))
     return false;
-  bool is_good = has_prefix (http->path, "/v1/services/")
-                     ? read_plain (entry, workspace, http, r, refusal)
-                     : read_completion (entry, workspace, http, r, refusal);
+  bool is_valid
+      = has_prefix (http->path, "/v1/services/")
+            ? read_plain_request (entry, workspace, http, r, refusal)
+            : read_completion_request (entry, workspace, http, r, refusal);
   r->service_id = kb_hash (r->service, strlen (r->service), 0) | 1;
-  return is_good;
+  return is_valid;
 }
 
 static void
@@ -292,7 +297,7 @@
 }
 
 static void
-handle_work (ent_entry_t *entry, hts_request_t *http)
+handle_service_request (ent_entry_t *entry, hts_request_t *http)
 {
   refusal_t refusal = { 0 };
   if (entry->daemon->is_draining)
@@ -305,7 +310,7 @@
   if (entry->config.current == NULL)
     {
       refuse (&refusal, HTTP_UNAVAILABLE, "no configuration is in force yet");
-      refusal.retry_after_ms = INFLIGHT_RETRY_MS;
+      refusal.retry_after_ms = DEFAULT_RETRY_AFTER_MS;
       reply_refusal (http, &refusal);
       return;
     }
@@ -370,21 +375,21 @@
 }
 
 static bool
-path_is (const hts_request_t *http, const char *path)
+path_equals (const hts_request_t *http, const char *path)
 {
   return kb_slice_equal (http->path, kb_slice_str (path));
 }
 
 void
-ent_http_request (ent_entry_t *entry, hts_request_t *http)
+ent_http_handle_request (ent_entry_t *entry, hts_request_t *http)
 {
-  if (path_is (http, "/v1/models"))
+  if (path_equals (http, "/v1/models"))
     {
       reply_models (entry, http);
       return;
     }
-  bool is_completion = path_is (http, "/v1/completions")
-                       || path_is (http, "/v1/chat/completions");
+  bool is_completion = path_equals (http, "/v1/completions")
+                       || path_equals (http, "/v1/chat/completions");
   if (!is_completion && !has_prefix (http->path, "/v1/services/"))
     {
       dmn_reply_error (http, HTTP_NOT_FOUND, "not_run", "no such page", 0);
@@ -392,8 +397,9 @@
     }
   if (is_completion && !kb_slice_equal (http->method, kb_slice_str ("POST")))
     {
-      dmn_reply_error (http, HTTP_METHOD, "not_run", "use POST", 0);
+      dmn_reply_error (http, HTTP_METHOD_NOT_ALLOWED, "not_run", "use POST",
+                       0);
       return;
     }
-  handle_work (entry, http);
+  handle_service_request (entry, http);
 }
--- a/src/daemon/entry_keyed.c
+++ b/src/daemon/entry_keyed.c
@@ -7,10 +7,10 @@
 
 enum
 {
-  RETRY_DEFAULT_MS = 1000,
-  RUNNING_RETRY_MS = 1000,
-  CLAIM_RETRY_MS = 200, ///< Also the patience for one answer.
-  CLAIM_MAX_TRIES = 15,
+  DEFAULT_RETRY_AFTER_MS = 1000,
+  RUNNING_RETRY_AFTER_MS = 1000,
+  CLAIM_RETRY_INTERVAL_MS = 200, ///< Also the patience for one answer.
+  MAX_CLAIM_RETRIES = 15,
   HTTP_CONFLICT = 409,
   HTTP_UNPROCESSABLE = 422,
   HTTP_BAD_GATEWAY = 502,
@@ -18,37 +18,38 @@
 };
 
 static void
-claim_retry (void *arg)
+claim_retry_timer_on_expire (void *arg)
 {
   ent_claim_send (arg);
 }
 
 static void
-claim_again_later (ent_request_t *r)
+schedule_claim_retry (ent_request_t *r)
 {
-  if (++r->claim_tries > CLAIM_MAX_TRIES)
+  if (++r->claim_retry_count > MAX_CLAIM_RETRIES)
     {
-      ent_request_leave_vm (r);
+      ent_request_release_vm (r);
       ent_request_fail_not_run (r, "the owner of this key is not available",
                                 0);
       return;
     }
   // The owner that the map names has not answered as one: the map is old.
-  if (r->claim_tries > 1)
+  if (r->claim_retry_count > 1)
     ent_claims_read_map (r->entry);
-  tmr_after (&r->entry->daemon->timers, &r->retry, CLAIM_RETRY_MS, claim_retry,
-             r);
+  tmr_after (&r->entry->daemon->timers, &r->claim_retry_timer,
+             CLAIM_RETRY_INTERVAL_MS, claim_retry_timer_on_expire, r);
 }
 
 /// Where an earlier request with the same key ran or runs.
 static bool
-holder_use (ent_request_t *r, uint64_t runner, uint64_t incarnation)
+select_holder_target (ent_request_t *r, uint64_t runner, uint64_t incarnation)
 {
-  ent_request_leave_vm (r);
+  ent_request_release_vm (r);
   ent_vm_t *vm = kb_map_get (&r->entry->vms, runner);
-  bool is_same = vm != NULL && vm->mem.incarnation == incarnation
-                 && (vm->state == MEM_UP || vm->state == MEM_LEAVING);
-  if (!is_same)
+  bool is_holder_reachable
+      = vm != NULL && vm->member.incarnation == incarnation
+        && (vm->state == MEM_UP || vm->state == MEM_LEAVING);
+  if (!is_holder_reachable)
     return false;
   r->vm = vm;
   vm->inflight++;
@@ -60,31 +61,31 @@
 fetch_answer (ent_request_t *r)
 {
   MET_INC ("knapweedbay_resends_answered_total", "");
-  r->stage = ENT_FETCHING;
+  r->stage = ENT_STAGE_FETCHING;
   r->is_claimed = false;
   ent_request_dispatch (r);
 }
 
 static void
-revoke_holder (ent_request_t *r, uint64_t holder)
+revoke_holder_attempt (ent_request_t *r, uint64_t holder)
 {
-  r->stage = ENT_REVOKING;
+  r->stage = ENT_STAGE_REVOKING;
   r->holder_attempt = holder;
   msg_t msg = { .type = MSG_REVOKE };
   msg.revoke = (msg_revoke_t){ .attempt = holder,
                                .claim_key = r->claim_key,
                                .incarnation = r->vm_incarnation };
   // The answer names the holder's attempt; it comes back to this request.
-  kb_map_put (&r->entry->by_attempt, r->attempt, r);
+  kb_map_put (&r->entry->requests_by_attempt, r->attempt, r);
   if (dmn_send (r->entry->daemon, r->vm->name, &msg) != KB_OK)
     ent_request_fail (r, HTTP_GATEWAY_TIMEOUT, "unknown",
                       "the target of the earlier request is not reachable",
-                      RETRY_DEFAULT_MS);
+                      DEFAULT_RETRY_AFTER_MS);
 }
 
 static void
-after_held (ent_request_t *r, clm_verdict_t verdict, uint64_t holder,
-            uint64_t incarnation, clm_state_t state, uint64_t runner)
+handle_held_claim (ent_request_t *r, clm_verdict_t verdict, uint64_t holder,
+                   uint64_t incarnation, clm_state_t state, uint64_t runner)
 {
   if (verdict == CLM_VERDICT_FINISHED && state == CLM_FAILED)
     {
@@ -92,7 +93,7 @@
                         "an earlier request with this key ran and failed", 0);
       return;
     }
-  if (!holder_use (r, runner, incarnation))
+  if (!select_holder_target (r, runner, incarnation))
     {
       ent_request_fail (
           r, HTTP_GATEWAY_TIMEOUT, "unknown",
@@ -102,13 +103,14 @@
   if (verdict == CLM_VERDICT_FINISHED)
     fetch_answer (r);
   else
-    revoke_holder (r, holder);
+    revoke_holder_attempt (r, holder);
 }
 
 void
-ent_request_claimed (ent_request_t *r, clm_verdict_t verdict, uint64_t epoch,
-                     uint64_t holder, uint64_t incarnation, clm_state_t state,
-                     uint64_t runner)
+ent_request_handle_claim_verdict (ent_request_t *r, clm_verdict_t verdict,
+                                  uint64_t epoch, uint64_t holder,
+                                  uint64_t incarnation, clm_state_t state,
+                                  uint64_t runner)
 {
   switch (verdict)
     {
@@ -120,7 +122,7 @@
       break;
     case CLM_VERDICT_HELD:
     case CLM_VERDICT_FINISHED:
-      after_held (r, verdict, holder, incarnation, state, runner);
+      handle_held_claim (r, verdict, holder, incarnation, state, runner);
       break;
     case CLM_VERDICT_MISMATCH:
       ent_request_fail (r, HTTP_UNPROCESSABLE, "not_run",
@@ -135,32 +137,33 @@
           0);
       break;
     case CLM_VERDICT_FULL:
-      ent_request_leave_vm (r);
+      ent_request_release_vm (r);
       ent_request_fail_not_run (r, "too many idempotency keys are remembered",
                                 0);
       break;
     default:
-      claim_again_later (r);
+      schedule_claim_retry (r);
     }
 }
 
 void
-ent_request_revoked (ent_entry_t *entry, const msg_revoked_t *revoked)
+ent_request_on_revoked (ent_entry_t *entry, const msg_revoked_t *revoked)
 {
-  ent_request_t *r = kb_map_get (&entry->by_attempt, revoked->attempt);
-  if (r != NULL && r->stage == ENT_SENT)
+  ent_request_t *r
+      = kb_map_get (&entry->requests_by_attempt, revoked->attempt);
+  if (r != NULL && r->stage == ENT_STAGE_SENT)
     {
       // Settling an attempt of our own after a lost connection.
       if (revoked->state == MSG_REVOKED_VOIDED)
-        ent_request_after_not_run (r, "the connection to the target was lost",
-                                   0);
+        ent_request_handle_not_run (r, "the connection to the target was lost",
+                                    0);
       else if (revoked->state != MSG_REVOKED_RUNNING)
-        ent_request_after_unknown (r, "the answer was lost with a connection",
-                                   revoked->state != MSG_REVOKED_FOREIGN);
+        ent_request_handle_unknown (r, "the answer was lost with a connection",
+                                    revoked->state != MSG_REVOKED_FOREIGN);
       return;
     }
   for (r = entry->requests; r != NULL; r = r->next)
-    if (r->stage == ENT_REVOKING && r->holder_attempt == revoked->attempt
+    if (r->stage == ENT_STAGE_REVOKING && r->holder_attempt == revoked->attempt
         && r->claim_key == revoked->claim_key)
       break;
   if (r == NULL)
@@ -172,13 +175,13 @@
       r->voided_attempt = revoked->attempt;
       r->holder_attempt = 0;
       ent_request_drop_attempt (r);
-      ent_request_leave_vm (r);
-      ent_request_next (r);
+      ent_request_release_vm (r);
+      ent_request_begin_attempt (r);
       break;
     case MSG_REVOKED_RUNNING:
       ent_request_fail (r, HTTP_CONFLICT, "running",
                         "a request with this key is running",
-                        RUNNING_RETRY_MS);
+                        RUNNING_RETRY_AFTER_MS);
       break;
     case MSG_REVOKED_DONE:
       fetch_answer (r);
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -12,8 +12,8 @@
 {
   PING_BUSY_MS = 2000,  ///< To a target that has work of ours.
   PING_IDLE_MS = 15000, ///< To any other daemon.
-  DOWN_GRACE_MS = 1000, ///< A connection may flap this long.
-  DOWN_FINAL_MS = 5000,
+  DOWN_RETRY_MS = 1000, ///< A connection may flap this long.
+  DOWN_FAIL_MS = 5000,
 };
 
 ent_vm_t *
@@ -23,7 +23,7 @@
 }
 
 static ent_vm_t *
-vm_get (ent_entry_t *entry, kb_slice_t name)
+vm_find_or_add (ent_entry_t *entry, kb_slice_t name)
 {
   ent_vm_t *vm = ent_vm_find (entry, name);
   if (vm != NULL)
@@ -51,16 +51,19 @@
 }
 
 void
-ent_vm_update (ent_entry_t *entry, ent_vm_t *vm)
+ent_vm_update_state (ent_entry_t *entry, ent_vm_t *vm)
 {
   uint64_t now = tmr_now_ms ();
-  mem_state_t state = mem_vm_state (&vm->mem, &entry->mem_options, now);
+  mem_state_t state = mem_vm_state (&vm->member, &entry->member_options, now);
   if (state != vm->state)
     {
-      static const char *const names[] = { "down", "leaving", "up", "gone" };
-      log_write (LOG_INFO, "member", "%s is %s.", vm->name, names[state]);
+      static const char *const state_names[]
+          = { "down", "leaving", "up", "gone" };
+      log_write (LOG_INFO, "member", "%s is %s.", vm->name,
+                 state_names[state]);
       bool is_down = state == MEM_DOWN || state == MEM_GONE;
-      vm->down_ms = is_down ? (vm->down_ms ? vm->down_ms : now) : 0;
+      vm->down_since_ms
+          = is_down ? (vm->down_since_ms ? vm->down_since_ms : now) : 0;
       vm->state = state;
     }
   if (vm->route == RT_NONE)
@@ -74,7 +77,7 @@
 }
 
 static void
-hello_fill (ent_entry_t *entry, bool is_reply, msg_t *msg)
+hello_build (ent_entry_t *entry, bool is_reply, msg_t *msg)
 {
   const set_settings_t *s = &entry->daemon->settings;
   *msg = (msg_t){ .type = MSG_HELLO };
@@ -83,7 +86,7 @@
                        .role = SET_ROLE_ENTRY,
                        .incarnation = entry->daemon->incarnation,
                        .failure_domain = kb_slice_str (s->failure_domain),
-                       .revision = ent_revision (entry),
+                       .revision = ent_config_revision (entry),
                        .state = entry->daemon->is_draining ? MSG_STATE_LEAVING
                                                            : MSG_STATE_LIVE,
                        .is_reply = is_reply };
@@ -102,73 +105,76 @@
 }
 
 void
-ent_members_hello (ent_entry_t *entry, kb_slice_t from,
-                   const msg_hello_t *hello)
+ent_members_on_hello (ent_entry_t *entry, kb_slice_t from,
+                      const msg_hello_t *hello)
 {
-  ent_vm_t *vm = vm_get (entry, from);
+  ent_vm_t *vm = vm_find_or_add (entry, from);
   uint64_t now = tmr_now_ms ();
-  uint64_t former = vm->mem.incarnation;
-  bool was_silent = vm->mem.says == MEM_SAYS_NOTHING;
-  mem_says_t says
+  uint64_t former_incarnation = vm->member.incarnation;
+  bool was_unreported = vm->member.says == MEM_SAYS_NOTHING;
+  mem_says_t reported_state
       = hello->state == MSG_STATE_LEAVING ? MEM_SAYS_LEAVING : MEM_SAYS_LIVE;
-  bool is_new = mem_vm_note_hello (&vm->mem, hello->incarnation, says, now);
+  bool is_new = mem_vm_note_hello (&vm->member, hello->incarnation,
+                                   reported_state, now);
   vm->is_entry = hello->role == SET_ROLE_ENTRY;
   vm->revision = hello->revision;
   vm->memory_since_wall_ms = hello->memory_since_wall_ms;
   kb_slice_copy (hello->failure_domain, vm->domain, sizeof vm->domain);
   if (!vm->is_entry)
     vm_add_route (entry, vm, hello);
-  if (is_new && former != 0 && !vm->is_entry)
+  if (is_new && former_incarnation != 0 && !vm->is_entry)
     {
       log_write (LOG_WARN, "member", "%s was restarted.", vm->name);
-      clm_owner_runner_lost (&entry->owner, vm->id, former, now);
-      ent_request_vm_lost (entry, vm, true);
+      clm_owner_runner_lost (&entry->claim_owner, vm->id, former_incarnation,
+                             now);
+      ent_requests_on_vm_lost (entry, vm, true);
       if (vm->route != RT_NONE)
         rt_note_cold (&entry->routes, vm->route);
     }
-  else if (was_silent && !vm->is_entry)
-    ent_request_vm_back (entry, vm);
-  ent_vm_update (entry, vm);
-  ent_config_heard (entry, hello->revision,
-                    vm->is_entry ? from : (kb_slice_t){ "", 0 });
+  else if (was_unreported && !vm->is_entry)
+    ent_requests_on_vm_reconnected (entry, vm);
+  ent_vm_update_state (entry, vm);
+  ent_config_record_revision (entry, hello->revision,
+                              vm->is_entry ? from : (kb_slice_t){ "", 0 });
   if (hello->is_reply)
     return;
   msg_t msg;
-  hello_fill (entry, true, &msg);
+  hello_build (entry, true, &msg);
   lnk_link_send (&entry->daemon->link, from, &msg);
 }
 
 void
-ent_members_ping (ent_entry_t *entry, kb_slice_t from, const msg_ping_t *ping)
+ent_members_on_ping (ent_entry_t *entry, kb_slice_t from,
+                     const msg_ping_t *ping)
 {
-  ent_config_heard (entry, ping->revision, from);
+  ent_config_record_revision (entry, ping->revision, from);
   msg_t msg = { .type = MSG_PONG };
   msg.pong
       = (msg_pong_t){ .stamp_us = ping->stamp_us,
-                      .revision = ent_revision (entry),
+                      .revision = ent_config_revision (entry),
                       .state = entry->daemon->is_draining ? MSG_STATE_LEAVING
                                                           : MSG_STATE_LIVE };
   lnk_link_send (&entry->daemon->link, from, &msg);
 }
 
 void
-ent_members_pong (ent_entry_t *entry, ent_vm_t *vm, const msg_pong_t *pong)
+ent_members_on_pong (ent_entry_t *entry, ent_vm_t *vm, const msg_pong_t *pong)
 {
-  vm->report = *pong;
+  vm->last_pong = *pong;
   vm->revision = pong->revision;
   if (vm->route != RT_NONE)
     rt_note_load (&entry->routes, vm->route, (uint32_t)pong->queue_len,
                   (uint32_t)pong->running, (uint32_t)pong->expected_wait_ms,
                   tmr_now_ms ());
   if (pong->state == MSG_STATE_LEAVING)
-    vm->mem.says = MEM_SAYS_LEAVING;
+    vm->member.says = MEM_SAYS_LEAVING;
   // Its target was leaving, and goes on in another life.
-  else if (vm->mem.says == MEM_SAYS_LEAVING)
-    vm->mem.says = MEM_SAYS_LIVE;
-  ent_vm_update (entry, vm);
-  ent_config_heard (entry, pong->revision,
-                    vm->is_entry ? kb_slice_str (vm->name)
-                                 : (kb_slice_t){ "", 0 });
+  else if (vm->member.says == MEM_SAYS_LEAVING)
+    vm->member.says = MEM_SAYS_LIVE;
+  ent_vm_update_state (entry, vm);
+  ent_config_record_revision (entry, pong->revision,
+                              vm->is_entry ? kb_slice_str (vm->name)
+                                           : (kb_slice_t){ "", 0 });
 }
 
 static bool
@@ -180,7 +186,7 @@
 /// Of two entries the one with the smaller name opens the connection, so that
 /// there is one connection between them and not two under one name.
 static bool
-connects_to (const ent_entry_t *entry, const pls_vm_t *vm, bool is_entry)
+is_initiator_for (const ent_entry_t *entry, const pls_vm_t *vm, bool is_entry)
 {
   return !is_entry || strcmp (entry->daemon->settings.name, vm->name) < 0;
 }
@@ -189,38 +195,38 @@
 vm_connect (ent_entry_t *entry, ent_vm_t *vm, const pls_vm_t *listed)
 {
   const set_settings_t *s = &entry->daemon->settings;
-  if (vm->is_connecting && strcmp (vm->address, listed->address) == 0)
+  if (vm->is_initiator && strcmp (vm->address, listed->address) == 0)
     return;
-  if (vm->is_connecting)
+  if (vm->is_initiator)
     {
       lnk_link_disconnect (&entry->daemon->link, vm->address);
-      kb_map_remove (&entry->vm_of_address,
+      kb_map_remove (&entry->vms_by_address,
                      kb_hash (vm->address, strlen (vm->address), 0) | 1);
     }
   snprintf (vm->address, sizeof vm->address, "%s", listed->address);
   const char *key = vm->is_entry ? s->curve_entry_key : s->curve_agent_key;
-  vm->is_connecting
+  vm->is_initiator
       = lnk_link_connect (&entry->daemon->link, vm->address, key) == KB_OK;
-  kb_map_put (&entry->vm_of_address,
+  kb_map_put (&entry->vms_by_address,
               kb_hash (vm->address, strlen (vm->address), 0) | 1, vm);
 }
 
 static void
-note_listed (ent_entry_t *entry, const pls_vm_t *listed)
+apply_listed_vm (ent_entry_t *entry, const pls_vm_t *listed)
 {
   if (is_self (entry, listed->name))
     return;
-  ent_vm_t *vm = vm_get (entry, kb_slice_str (listed->name));
+  ent_vm_t *vm = vm_find_or_add (entry, kb_slice_str (listed->name));
   bool is_entry = strcmp (listed->role, "entry") == 0;
   vm->is_entry = is_entry;
   if (vm->domain[0] == '\0')
     snprintf (vm->domain, sizeof vm->domain, "%s", listed->failure_domain);
   mem_vm_note_listed (
-      &vm->mem, listed->is_leaving ? MEM_LISTED_LEAVING : MEM_LISTED_LIVE,
+      &vm->member, listed->is_leaving ? MEM_LISTED_LEAVING : MEM_LISTED_LIVE,
       tmr_now_ms ());
-  if (connects_to (entry, listed, is_entry))
+  if (is_initiator_for (entry, listed, is_entry))
     vm_connect (entry, vm, listed);
-  ent_vm_update (entry, vm);
+  ent_vm_update_state (entry, vm);
 }
 
 static bool
@@ -233,7 +239,7 @@
 }
 
 static void
-list_done (void *arg, const pls_vm_t *vms, uint32_t count)
+on_list_read (void *arg, const pls_vm_t *vms, uint32_t count)
 {
   ent_entry_t *entry = arg;
   if (vms == NULL)
@@ -244,39 +250,39 @@
     }
   entry->is_list_known = true;
   for (uint32_t i = 0; i < count; i++)
-    note_listed (entry, &vms[i]);
+    apply_listed_vm (entry, &vms[i]);
   uint32_t at = 0;
   ent_vm_t *vm;
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
     if (!list_has (vms, count, vm->name))
       {
-        mem_vm_note_listed (&vm->mem, MEM_LISTED_ABSENT, tmr_now_ms ());
-        ent_vm_update (entry, vm);
+        mem_vm_note_listed (&vm->member, MEM_LISTED_ABSENT, tmr_now_ms ());
+        ent_vm_update_state (entry, vm);
       }
 }
 
 static void
-list_poll (void *arg)
+read_list (void *arg)
 {
   ent_entry_t *entry = arg;
   const set_settings_t *s = &entry->daemon->settings;
   pls_read (&entry->daemon->http, s->list_address, (uint16_t)s->list_port,
-            (uint64_t)s->kv_timeout_ms, list_done, entry);
+            (uint64_t)s->kv_timeout_ms, on_list_read, entry);
 }
 
 void
 ent_members_start (ent_entry_t *entry)
 {
-  list_poll (entry);
-  tmr_every (&entry->daemon->timers, &entry->list_timer,
-             (uint64_t)entry->daemon->settings.list_poll_ms, list_poll, entry);
+  read_list (entry);
+  tmr_every (&entry->daemon->timers, &entry->list_poll_timer,
+             (uint64_t)entry->daemon->settings.list_poll_ms, read_list, entry);
 }
 
 static void
-vm_say_hello (ent_entry_t *entry, ent_vm_t *vm)
+vm_send_hello (ent_entry_t *entry, ent_vm_t *vm)
 {
   msg_t msg;
-  hello_fill (entry, false, &msg);
+  hello_build (entry, false, &msg);
   dmn_send (entry->daemon, vm->name, &msg);
 }
 
@@ -284,43 +290,44 @@
 vm_ping (ent_entry_t *entry, ent_vm_t *vm, uint64_t now)
 {
   // Absence from the list alone proves nothing; a quick answer settles it.
-  bool is_doubtful = vm->mem.listed == MEM_LISTED_ABSENT;
-  uint64_t period
-      = vm->inflight > 0 || is_doubtful ? PING_BUSY_MS : PING_IDLE_MS;
-  uint64_t since_heard = now - vm->mem.heard_ms;
-  bool is_due = now - vm->ping_ms >= period
-                && (since_heard >= period || vm->mem.pinged_ms != 0);
+  bool is_absent_from_list = vm->member.listed == MEM_LISTED_ABSENT;
+  uint64_t period_ms
+      = vm->inflight > 0 || is_absent_from_list ? PING_BUSY_MS : PING_IDLE_MS;
+  uint64_t since_last_message_ms = now - vm->member.heard_ms;
+  bool is_due
+      = now - vm->last_ping_ms >= period_ms
+        && (since_last_message_ms >= period_ms || vm->member.pinged_ms != 0);
   if (!is_due)
     return;
-  vm->ping_ms = now;
+  vm->last_ping_ms = now;
   msg_t msg = { .type = MSG_PING };
   msg.ping = (msg_ping_t){ .stamp_us = tmr_now_us (),
-                           .revision = ent_revision (entry),
+                           .revision = ent_config_revision (entry),
                            .target_count = entry->routes.by_id.len };
   dmn_send (entry->daemon, vm->name, &msg);
-  if (vm->mem.pinged_ms == 0)
-    vm->mem.pinged_ms = now;
+  if (vm->member.pinged_ms == 0)
+    vm->member.pinged_ms = now;
 }
 
 static void
 vm_tick (ent_entry_t *entry, ent_vm_t *vm, uint64_t now)
 {
-  ent_vm_update (entry, vm);
-  if (vm->mem.says == MEM_SAYS_NOTHING && vm->is_connecting)
-    vm_say_hello (entry, vm);
-  else if (vm->mem.says != MEM_SAYS_NOTHING)
+  ent_vm_update_state (entry, vm);
+  if (vm->member.says == MEM_SAYS_NOTHING && vm->is_initiator)
+    vm_send_hello (entry, vm);
+  else if (vm->member.says != MEM_SAYS_NOTHING)
     vm_ping (entry, vm, now);
-  if (vm->down_ms == 0 || vm->is_entry || vm->inflight == 0)
+  if (vm->down_since_ms == 0 || vm->is_entry || vm->inflight == 0)
     return;
-  if (now - vm->down_ms > DOWN_FINAL_MS)
-    ent_request_vm_lost (entry, vm, true);
-  else if (now - vm->down_ms > DOWN_GRACE_MS)
-    ent_request_vm_lost (entry, vm, false);
+  if (now - vm->down_since_ms > DOWN_FAIL_MS)
+    ent_requests_on_vm_lost (entry, vm, true);
+  else if (now - vm->down_since_ms > DOWN_RETRY_MS)
+    ent_requests_on_vm_lost (entry, vm, false);
 }
 
 /// Drop VMs that are gone for good.
 static void
-forget_gone (ent_entry_t *entry)
+remove_gone_vm (ent_entry_t *entry)
 {
   uint32_t at = 0;
   ent_vm_t *vm;
@@ -329,11 +336,11 @@
       break;
   if (vm == NULL)
     return;
-  if (vm->is_connecting)
+  if (vm->is_initiator)
     lnk_link_disconnect (&entry->daemon->link, vm->address);
-  kb_map_remove (&entry->vm_of_address,
+  kb_map_remove (&entry->vms_by_address,
                  kb_hash (vm->address, strlen (vm->address), 0) | 1);
-  clm_owner_runner_lost (&entry->owner, vm->id, vm->mem.incarnation,
+  clm_owner_runner_lost (&entry->claim_owner, vm->id, vm->member.incarnation,
                          tmr_now_ms ());
   kb_map_remove (&entry->vms, vm->id);
   free (vm);
@@ -346,16 +353,17 @@
   ent_vm_t *vm;
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
     vm_tick (entry, vm, now_ms);
-  forget_gone (entry);
+  remove_gone_vm (entry);
 }
 
 const char *
-ent_members_choose (ent_entry_t *entry, uint64_t key, bool with_self)
+ent_members_choose_entry (ent_entry_t *entry, uint64_t key, bool can_be_self)
 {
-  const char *own = entry->daemon->settings.name;
-  const char *best = with_self ? own : NULL;
+  const char *own_name = entry->daemon->settings.name;
+  const char *best = can_be_self ? own_name : NULL;
   uint64_t own_id = dmn_own_id (entry->daemon);
-  uint64_t best_weight = with_self ? kb_hash (&own_id, sizeof own_id, key) : 0;
+  uint64_t best_weight
+      = can_be_self ? kb_hash (&own_id, sizeof own_id, key) : 0;
   uint32_t at = 0;
   ent_vm_t *vm;
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
--- a/src/daemon/entry_quarantine.c
+++ b/src/daemon/entry_quarantine.c
@@ -29,9 +29,9 @@
 }
 
 void
-ent_quarantine_take (ent_entry_t *entry, kb_slice_t words)
+ent_quarantine_merge (ent_entry_t *entry, kb_slice_t records)
 {
-  if (qrt_take (&entry->quarantine, words, tmr_now_ms (), NULL))
+  if (qrt_take (&entry->quarantine, records, tmr_now_ms (), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "entry",
@@ -39,7 +39,7 @@
 }
 
 void
-ent_quarantine_note_served (ent_request_t *r)
+ent_quarantine_mark_served (ent_request_t *r)
 {
   qrt_note_served (&r->entry->quarantine, fingerprint_of (r), tmr_now_ms ());
 }
--- a/src/daemon/entry_shards.c
+++ b/src/daemon/entry_shards.c
@@ -11,13 +11,13 @@
 
 enum
 {
-  SETTLE_MS = 1500, ///< Wait after the start before shards are taken.
-  ASK_AGAIN_MS = 500,
-  EXPIRE_TICKS = 50,
-  MAP_TICKS = 5,
-  MAP_READ_PAUSE_MS = 200,
-  ASSIGNER_KEY = 0x61737369, ///< Seed of the choice of the assigner.
-  ASSIGN_PATIENCE_MS = 3000,
+  STARTUP_SETTLE_MS = 1500, ///< Wait after the start before shards are taken.
+  REBUILD_RETRY_MS = 500,
+  RECORD_EXPIRE_TICKS = 50,
+  MAP_CHECK_TICKS = 5,
+  MAP_READ_INTERVAL_MS = 200,
+  ASSIGNER_SEED = 0x61737369, ///< Seed of the choice of the assigner.
+  ASSIGNER_TIMEOUT_MS = 3000,
 };
 
 _Static_assert((int)SHM_SHARDS == (int)CLM_SHARDS,
@@ -37,59 +37,59 @@
 }
 
 uint32_t
-ent_claims_owned (const ent_entry_t *entry)
+ent_claims_count_owned_shards (const ent_entry_t *entry)
 {
-  uint32_t owned = 0;
+  uint32_t owned_count = 0;
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
-    owned += entry->owner.shards[s].state == CLM_SHARD_READY;
-  return owned;
+    owned_count += entry->claim_owner.shards[s].state == CLM_SHARD_READY;
+  return owned_count;
 }
 
 /// Merge records into the shards that are being rebuilt.
 static void
-merge_packed (ent_entry_t *entry, kb_slice_t records)
+merge_packed_records (ent_entry_t *entry, kb_slice_t records)
 {
   clm_record_t record;
   uint64_t now = tmr_now_ms ();
   while (clm_record_unpack (&records, &record))
-    if (entry->owner.shards[clm_shard (record.key)].state
+    if (entry->claim_owner.shards[clm_shard (record.key)].state
         == CLM_SHARD_REBUILDING)
-      clm_owner_merge (&entry->owner, &record, now);
+      clm_owner_merge (&entry->claim_owner, &record, now);
 }
 
 /// The former owner named us and sent its records before: the shard goes on
 /// without a rebuild.
 static bool
-shard_inherit (ent_entry_t *entry, uint32_t s)
+shard_apply_handover (ent_entry_t *entry, uint32_t s)
 {
   if (!entry->has_handover[s])
     return false;
-  clm_owner_begin_rebuild (&entry->owner, s, entry->shards[s].epoch);
-  merge_packed (entry, kb_buf_slice (&entry->handover[s]));
-  clm_owner_end_rebuild (&entry->owner, s, true, tmr_now_ms ());
+  clm_owner_begin_rebuild (&entry->claim_owner, s, entry->shard_map[s].epoch);
+  merge_packed_records (entry, kb_buf_slice (&entry->handover[s]));
+  clm_owner_end_rebuild (&entry->claim_owner, s, true, tmr_now_ms ());
   kb_buf_finish (&entry->handover[s]);
   entry->has_handover[s] = false;
   return true;
 }
 
 void
-ent_claims_map_item (ent_entry_t *entry, const kvc_item_t *item)
+ent_claims_apply_map_item (ent_entry_t *entry, const kvc_item_t *item)
 {
   if (item->mod_revision == 0
-      || item->mod_revision <= entry->shards_mod_revision)
+      || item->mod_revision <= entry->shard_map_mod_revision)
     return;
-  if (!shm_parse (item->value, entry->shards))
+  if (!shm_parse (item->value, entry->shard_map))
     return;
-  entry->shards_mod_revision = item->mod_revision;
+  entry->shard_map_mod_revision = item->mod_revision;
   entry->is_map_known = true;
-  uint32_t lost = 0;
+  uint32_t lost_count = 0;
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
     {
-      clm_shard_t *shard = &entry->owner.shards[s];
-      if (ent_shard_is_own (entry, &entry->shards[s]))
+      clm_shard_t *shard = &entry->claim_owner.shards[s];
+      if (ent_shard_is_own (entry, &entry->shard_map[s]))
         {
           if (shard->state == CLM_SHARD_FOREIGN)
-            shard_inherit (entry, s);
+            shard_apply_handover (entry, s);
           continue;
         }
       // Somebody took the shard over while this process stood still. Its
@@ -97,14 +97,14 @@
       if (shard->state != CLM_SHARD_FOREIGN)
         {
           kb_buf_t dropped = { 0 };
-          clm_owner_release_shard (&entry->owner, s, &dropped);
+          clm_owner_release_shard (&entry->claim_owner, s, &dropped);
           kb_buf_finish (&dropped);
-          lost++;
+          lost_count++;
         }
     }
-  if (lost > 0)
+  if (lost_count > 0)
     log_write (LOG_WARN, "claims", "%u shards were taken over by others.",
-               lost);
+               lost_count);
 }
 
 /// Whether the owner of a shard can never answer again. A timer alone never
@@ -120,33 +120,34 @@
   ent_vm_t *vm = ent_vm_find (entry, kb_slice_str (shard->owner));
   if (vm == NULL)
     return entry->is_list_known
-           && now - entry->started_ms > entry->mem_options.gone_after_ms;
+           && now - entry->started_ms > entry->member_options.gone_after_ms;
   if (vm->state == MEM_GONE)
     return true;
-  return vm->state == MEM_UP && vm->mem.incarnation != shard->incarnation;
+  return vm->state == MEM_UP && vm->member.incarnation != shard->incarnation;
 }
 
 static void rebuild_start (ent_entry_t *entry, const uint64_t *epochs);
 
 static void
-map_got (void *arg, kb_status_t status, const kvc_item_t *items,
-         uint32_t count)
+on_map_read (void *arg, kb_status_t status, const kvc_item_t *items,
+             uint32_t count)
 {
   ent_entry_t *entry = arg;
-  entry->is_map_busy = false;
+  entry->is_map_call_pending = false;
   if (status == KB_OK && count > 0)
-    ent_claims_map_item (entry, &items[0]);
+    ent_claims_apply_map_item (entry, &items[0]);
 }
 
 void
 ent_claims_read_map (ent_entry_t *entry)
 {
   uint64_t now = tmr_now_ms ();
-  if (entry->is_map_busy || now - entry->map_read_ms < MAP_READ_PAUSE_MS)
+  if (entry->is_map_call_pending
+      || now - entry->last_map_read_ms < MAP_READ_INTERVAL_MS)
     return;
-  entry->is_map_busy = true;
-  entry->map_read_ms = now;
-  kvc_get (&entry->daemon->kv, SHM_KEY, map_got, entry);
+  entry->is_map_call_pending = true;
+  entry->last_map_read_ms = now;
+  kvc_get (&entry->daemon->kv, SHM_KEY, on_map_read, entry);
 }
 
 /// Tell the other entries that the map changed; most do not watch it.
@@ -155,8 +156,8 @@
 {
   msg_t msg = { .type = MSG_ANNOUNCE };
   msg.announce
-      = (msg_announce_t){ .revision = ent_revision (entry),
-                          .map_revision = entry->shards_mod_revision + 1 };
+      = (msg_announce_t){ .revision = ent_config_revision (entry),
+                          .map_revision = entry->shard_map_mod_revision + 1 };
   uint32_t at = 0;
   ent_vm_t *vm;
   while ((vm = kb_map_next (&entry->vms, &at)) != NULL)
@@ -166,11 +167,11 @@
 
 /// Won, lost or unknown: the map itself tells.
 static void
-assign_done (void *arg, kb_status_t status, const kvc_item_t *items,
-             uint32_t count)
+on_assignment_written (void *arg, kb_status_t status, const kvc_item_t *items,
+                       uint32_t count)
 {
   ent_entry_t *entry = arg;
-  entry->is_map_busy = false;
+  entry->is_map_call_pending = false;
   if (status == KB_EUNAVAIL)
     return;
   if (status == KB_OK)
@@ -183,7 +184,7 @@
 {
   if (strcmp (name, own_name (entry)) == 0)
     return entry->daemon->incarnation;
-  return ent_vm_find (entry, kb_slice_str (name))->mem.incarnation;
+  return ent_vm_find (entry, kb_slice_str (name))->member.incarnation;
 }
 
 /// One entry gives out all shards without a living owner in one swap. Were
@@ -192,31 +193,31 @@
 static bool
 is_assigner (ent_entry_t *entry, uint64_t now)
 {
-  const char *chosen = ent_members_choose (entry, ASSIGNER_KEY, true);
-  if (strcmp (chosen, own_name (entry)) == 0)
+  const char *assigner = ent_members_choose_entry (entry, ASSIGNER_SEED, true);
+  if (strcmp (assigner, own_name (entry)) == 0)
     return true;
   return entry->vacant_since_ms != 0
          && now - entry->vacant_since_ms
-                > ASSIGN_PATIENCE_MS + dmn_random () % ASSIGN_PATIENCE_MS;
+                > ASSIGNER_TIMEOUT_MS + dmn_random () % ASSIGNER_TIMEOUT_MS;
 }
 
 static void
 assign_shards (ent_entry_t *entry, uint64_t now)
 {
-  shm_shard_t wanted[CLM_SHARDS];
-  memcpy (wanted, entry->shards, sizeof wanted);
-  uint32_t vacant = 0;
+  shm_shard_t new_map[CLM_SHARDS];
+  memcpy (new_map, entry->shard_map, sizeof new_map);
+  uint32_t vacant_count = 0;
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
     {
-      if (!owner_is_gone (entry, &entry->shards[s], now))
+      if (!owner_is_gone (entry, &entry->shard_map[s], now))
         continue;
-      const char *next = ent_members_choose (entry, s + 1, true);
-      snprintf (wanted[s].owner, sizeof wanted[s].owner, "%s", next);
-      wanted[s].incarnation = entry_incarnation (entry, next);
-      wanted[s].epoch++;
-      vacant++;
+      const char *new_owner = ent_members_choose_entry (entry, s + 1, true);
+      snprintf (new_map[s].owner, sizeof new_map[s].owner, "%s", new_owner);
+      new_map[s].incarnation = entry_incarnation (entry, new_owner);
+      new_map[s].epoch++;
+      vacant_count++;
     }
-  if (vacant == 0)
+  if (vacant_count == 0)
     {
       entry->vacant_since_ms = 0;
       return;
@@ -225,11 +226,11 @@
     entry->vacant_since_ms = now;
   if (!is_assigner (entry, now))
     return;
-  entry->is_map_busy = true;
+  entry->is_map_call_pending = true;
   kb_buf_t value = { 0 };
-  shm_write (wanted, &value);
-  kvc_cas (&entry->daemon->kv, SHM_KEY, entry->shards_mod_revision,
-           kb_buf_slice (&value), assign_done, entry);
+  shm_write (new_map, &value);
+  kvc_cas (&entry->daemon->kv, SHM_KEY, entry->shard_map_mod_revision,
+           kb_buf_slice (&value), on_assignment_written, entry);
   kb_buf_finish (&value);
 }
 
@@ -238,16 +239,16 @@
 /// Shards that the map gives to this entry and whose records did not come
 /// from the former owner are rebuilt from the runners.
 static void
-adopt_shards (ent_entry_t *entry)
+begin_owned_shards (ent_entry_t *entry)
 {
   uint64_t epochs[CLM_SHARDS] = { 0 };
   bool has_any = false;
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
-    if (ent_shard_is_own (entry, &entry->shards[s])
-        && entry->owner.shards[s].state == CLM_SHARD_FOREIGN
-        && !shard_inherit (entry, s))
+    if (ent_shard_is_own (entry, &entry->shard_map[s])
+        && entry->claim_owner.shards[s].state == CLM_SHARD_FOREIGN
+        && !shard_apply_handover (entry, s))
       {
-        epochs[s] = entry->shards[s].epoch;
+        epochs[s] = entry->shard_map[s].epoch;
         has_any = true;
       }
   if (has_any)
@@ -278,8 +279,8 @@
 }
 
 static void
-roster_got (void *arg, kb_status_t status, const kvc_item_t *items,
-            uint32_t count)
+on_roster_read (void *arg, kb_status_t status, const kvc_item_t *items,
+                uint32_t count)
 {
   ent_entry_t *entry = arg;
   ent_rebuild_t *b = &entry->rebuild;
@@ -294,7 +295,7 @@
     if (vm->is_entry && vm->state == MEM_UP)
       rebuild_add_source (b, vm->name, true, false);
   b->is_roster_known = true;
-  b->asked_ms = 0;
+  b->last_request_ms = 0;
 }
 
 static void
@@ -304,21 +305,22 @@
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
     if (epochs[s] != 0)
       {
-        clm_owner_begin_rebuild (&entry->owner, s, epochs[s]);
+        clm_owner_begin_rebuild (&entry->claim_owner, s, epochs[s]);
         b->epochs[s] = epochs[s];
       }
   // What agents that stopped gave to this entry; the other entries are asked
   // for theirs. Without it a key that ran at a replaced agent ran again.
   for (uint32_t i = 0; i < entry->inherited_count; i++)
-    merge_packed (entry, (kb_slice_t){ entry->inherited[i].bytes,
-                                       entry->inherited[i].len_bytes });
+    merge_packed_records (entry,
+                          (kb_slice_t){ entry->inherited[i].bytes,
+                                        entry->inherited[i].len_bytes });
   b->is_active = true;
   b->is_roster_known = false;
-  b->is_whole = true;
+  b->is_complete = true;
   b->id = dmn_random () | 1;
   b->started_ms = tmr_now_ms ();
-  b->asked_ms = b->started_ms;
-  kvc_range (&entry->daemon->kv, "kb/roster/", roster_got, entry);
+  b->last_request_ms = b->started_ms;
+  kvc_range (&entry->daemon->kv, "kb/roster/", on_roster_read, entry);
 }
 
 /// @return  True when nothing more can come from this source.
@@ -326,23 +328,23 @@
 source_is_settled (ent_entry_t *entry, ent_rebuild_source_t *source,
                    uint64_t now)
 {
-  if (source->is_done || source->has_left)
+  if (source->has_replied || source->has_left)
     return true;
   ent_vm_t *vm = ent_vm_find (entry, kb_slice_str (source->name));
   bool is_gone = vm == NULL ? entry->is_list_known
                                   && now - entry->rebuild.started_ms
-                                         > entry->mem_options.gone_after_ms
+                                         > entry->member_options.gone_after_ms
                             : vm->state == MEM_GONE;
   if (!is_gone)
     return false;
   // Its memory is lost together with the former owner's.
   if (!source->is_entry)
-    entry->rebuild.is_whole = false;
+    entry->rebuild.is_complete = false;
   return true;
 }
 
 static void
-rebuild_ask (ent_entry_t *entry)
+rebuild_request_records (ent_entry_t *entry)
 {
   ent_rebuild_t *b = &entry->rebuild;
   msg_t msg = { .type = MSG_RECOVER };
@@ -350,20 +352,20 @@
     .id = b->id, .epochs = { (const char *)b->epochs, sizeof b->epochs }
   };
   for (uint32_t i = 0; i < b->source_count; i++)
-    if (!b->sources[i].is_done)
+    if (!b->sources[i].has_replied)
       dmn_send (entry->daemon, b->sources[i].name, &msg);
 }
 
 static void
-rebuild_tick (ent_entry_t *entry, uint64_t now)
+rebuild_check_progress (ent_entry_t *entry, uint64_t now)
 {
   ent_rebuild_t *b = &entry->rebuild;
   if (!b->is_roster_known)
     {
-      if (now - b->asked_ms > ASK_AGAIN_MS)
+      if (now - b->last_request_ms > REBUILD_RETRY_MS)
         {
-          b->asked_ms = now;
-          kvc_range (&entry->daemon->kv, "kb/roster/", roster_got, entry);
+          b->last_request_ms = now;
+          kvc_range (&entry->daemon->kv, "kb/roster/", on_roster_read, entry);
         }
       return;
     }
@@ -372,10 +374,10 @@
     is_settled &= source_is_settled (entry, &b->sources[i], now);
   if (!is_settled)
     {
-      if (now - b->asked_ms > ASK_AGAIN_MS)
+      if (now - b->last_request_ms > REBUILD_RETRY_MS)
         {
-          b->asked_ms = now;
-          rebuild_ask (entry);
+          b->last_request_ms = now;
+          rebuild_request_records (entry);
         }
       return;
     }
@@ -383,21 +385,21 @@
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
     if (b->epochs[s] != 0)
       {
-        clm_owner_end_rebuild (&entry->owner, s, b->is_whole, now);
+        clm_owner_end_rebuild (&entry->claim_owner, s, b->is_complete, now);
         count++;
       }
-  log_write (b->is_whole ? LOG_INFO : LOG_WARN, "claims",
+  log_write (b->is_complete ? LOG_INFO : LOG_WARN, "claims",
              "Owner of %u more shards after %" PRIu64 " ms%s.", count,
              now - b->started_ms,
-             b->is_whole ? "" : "; unseen keys are unknown for a window");
+             b->is_complete ? "" : "; unseen keys are unknown for a window");
   free (b->sources);
   *b = (ent_rebuild_t){ 0 };
 }
 
 static void
-expire (ent_entry_t *entry, uint64_t now)
+expire_records (ent_entry_t *entry, uint64_t now)
 {
-  clm_owner_expire (&entry->owner, now);
+  clm_owner_expire (&entry->claim_owner, now);
   for (uint32_t i = entry->inherited_count; i > 0; i--)
     {
       ent_inherited_t *item = &entry->inherited[i - 1];
@@ -412,30 +414,31 @@
 ent_claims_tick (ent_entry_t *entry, uint64_t now_ms)
 {
   met_set (met_counter ("knapweedbay_claim_shards_owned", ""),
-           ent_claims_owned (entry));
+           ent_claims_count_owned_shards (entry));
   met_set (met_counter ("knapweedbay_claims_remembered", ""),
-           entry->owner.records.len);
-  if (entry->ticks % EXPIRE_TICKS == 0)
-    expire (entry, now_ms);
+           entry->claim_owner.records.len);
+  if (entry->tick_count % RECORD_EXPIRE_TICKS == 0)
+    expire_records (entry, now_ms);
   if (entry->rebuild.is_active)
     {
-      rebuild_tick (entry, now_ms);
+      rebuild_check_progress (entry, now_ms);
       return;
     }
-  if (entry->daemon->is_draining || entry->ticks % MAP_TICKS != 0)
+  if (entry->daemon->is_draining || entry->tick_count % MAP_CHECK_TICKS != 0)
     return;
-  adopt_shards (entry);
-  bool may_assign = entry->is_map_known && !entry->is_map_busy
+  begin_owned_shards (entry);
+  bool can_assign = entry->is_map_known && !entry->is_map_call_pending
                     && entry->is_list_known
-                    && now_ms - entry->started_ms > SETTLE_MS;
-  if (may_assign)
+                    && now_ms - entry->started_ms > STARTUP_SETTLE_MS;
+  if (can_assign)
     assign_shards (entry, now_ms);
 }
 
 /// Keep the memory of an agent that stops, and say so: it counts as handed
 /// over only when an entry has confirmed it.
 static void
-inherit_keep (ent_entry_t *entry, kb_slice_t from, kb_slice_t records)
+store_inherited_records (ent_entry_t *entry, kb_slice_t from,
+                         kb_slice_t records)
 {
   if (entry->inherited_count == ENT_MAX_INHERITED)
     return;
@@ -454,37 +457,37 @@
 }
 
 static void
-handover_keep (ent_entry_t *entry, const msg_records_t *records)
+store_handover (ent_entry_t *entry, const msg_records_t *records)
 {
   if (records->id >= CLM_SHARDS)
     return;
-  kb_buf_t *kept = &entry->handover[records->id];
-  kb_buf_clear (kept);
-  kb_buf_append (kept, records->records.ptr, records->records.len_bytes);
+  kb_buf_t *stored = &entry->handover[records->id];
+  kb_buf_clear (stored);
+  kb_buf_append (stored, records->records.ptr, records->records.len_bytes);
   entry->has_handover[records->id] = true;
 }
 
 static void
-rebuild_take (ent_entry_t *entry, kb_slice_t from,
-              const msg_records_t *records)
+rebuild_receive_records (ent_entry_t *entry, kb_slice_t from,
+                         const msg_records_t *records)
 {
   ent_rebuild_t *b = &entry->rebuild;
   if (!b->is_active || records->id != b->id)
     return;
-  merge_packed (entry, records->records);
+  merge_packed_records (entry, records->records);
   for (uint32_t i = 0; i < b->source_count; i++)
     {
       ent_rebuild_source_t *source = &b->sources[i];
-      if (source->is_done
+      if (source->has_replied
           || !kb_slice_equal (kb_slice_str (source->name), from))
         continue;
-      source->is_done = true;
-      uint64_t window = (uint64_t)entry->daemon->settings.claim_window_ms;
+      source->has_replied = true;
+      uint64_t window_ms = (uint64_t)entry->daemon->settings.claim_window_ms;
       // A runner that lost its memory within the window cannot tell what it
       // ran before, and the former owner cannot either.
       if (!source->is_entry
-          && records->memory_since_wall_ms + window > tmr_wall_ms ())
-        b->is_whole = false;
+          && records->memory_since_wall_ms + window_ms > tmr_wall_ms ())
+        b->is_complete = false;
     }
 }
 
@@ -495,22 +498,22 @@
   switch (records->purpose)
     {
     case MSG_RECORDS_INHERIT:
-      inherit_keep (entry, from, records->records);
+      store_inherited_records (entry, from, records->records);
       break;
     case MSG_RECORDS_HANDOVER:
-      handover_keep (entry, records);
+      store_handover (entry, records);
       break;
     default:
-      rebuild_take (entry, from, records);
+      rebuild_receive_records (entry, from, records);
     }
 }
 
 static void
-handover_done (void *arg, kb_status_t status, const kvc_item_t *items,
-               uint32_t count)
+on_handover_written (void *arg, kb_status_t status, const kvc_item_t *items,
+                     uint32_t count)
 {
   ent_entry_t *entry = arg;
-  entry->is_handed_over = true;
+  entry->is_handover_done = true;
   if (status == KB_OK)
     map_announce (entry);
   log_write (LOG_INFO, "claims", "Shards were handed over (%s).",
@@ -520,43 +523,43 @@
 void
 ent_claims_hand_over (ent_entry_t *entry)
 {
-  shm_shard_t wanted[CLM_SHARDS];
-  memcpy (wanted, entry->shards, sizeof wanted);
+  shm_shard_t new_map[CLM_SHARDS];
+  memcpy (new_map, entry->shard_map, sizeof new_map);
   bool has_any = false;
   for (uint32_t s = 0; s < CLM_SHARDS; s++)
     {
-      const char *next = ent_members_choose (entry, s + 1, false);
-      bool is_certain
-          = entry->owner.shards[s].state == CLM_SHARD_READY
-            && entry->owner.shards[s].uncertain_until_ms < tmr_now_ms ();
-      if (!ent_shard_is_own (entry, &entry->shards[s]) || next == NULL
-          || !is_certain)
+      const char *new_owner = ent_members_choose_entry (entry, s + 1, false);
+      bool is_record_complete
+          = entry->claim_owner.shards[s].state == CLM_SHARD_READY
+            && entry->claim_owner.shards[s].uncertain_until_ms < tmr_now_ms ();
+      if (!ent_shard_is_own (entry, &entry->shard_map[s]) || new_owner == NULL
+          || !is_record_complete)
         continue;
-      ent_vm_t *vm = ent_vm_find (entry, kb_slice_str (next));
+      ent_vm_t *vm = ent_vm_find (entry, kb_slice_str (new_owner));
       kb_buf_t records = { 0 };
-      clm_owner_release_shard (&entry->owner, s, &records);
+      clm_owner_release_shard (&entry->claim_owner, s, &records);
       msg_t msg = { .type = MSG_RECORDS };
       msg.records = (msg_records_t){ .id = s,
                                      .is_last = 1,
                                      .purpose = MSG_RECORDS_HANDOVER,
                                      .records = kb_buf_slice (&records) };
-      dmn_send (entry->daemon, next, &msg);
+      dmn_send (entry->daemon, new_owner, &msg);
       kb_buf_finish (&records);
-      snprintf (wanted[s].owner, sizeof wanted[s].owner, "%s", next);
-      wanted[s].incarnation = vm->mem.incarnation;
+      snprintf (new_map[s].owner, sizeof new_map[s].owner, "%s", new_owner);
+      new_map[s].incarnation = vm->member.incarnation;
       // With a new epoch a rebuild is safe as well, should the records be
       // lost on their way: grants of ours that are still under way die then.
-      wanted[s].epoch++;
+      new_map[s].epoch++;
       has_any = true;
     }
   if (!has_any)
     {
-      entry->is_handed_over = true;
+      entry->is_handover_done = true;
       return;
     }
   kb_buf_t value = { 0 };
-  shm_write (wanted, &value);
-  kvc_cas (&entry->daemon->kv, SHM_KEY, entry->shards_mod_revision,
-           kb_buf_slice (&value), handover_done, entry);
+  shm_write (new_map, &value);
+  kvc_cas (&entry->daemon->kv, SHM_KEY, entry->shard_map_mod_revision,
+           kb_buf_slice (&value), on_handover_written, entry);
   kb_buf_finish (&value);
 }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -19,8 +19,9 @@
   /// Buffers from here on go back to the system when they are freed. The
   /// library's own threshold grows with each of them, so that after the first
   /// configuration document of 0.3 MB the heap kept room for the next ones.
-  OWN_MAPPING_BYTES = 64 << 10,
-  TRIM_BYTES = 128 << 10, ///< Free memory that the heap's end may keep.
+  MMAP_THRESHOLD_BYTES = 64 << 10,
+  TRIM_THRESHOLD_BYTES = 128
+                         << 10, ///< Free memory that the heap's end may keep.
 };
 
 static const char version_text[] = "knapweedbayd 0.1.0";
@@ -29,7 +30,7 @@
 report_failure (kb_status_t status, const kb_error_t *error)
 {
   fprintf (stderr, "knapweedbayd: %s\n", error->message);
-  return status == KB_EINVAL ? DMN_EXIT_SETTINGS : DMN_EXIT_START;
+  return status == KB_EINVAL ? DMN_EXIT_SETTINGS : DMN_EXIT_START_FAILED;
 }
 
 /// The product's own interface.
@@ -64,13 +65,13 @@
 }
 
 static int
-run_role (const char *path, bool only_check)
+run_role (const char *path, bool is_check_only)
 {
   static set_settings_t settings;
   kb_error_t error = { 0 };
   if (set_load_file (path, &settings, &error) != KB_OK)
     return report_failure (KB_EINVAL, &error);
-  if (only_check)
+  if (is_check_only)
     {
       printf ("%s: ok\n", path);
       return DMN_EXIT_OK;
@@ -92,8 +93,8 @@
 int
 main (int argc, char **argv)
 {
-  mallopt (M_MMAP_THRESHOLD, OWN_MAPPING_BYTES);
-  mallopt (M_TRIM_THRESHOLD, TRIM_BYTES);
+  mallopt (M_MMAP_THRESHOLD, MMAP_THRESHOLD_BYTES);
+  mallopt (M_TRIM_THRESHOLD, TRIM_THRESHOLD_BYTES);
   struct arg_lit *help = arg_lit0 ("h", "help", "show this help");
   struct arg_lit *version = arg_lit0 ("V", "version", "show the version");
   struct arg_lit *check
--- a/test/system/config_test.cc
+++ b/test/system/config_test.cc
@@ -22,13 +22,13 @@
 }
 
 std::string
-kv_of (Cluster &c)
+kv_address (Cluster &c)
 {
   return "127.0.0.1:" + std::to_string (c.kv.http_port);
 }
 
 std::string
-copy_of (Cluster &c, const std::string &name)
+copy_config (Cluster &c, const std::string &name)
 {
   std::string dir = c.dir + "/" + name;
   std::string command = "cp -r '" + c.config_dir + "' '" + dir + "'";
@@ -39,7 +39,7 @@
 int
 apply_dir (Cluster &c, const std::string &dir, std::string *output = nullptr)
 {
-  return c.cli ({ "apply", "--kv", kv_of (c), dir }, output);
+  return c.cli ({ "apply", "--kv", kv_address (c), dir }, output);
 }
 
 int64_t
@@ -49,7 +49,7 @@
 }
 
 std::string
-adapter_file (const std::string &name)
+adapter_json (const std::string &name)
 {
   return "{\"adapters\":{\"" + name
          + "\":{\"service\":\"report\",\"versions\":{\"1\":\"ws://x\"}}}}";
@@ -65,7 +65,7 @@
   o.entries = 4;
   Cluster c (o);
   c.start ();
-  write_file (c.config_dir + "/30-new.json", adapter_file ("fresh"));
+  write_file (c.config_dir + "/30-new.json", adapter_json ("fresh"));
   ASSERT_EQ (c.apply (), 0);
   auto begin = std::chrono::steady_clock::now ();
   ASSERT_TRUE (Cluster::wait_until (
@@ -76,9 +76,10 @@
         return true;
       },
       3000));
-  auto took = std::chrono::duration_cast<std::chrono::milliseconds> (
+  auto elapsed = std::chrono::duration_cast<std::chrono::milliseconds> (
       std::chrono::steady_clock::now () - begin);
-  printf ("in force on 4 entries after %lld ms\n", (long long)took.count ());
+  printf ("in force on 4 entries after %lld ms\n",
+          (long long)elapsed.count ());
   for (int i = 0; i < 4; i++)
     EXPECT_EQ (c.complete (i, "fresh@1", "x").status, 200);
   for (auto &t : c.targets)
@@ -89,12 +90,12 @@
 // The connections on which the entries wait for changes go silent without a
 // close, and new ones work. A change that the store took must be in force all
 // the same: an open watch is no proof that nothing changed.
-TEST (Config, ChangeIsInForceThoughTheWatchesAreSilent)
+TEST (Config, ChangeIsInForceWhenWatchesAreSilent)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   c.fault (c.kv, "{\"mute_watches\":true}");
-  write_file (c.config_dir + "/30-new.json", adapter_file ("fresh"));
+  write_file (c.config_dir + "/30-new.json", adapter_json ("fresh"));
   ASSERT_EQ (c.apply (), 0);
   for (int i = 0; i < 2; i++)
     EXPECT_TRUE (
@@ -108,10 +109,10 @@
 {
   Cluster c (ClusterOptions{});
   c.start ();
-  std::string a = copy_of (c, "op-a");
-  std::string b = copy_of (c, "op-b");
-  write_file (a + "/30-x.json", adapter_file ("from-a"));
-  write_file (b + "/30-x.json", adapter_file ("from-b"));
+  std::string a = copy_config (c, "op-a");
+  std::string b = copy_config (c, "op-b");
+  write_file (a + "/30-x.json", adapter_json ("from-a"));
+  write_file (b + "/30-x.json", adapter_json ("from-b"));
   EXPECT_EQ (apply_dir (c, a), 0);
   std::string output;
   EXPECT_EQ (apply_dir (c, b, &output), 1);
@@ -128,10 +129,10 @@
 {
   Cluster c (ClusterOptions{});
   c.start ();
-  std::string a = copy_of (c, "op-a");
-  std::string b = copy_of (c, "op-b");
-  write_file (a + "/30-a.json", adapter_file ("from-a"));
-  write_file (b + "/31-b.json", adapter_file ("from-b"));
+  std::string a = copy_config (c, "op-a");
+  std::string b = copy_config (c, "op-b");
+  write_file (a + "/30-a.json", adapter_json ("from-a"));
+  write_file (b + "/31-b.json", adapter_json ("from-b"));
   EXPECT_EQ (apply_dir (c, b), 0);
   EXPECT_EQ (apply_dir (c, a), 0);
   // The first operator applies again from the old folder: nothing is undone.
@@ -141,18 +142,18 @@
   EXPECT_EQ (c.complete (0, "from-a@1", "x").status, 200);
   EXPECT_EQ (c.complete (0, "from-b@1", "x").status, 200);
   std::string output;
-  EXPECT_EQ (c.cli ({ "pull", "--kv", kv_of (c), b }, &output), 0);
+  EXPECT_EQ (c.cli ({ "pull", "--kv", kv_address (c), b }, &output), 0);
   EXPECT_NE (output.find ("30-a.json: updated"), std::string::npos) << output;
 }
 
 // The store takes the swap and its answer is lost. The tool must recognise
 // its own change and not apply it twice.
-TEST (Config, LostAnswerOfTheSwapIsRecognised)
+TEST (Config, LostCompareAndSwapReplyIsDetected)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   c.fault (c.kv, "{\"lose_cas\":2}"); // The chunk's write and the swap.
-  write_file (c.config_dir + "/30-x.json", adapter_file ("lost"));
+  write_file (c.config_dir + "/30-x.json", adapter_json ("lost"));
   std::string output;
   EXPECT_EQ (c.apply (&output), 0) << output;
   EXPECT_TRUE (
@@ -187,7 +188,7 @@
   Cluster c (ClusterOptions{});
   c.start ();
   Cluster::kill_process (c.entries[1].process, SIGSTOP);
-  write_file (c.config_dir + "/30-x.json", adapter_file ("while-paused"));
+  write_file (c.config_dir + "/30-x.json", adapter_json ("while-paused"));
   ASSERT_EQ (c.apply (), 0);
   std::this_thread::sleep_for (std::chrono::milliseconds (500));
   Cluster::kill_process (c.entries[1].process, SIGCONT);
@@ -228,16 +229,16 @@
   EXPECT_EQ (c.complete (0, "a12999@2", "x").status, 200);
   std::string name = "knapweedbay_config_bytes_total";
   int64_t before = c.metric (c.entries[0].process, name);
-  write_file (c.config_dir + "/30-x.json", adapter_file ("one-more"));
+  write_file (c.config_dir + "/30-x.json", adapter_json ("one-more"));
   ASSERT_EQ (c.apply (), 0);
   ASSERT_TRUE (
       Cluster::wait_until ([&] { return revision (c, 0) == 2; }, 3000));
-  int64_t moved = c.metric (c.entries[0].process, name) - before;
+  int64_t changed_bytes = c.metric (c.entries[0].process, name) - before;
   printf ("full copy %lld bytes, one change %lld bytes, resident %lld\n",
-          (long long)before, (long long)moved,
+          (long long)before, (long long)changed_bytes,
           (long long)c.metric (c.entries[0].process,
                                "knapweedbay_resident_bytes"));
-  EXPECT_LT (moved, before / 20);
+  EXPECT_LT (changed_bytes, before / 20);
   json_object *stats = c.stats (c.kv);
   json_object *too_large = nullptr;
   json_object_object_get_ex (stats, "too_large", &too_large);
@@ -247,7 +248,7 @@
 
 // The store lost its content. To the folder's base it looks as if another
 // operator had removed every file; an apply must not make that so.
-TEST (Config, EmptiedStoreIsNotTakenForRemovals)
+TEST (Config, EmptyStoreIsNotTreatedAsRemovals)
 {
   Cluster c (ClusterOptions{});
   c.start ();
--- a/test/system/edge_test.cc
+++ b/test/system/edge_test.cc
@@ -48,7 +48,7 @@
 }
 
 int
-connect_to (int port)
+connect_to_port (int port)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in addr = {};
@@ -102,7 +102,7 @@
 }
 
 // One request leaves a span for each hop, all of the caller's trace.
-TEST (Edge, SpansOfEveryHop)
+TEST (Edge, SpansForEveryHop)
 {
   ClusterOptions o;
   o.extra_entry = "\"trace_stdout\":true,";
@@ -115,7 +115,7 @@
                     { "traceparent: 00-" + trace + "-00f067aa0ba902b7-01" });
   ASSERT_EQ (answer.status, 200);
   EXPECT_NE (answer.headers["traceparent"].find (trace), std::string::npos);
-  std::set<std::string> wanted
+  std::set<std::string> expected_spans
       = { "entry.receive", "entry.route", "agent.queue", "adapter.load",
           "engine.run" };
   EXPECT_TRUE (Cluster::wait_until (
@@ -127,12 +127,12 @@
         std::string line;
         std::set<std::string> found;
         while (std::getline (lines, line))
-          for (auto &name : wanted)
+          for (auto &name : expected_spans)
             if (line.find (trace) != std::string::npos
                 && line.find ("\"name\":\"" + name + "\"")
                        != std::string::npos)
               found.insert (name);
-        return found == wanted;
+        return found == expected_spans;
       },
       3000));
 }
@@ -150,24 +150,24 @@
   ASSERT_EQ (c.apply (), 0);
   ASSERT_TRUE (Cluster::wait_until (
       [&] { return c.status_int (c.entries[0].process, "revision") == 2; }));
-  int limited = 0;
+  int limited_count = 0;
   for (int i = 0; i < 5; i++)
     {
       Answer answer
           = c.complete (0, "a1@1", "r", {}, 2, false, "reseller-key");
       if (answer.status != 429)
         continue;
-      limited++;
+      limited_count++;
       EXPECT_EQ (answer.headers["x-knapweedbay-outcome"], "not_run");
       EXPECT_NE (answer.headers["retry-after"], "");
     }
-  EXPECT_GE (limited, 3);
+  EXPECT_GE (limited_count, 3);
   EXPECT_EQ (c.complete (0, "a1@1", "r").status, 200);
 }
 
 // A stranger with its own CURVE key, and one that sends garbage, reach the
 // inner port. Both are counted, nothing crashes, and work goes on.
-TEST (Edge, StrangersOnTheInnerPort)
+TEST (Edge, UnauthenticatedPeersOnInnerPort)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -189,7 +189,7 @@
       = "tcp://127.0.0.1:" + std::to_string (t.agent.inner_port);
   zmq_connect (socket, address.c_str ());
   zmq_send (socket, "hello", 5, ZMQ_DONTWAIT);
-  int fd = connect_to (t.agent.inner_port);
+  int fd = connect_to_port (t.agent.inner_port);
   std::string garbage (300, '\xff');
   EXPECT_GT (write (fd, garbage.data (), garbage.size ()), 0);
   EXPECT_TRUE (Cluster::wait_until ([&] {
@@ -247,17 +247,17 @@
   o.extra_entry = "\"request_read_timeout_ms\":400,";
   Cluster c (o);
   c.start ();
-  int fd = connect_to (c.entries[0].process.http_port);
-  std::string half = "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"
-                     "content-length: 1000\r\n\r\n{\"model\"";
-  ASSERT_GT (write (fd, half.data (), half.size ()), 0);
-  timeval patience = { 5, 0 };
-  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  int fd = connect_to_port (c.entries[0].process.http_port);
+  std::string partial_request = "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"
+                                "content-length: 1000\r\n\r\n{\"model\"";
+  ASSERT_GT (write (fd, partial_request.data (), partial_request.size ()), 0);
+  timeval read_timeout = { 5, 0 };
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
   char buffer[256];
-  ssize_t got;
-  while ((got = read (fd, buffer, sizeof buffer)) > 0)
+  ssize_t received;
+  while ((received = read (fd, buffer, sizeof buffer)) > 0)
     ;
-  EXPECT_EQ (got, 0) << "the connection was not closed";
+  EXPECT_EQ (received, 0) << "the connection was not closed";
   close (fd);
   EXPECT_EQ (c.complete (0, "a1@1", "x").status, 200);
 }
--- a/test/system/member_test.cc
+++ b/test/system/member_test.cc
@@ -15,7 +15,7 @@
 {
 
 ClusterOptions
-fast_gone ()
+short_timeout_options ()
 {
   ClusterOptions o;
   o.extra_entry = "\"vm_gone_after_ms\":1000,\"silence_ms\":800,";
@@ -23,7 +23,7 @@
 }
 
 int64_t
-total_runs (Cluster &c, const kb::Target &t)
+total_run_count (Cluster &c, const kb::Target &t)
 {
   json_object *doc = c.stats (t.fake);
   json_object *map = nullptr;
@@ -41,7 +41,7 @@
 }
 
 int64_t
-shards (Cluster &c, int entry)
+owned_shards (Cluster &c, int entry)
 {
   return c.status_int (c.entries[(size_t)entry].process, "shards_owned");
 }
@@ -50,7 +50,7 @@
 
 // An operator replaces a VM: its agent gets SIGTERM while it streams. The
 // stream must not be cut, new work must go elsewhere, and the agent exits 0.
-TEST (Membership, GracefulAgentCutsNothing)
+TEST (Membership, DrainingAgentFinishesStreams)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -65,11 +65,11 @@
   kb::Target &leaving = c.targets[0];
   Cluster::kill_process (leaving.agent, SIGTERM);
   std::this_thread::sleep_for (std::chrono::milliseconds (100));
-  int64_t before = total_runs (c, leaving);
+  int64_t before = total_run_count (c, leaving);
   for (int i = 0; i < 20; i++)
     EXPECT_EQ (c.complete (i % 2, "a" + std::to_string (i) + "@1", "n").status,
                200);
-  EXPECT_EQ (total_runs (c, leaving), before);
+  EXPECT_EQ (total_run_count (c, leaving), before);
   for (auto &t : threads)
     t.join ();
   for (int i = 0; i < 6; i++)
@@ -81,7 +81,7 @@
 
 // An entry gets SIGTERM in the middle of requests: they finish, its claim
 // shards go to the other entry, and it exits 0.
-TEST (Membership, GracefulEntryHandsOver)
+TEST (Membership, DrainingEntryHandsOverShards)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -95,7 +95,8 @@
   t.join ();
   EXPECT_EQ (running.status, 200) << running.body;
   EXPECT_EQ (Cluster::wait_exit (c.entries[0].process), 0);
-  EXPECT_TRUE (Cluster::wait_until ([&] { return shards (c, 1) == 64; }));
+  EXPECT_TRUE (
+      Cluster::wait_until ([&] { return owned_shards (c, 1) == 64; }));
   Answer again
       = c.complete (1, "a1@1", "kept", { "Idempotency-Key: handover" });
   EXPECT_EQ (again.status, 200) << again.body;
@@ -110,18 +111,18 @@
   c.start ();
   c.publish ({ c.targets[0].name });
   std::this_thread::sleep_for (std::chrono::milliseconds (2000));
-  int64_t before = total_runs (c, c.targets[0]);
+  int64_t before = total_run_count (c, c.targets[0]);
   for (int i = 0; i < 24; i++)
     EXPECT_EQ (c.complete (i % 2, "a" + std::to_string (i) + "@1", "x").status,
                200);
-  EXPECT_EQ (total_runs (c, c.targets[0]), before);
+  EXPECT_EQ (total_run_count (c, c.targets[0]), before);
 }
 
 // The list loses a target that answers. Its own word is newer than the list:
 // it goes on serving.
-TEST (Membership, MissingButAnsweringIsUsed)
+TEST (Membership, UnlistedButRespondingTargetIsUsed)
 {
-  Cluster c (fast_gone ());
+  Cluster c (short_timeout_options ());
   c.start ();
   std::vector<std::string> missing;
   for (auto &t : c.targets)
@@ -132,7 +133,7 @@
 }
 
 // The list shows a target that is dead. Requests must not wait for it.
-TEST (Membership, ListedButDeadIsAvoided)
+TEST (Membership, ListedButDeadTargetIsAvoided)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -150,7 +151,7 @@
 // domains carry on; repeatable work is not lost.
 TEST (Membership, FailureDomainLost)
 {
-  ClusterOptions o = fast_gone ();
+  ClusterOptions o = short_timeout_options ();
   o.domains = { "hafnarhus", "grandi" };
   Cluster c (o);
   c.start ();
@@ -196,16 +197,16 @@
 // Another owner gave the engine a newer number while this agent still
 // believes that the target is its own. The engine refuses its next order; the
 // agent must leave, and the request must be served elsewhere.
-TEST (Membership, RefusedOrderMakesTheAgentLeave)
+TEST (Membership, AgentLeavesAfterRefusedOrder)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   kb::Target &t = c.targets[0];
-  Answer taken
+  Answer takeover
       = kb::http_call ("POST", t.fake.http_port, "/v1/load_lora_adapter",
                        "{\"lora_name\":\"other@1\",\"lora_path\":\"x\"}",
                        { "x-fencing-number: 9999999999999999" });
-  ASSERT_EQ (taken.status, 200);
+  ASSERT_EQ (takeover.status, 200);
   for (int i = 0; i < 16; i++)
     EXPECT_EQ (c.complete (i % 2, "a" + std::to_string (i) + "@1", "x").status,
                200);
@@ -236,16 +237,16 @@
 // The entry that owns a key's shard is killed while the key runs. The caller
 // re-sends through the other entry, which takes the shard over and rebuilds
 // it from the runners: the key must not run again, and its answer is found.
-TEST (Membership, KilledOwnerKeyIsNotRunAgain)
+TEST (Membership, KeyIsNotRunAgainAfterOwnerIsKilled)
 {
-  Cluster c (fast_gone ());
+  Cluster c (short_timeout_options ());
   c.start ();
   std::vector<std::thread> threads;
-  std::vector<Answer> first (8);
+  std::vector<Answer> first_answers (8);
   for (int i = 0; i < 8; i++)
     threads.emplace_back ([&, i] {
       std::string id = "own" + std::to_string (i);
-      first[(size_t)i]
+      first_answers[(size_t)i]
           = c.complete (0, "a1@1", id, { "Idempotency-Key: " + id }, 250);
     });
   std::this_thread::sleep_for (std::chrono::milliseconds (300));
@@ -253,7 +254,8 @@
   c.publish ({}, { "entry0" });
   for (auto &t : threads)
     t.join ();
-  EXPECT_TRUE (Cluster::wait_until ([&] { return shards (c, 1) == 64; }));
+  EXPECT_TRUE (
+      Cluster::wait_until ([&] { return owned_shards (c, 1) == 64; }));
   for (int i = 0; i < 8; i++)
     {
       std::string id = "own" + std::to_string (i);
@@ -269,13 +271,14 @@
 
 // An owner is paused, another entry takes its shards over, and the old one
 // wakes with its former table. Nothing may run on its grants.
-TEST (Membership, WokenOwnerGrantsNothing)
+TEST (Membership, ResumedOwnerGrantsNothing)
 {
-  Cluster c (fast_gone ());
+  Cluster c (short_timeout_options ());
   c.start ();
   Cluster::kill_process (c.entries[0].process, SIGSTOP);
   c.publish ({}, { "entry0" });
-  ASSERT_TRUE (Cluster::wait_until ([&] { return shards (c, 1) == 64; }));
+  ASSERT_TRUE (
+      Cluster::wait_until ([&] { return owned_shards (c, 1) == 64; }));
   std::vector<std::string> ids;
   for (int i = 0; i < 12; i++)
     ids.push_back ("woken" + std::to_string (i));
