--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -70,7 +70,8 @@
   return kb_slice_equal (request->path, kb_slice_str (path));
 }
 
-/// Compare in constant time, so that the key cannot be guessed byte by byte.
+/// Whether the request carries the operator key. The comparison takes constant
+/// time, so that the key cannot be guessed byte by byte.
 static bool
 has_operator_key (dmn_daemon_t *daemon, hts_request_t *request)
 {
@@ -176,7 +177,7 @@
   if (daemon->is_draining)
     return;
   daemon->is_draining = true;
-  log_write (LOG_INFO, "daemon", "Drain begins.");
+  log_write (LOG_INFO, "daemon", "Drain started.");
   daemon->role->on_drain (daemon);
 }
 
@@ -263,6 +264,6 @@
 dmn_exit (dmn_daemon_t *daemon, int exit_code)
 {
   daemon->exit_code = exit_code;
-  log_write (LOG_INFO, "daemon", "Stops with exit code %d.", exit_code);
+  log_write (LOG_INFO, "daemon", "Exiting with code %d.", exit_code);
   uv_stop (&daemon->loop);
 }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -1,5 +1,5 @@
 /// @file entry.c
-/// Wiring of the entry role: messages, ticks, the load gate, the drain.
+/// Message dispatch, periodic work, load gate and drain of the entry role.
 #include "daemon/entry.h"
 
 #include <inttypes.h>
@@ -11,7 +11,7 @@
 
 enum
 {
-  TICK_MS = 100,
+  TICK_MS = 100, ///< Period of on_tick.
   REMOVE_ADAPTERS_TICKS = 100,
   ADAPTER_IDLE_LIMIT_MS = 3600000,
   EXIT_FLUSH_MS = 200,
@@ -25,6 +25,7 @@
   gate_grant_pending (arg);
 }
 
+/// Grant the loads that the gate allows now, and set the timer for the next.
 static void
 gate_grant_pending (ent_entry_t *entry)
 {
@@ -61,7 +62,7 @@
     ent_claims_read_map (entry);
 }
 
-/// Messages that need a known sender.
+/// Handle the messages that are accepted only after a hello.
 static void
 dispatch_from_vm (ent_entry_t *entry, ent_vm_t *vm, const msg_t *msg)
 {
@@ -190,7 +191,7 @@
   qrt_lapse (&entry->quarantine, now);
   ent_config_tick (entry, now);
   ent_claims_tick (entry, now);
-  gate_grant_pending (entry); // Grants whose holders died expire here.
+  gate_grant_pending (entry); // Also expires the grants of lost holders.
   if (entry->tick_count % REMOVE_ADAPTERS_TICKS == 0
       && now > ADAPTER_IDLE_LIMIT_MS)
     rt_forget_idle (&entry->routes, now - ADAPTER_IDLE_LIMIT_MS);
@@ -304,6 +305,6 @@
   if (status != KB_OK)
     return status;
   ent_members_start (&entry);
-  tmr_every (&daemon->timers, &entry.tick, TICK_MS, on_tick, &entry);
+  tmr_every (&daemon->timers, &entry.tick_timer, TICK_MS, on_tick, &entry);
   return KB_OK;
 }
--- a/src/daemon/entry_claims.c
+++ b/src/daemon/entry_claims.c
@@ -1,6 +1,6 @@
 /// @file entry_claims.c
-/// The claim messages of an entry, as the owner of some shards and as a
-/// claimant of others.
+/// Claim messages of an entry, as the owner of some shards and as a claimant
+/// to the owners of others.
 #include "daemon/entry_defs.h"
 
 void
@@ -35,7 +35,8 @@
                              .voided_attempt = claim.voided_attempt,
                              .incarnation = claim.incarnation,
                              .runner = claim.runner };
-  // A lost claim or answer is asked again; the owner knows the attempt.
+  // A lost claim or reply is covered by the retry; the owner recognizes the
+  // attempt.
   (void)dmn_send (entry->daemon, entry->shard_map[s].owner, &msg);
   ent_request_handle_claim_verdict (r, CLM_VERDICT_NOT_OWNER, 0, 0, 0,
                                     CLM_GRANTED, 0);
@@ -61,7 +62,8 @@
                       tmr_now_ms ());
       return;
     }
-  // A lost note costs a question to the runner later, no promise.
+  // If the message is lost, the owner has to query the runner later; no
+  // guarantee depends on it.
   msg_t msg = { .type = MSG_CLAIM_NOTE };
   msg.claim_note = (msg_claim_note_t){ .claim_key = r->claim_key,
                                        .attempt = attempt,
--- a/src/daemon/entry_config.c
+++ b/src/daemon/entry_config.c
@@ -1,6 +1,6 @@
 /// @file entry_config.c
-/// The configuration in force at an entry: watch, fetch by digest, adopt only
-/// higher revisions, pass on to other entries.
+/// The configuration in force at an entry: watches the store, fetches chunks
+/// by digest, applies only higher revisions and serves them to other entries.
 #include <inttypes.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -14,13 +14,13 @@
 {
   WATCHERS_PER_DOMAIN = 2,
   FETCH_TIMEOUT_MS = 3000,
-  /// An open watch proves nothing: its connection may be silent. The read
-  /// beside it bounds how late a change is taken, 3 s being promised; ten
-  /// watchers make 6.7 of the store's 2,000 reads a second with it.
+  /// A watch may be open on a silent connection. The periodic read bounds the
+  /// delay of a change, which must be in force within 3 s. Ten watchers cause
+  /// 6.7 of the store's 2,000 reads per second.
   WATCHER_POLL_INTERVAL_MS = 1500,
   OTHER_POLL_INTERVAL_MS = 60000,
-  PULL_INTERVAL_MS = 100, ///< One peer is asked at a time.
-  CATCH_UP_INTERVAL_MS = 700,
+  PULL_INTERVAL_MS = 100,     ///< Limits concurrent pulls from peers.
+  CATCH_UP_INTERVAL_MS = 700, ///< Time for peers before the store is read.
   MIN_BACKOFF_MS = 100,
   MAX_BACKOFF_MS = 5000,
 };
@@ -59,7 +59,7 @@
   return false;
 }
 
-/// Drop chunks that no file of the head uses.
+/// Free the chunks that no file of the current head uses.
 static void
 chunks_remove_unused (ent_config_t *c)
 {
@@ -93,8 +93,9 @@
   return is_digest_correct ? KB_OK : KB_EINVAL;
 }
 
-/// Tell the other entries, if this one watches the store, and the agents,
-/// which refuse what is dispatched by an older configuration.
+/// Announce the revision to the agents, which refuse requests dispatched under
+/// an older configuration, and, if this entry watches the store, to the other
+/// entries.
 static void
 announce_revision (ent_entry_t *entry)
 {
@@ -120,7 +121,8 @@
   c->missing_chunks = 0;
 }
 
-/// Build and switch to the wanted head, if all of it is here.
+/// Build the configuration of the pending head from its chunks and put it in
+/// force.
 static void
 apply_pending_head (ent_entry_t *entry)
 {
@@ -136,7 +138,7 @@
                             NULL, NULL, &built, &error);
   if (status != KB_OK)
     {
-      log_write (LOG_ERROR, "config", "Revision %" PRIu64 " is unusable: %s.",
+      log_write (LOG_ERROR, "config", "Rejected revision %" PRIu64 ": %s.",
                  c->pending_head.revision, error.message);
       MET_INC ("knapweedbay_config_rejected_total", "");
       fetch_reset (c);
@@ -155,8 +157,8 @@
   c->is_confirmed = true;
   fetch_reset (c);
   chunks_remove_unused (c);
-  // The parse needs several times the memory of what it builds; without the
-  // trim the peak stays resident for the life of the process.
+  // Parsing needs several times the memory of its result. Without the trim the
+  // peak would stay resident for the life of the process.
   malloc_trim (0);
   log_write (LOG_INFO, "config",
              "Revision %" PRIu64 " is in force with %u adapters.",
@@ -169,11 +171,12 @@
 static void
 fetch_failed (ent_entry_t *entry, const char *reason)
 {
-  log_write (LOG_WARN, "config", "Fetch failed: %s.", reason);
+  log_write (LOG_WARN, "config", "Fetch of the configuration failed: %s.",
+             reason);
   fetch_reset (&entry->config);
 }
 
-/// A chunk read from the store; the digest says which one was asked.
+/// A pending read of a chunk from the store.
 typedef struct
 {
   ent_entry_t *entry;
@@ -219,8 +222,8 @@
   kvc_get (&entry->daemon->kv, key, on_chunk_read, chunk_read);
 }
 
-/// Ask for every chunk of the wanted head that is not here: only what
-/// changed travels.
+/// Request the missing chunks of the pending head from its source. Unchanged
+/// chunks aren't transferred again.
 static void
 fetch_missing_chunks (ent_entry_t *entry)
 {
@@ -273,7 +276,8 @@
   c->latest_revision_since_ms = tmr_now_ms ();
 }
 
-/// A head arrived from the store or a peer.
+/// Handle a head from the store or a peer.
+/// @param source_peer  Empty: from the store.
 static void
 on_head (ent_entry_t *entry, kb_slice_t text, const char *source_peer)
 {
@@ -288,8 +292,8 @@
   c->is_confirmed = true;
   met_add (met_counter ("knapweedbay_config_bytes_total", ""), text.len_bytes);
   record_latest_revision (c, head.revision);
-  // Adopting only higher revisions is what keeps a change from being undone
-  // by a daemon that comes back with old data or by a lagging read.
+  // Only higher revisions are applied, so that neither a daemon that returns
+  // with old data nor a stale read can undo a change.
   bool is_older
       = head.revision <= ent_config_revision (entry)
         || (c->is_fetching && head.revision <= c->pending_head.revision);
@@ -337,8 +341,8 @@
 static const kvc_watch_events_t watch_events
     = { watch_on_item, watch_on_lost };
 
-/// The values as they stand, read after a watch was opened so that no change
-/// falls between the two.
+/// Handle the current values. They are read after the watch is opened, so that
+/// no change is missed between the two.
 static void
 on_current_values_read (void *arg, kb_status_t status, const kvc_item_t *items,
                         uint32_t count)
@@ -368,9 +372,9 @@
   kvc_range (&entry->daemon->kv, "kb/w/", on_current_values_read, entry);
 }
 
-/// Two entries of each failure domain watch the store; the others hear from
-/// them. The store counts a waiting watch as a call, and its rates grow more
-/// slowly than the fleet.
+/// Whether this entry watches the store. WATCHERS_PER_DOMAIN entries of each
+/// failure domain do and notify the others: the store counts an open watch as
+/// a call, and its rate limits grow more slowly than the number of entries.
 static bool
 is_watcher (ent_entry_t *entry)
 {
@@ -405,7 +409,7 @@
     }
 }
 
-/// Ask one entry that is ahead for its head.
+/// Request the head from an entry with a newer revision.
 static void
 pull_from_newer_peer (ent_entry_t *entry)
 {
@@ -422,9 +426,10 @@
       }
 }
 
-/// Whether some daemon has had a newer revision for a while. The peer that
-/// told of it is asked first; were all entries to turn to the store at once, a
-/// change would cost it as many reads as there are entries.
+/// Whether another daemon has had a newer revision for longer than
+/// CATCH_UP_INTERVAL_MS. Until then only the peer that reported it is queried:
+/// if all entries read the store at once, each change would cost one read per
+/// entry.
 static bool
 is_behind (const ent_entry_t *entry, uint64_t now_ms)
 {
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -1,5 +1,5 @@
 /// @file entry_defs.h
-/// State of the entry role, shared by its files.
+/// State and functions shared by the source files of the entry role.
 #ifndef KB_DAEMON_ENTRY_DEFS_H
 #define KB_DAEMON_ENTRY_DEFS_H
 
@@ -24,28 +24,28 @@
 
 typedef struct ent_entry ent_entry_t;
 
-/// A VM of the list or one that said hello.
+/// A VM from the platform's list, or one that sent a hello.
 typedef struct
 {
   char name[ENT_NAME_BYTES];
-  char address[64]; ///< "tcp://ip:port"; empty when it connects to us.
+  char address[64]; ///< "tcp://ip:port"; empty when the peer connects.
   char domain[ENT_NAME_BYTES];
   char service[ENT_NAME_BYTES];
   uint64_t id;
   bool is_entry;
-  bool is_initiator; ///< This process opened the connection.
+  bool is_initiator; ///< This entry opened the connection.
   mem_vm_t member;
   mem_state_t state;
   uint16_t route; ///< Index in the routing table, or RT_NONE.
   uint64_t revision;
   uint64_t memory_since_wall_ms;
-  uint64_t down_since_ms; ///< Since when it is down; zero: it is not.
-  uint64_t last_ping_ms;  ///< Last ping sent.
-  uint32_t inflight;
+  uint64_t down_since_ms; ///< Zero: it isn't down.
+  uint64_t last_ping_ms;  ///< When the last ping was sent.
+  uint32_t inflight;      ///< Attempts of this entry at the VM.
   msg_pong_t last_pong;
 } ent_vm_t;
 
-/// Limits of one workspace.
+/// Usage and rate limit of one workspace.
 typedef struct
 {
   uint64_t id;
@@ -55,17 +55,17 @@
 
 typedef enum
 {
-  ENT_STAGE_CLAIMING, ///< Waits for the owner of its key.
+  ENT_STAGE_CLAIMING, ///< Waits for the claim owner of its key.
   ENT_STAGE_SENT,     ///< An attempt is at a target.
-  ENT_STAGE_REVOKING, ///< Asks the runner of an earlier attempt with its key.
-  ENT_STAGE_FETCHING, ///< Waits for a kept answer.
+  ENT_STAGE_REVOKING, ///< Revokes an earlier attempt with the same key.
+  ENT_STAGE_FETCHING, ///< Fetches the stored answer of an earlier attempt.
 } ent_stage_t;
 
-/// One caller's request.
+/// A caller's request.
 typedef struct ent_request
 {
   ent_entry_t *entry;
-  hts_request_t *http; ///< NULL when the caller hung up.
+  hts_request_t *http; ///< NULL after the caller hung up.
   ent_stage_t stage;
   struct ent_request *next;
   struct ent_request *prev;
@@ -76,14 +76,16 @@
   uint64_t service_id;
   char adapter[OAI_MODEL_BYTES];
   uint32_t version;
-  char model[ENT_MODEL_BYTES]; ///< "adapter@version"; empty for plain.
+  /// "adapter@version"; empty for plain services.
+  char model[ENT_MODEL_BYTES];
   uint64_t adapter_id;
   char *source;
   char *method;
   char *path;
   kb_buf_t body;
-  uint64_t fingerprint; ///< Zero: not worked out yet.
-  bool begins_alone;    ///< Targets ended under it.
+  uint64_t fingerprint; ///< Zero: not computed yet.
+  /// Targets ended during it, so no other request may begin at the same time.
+  bool begins_alone;
   uint64_t flags;
   uint64_t priority_class;
   uint32_t weight;
@@ -97,22 +99,22 @@
   ent_vm_t *vm; ///< Target of the attempt.
   uint64_t vm_incarnation;
   uint64_t voided_attempt;
-  uint64_t holder_attempt; ///< Of an earlier request with the same key.
-  bool is_claimed;         ///< The owner granted `attempt`.
-  /// The most an earlier attempt may have done; a later refusal must not call
-  /// the request "not run".
+  uint64_t holder_attempt; ///< Attempt of an earlier request with the key.
+  bool is_claimed;         ///< The owner granted the claim of `attempt`.
+  /// Worst outcome of the earlier attempts. If one of them ran or may have
+  /// run, the request must not be reported as "not_run".
   msg_outcome_t earlier_outcome;
   uint32_t attempt_count;
   uint32_t claim_retry_count;
   uint16_t excluded_routes[ENT_MAX_ATTEMPTS];
   uint32_t excluded_count;
 
-  uint64_t next_seq;
-  bool has_gap;
+  uint64_t next_seq; ///< Expected sequence number of the next part.
+  bool has_gap;      ///< A part of the answer is missing.
   int http_status;
   char content_type[64];
   kb_buf_t answer;
-  bool is_stream_started; ///< The head of a stream went to the caller.
+  bool is_stream_started; ///< The caller has received the head.
   uint64_t retry_after_ms;
   char not_run_reason[128];
 
@@ -124,30 +126,30 @@
   tmr_sub_t claim_retry_timer;
 } ent_request_t;
 
-/// One member of the roster that a rebuild waits for.
+/// A roster member or entry whose records a rebuild needs.
 typedef struct
 {
   char name[ENT_NAME_BYTES];
   bool is_entry;
   bool has_replied;
-  bool has_left; ///< Its memory went to the entries.
+  bool has_left; ///< It drained and sent its records to the entries.
 } ent_rebuild_source_t;
 
-/// A takeover that collects what runners remember.
+/// The rebuild of taken-over shards from the records of runners and entries.
 typedef struct
 {
   bool is_active;
   uint64_t id;
-  uint64_t epochs[CLM_SHARDS]; ///< Zero: not taken.
+  uint64_t epochs[CLM_SHARDS]; ///< By shard; zero: not being rebuilt.
   ent_rebuild_source_t *sources;
   uint32_t source_count;
-  bool is_complete;
+  bool is_complete; ///< No source lost records within the claim window.
   bool is_roster_known;
   uint64_t last_request_ms;
   uint64_t started_ms;
 } ent_rebuild_t;
 
-/// Records of an agent that stopped, kept for rebuilds.
+/// Claim records of an agent that stopped, kept for rebuilds.
 typedef struct
 {
   char *bytes;
@@ -155,21 +157,21 @@
   uint64_t expires_ms;
 } ent_inherited_t;
 
-/// The configuration and where it comes from.
+/// The configuration in force and the state of its fetch.
 typedef struct
 {
   cfg_config_t *current;
   doc_head_t head;
-  kb_map_t chunks;   ///< Digest prefix to kb_buf_t.
-  bool is_confirmed; ///< The store or a peer told what is in force.
+  kb_map_t chunks;   ///< kb_buf_t by digest prefix.
+  bool is_confirmed; ///< The head, or that there is none, is known.
   bool is_fetching;
   doc_head_t pending_head;
   uint32_t missing_chunks;
-  char source_peer[ENT_NAME_BYTES]; ///< Empty: from the store.
+  char source_peer[ENT_NAME_BYTES]; ///< Source of the fetch; empty: the store.
   uint64_t fetch_started_ms;
-  uint64_t latest_revision;          ///< Highest one heard of.
-  uint64_t latest_revision_since_ms; ///< When it was first heard of.
-  uint64_t last_pull_ms;             ///< When a peer was last asked.
+  uint64_t latest_revision;          ///< Highest revision that is known.
+  uint64_t latest_revision_since_ms; ///< When it became known.
+  uint64_t last_pull_ms;             ///< Last pull in reply to a report.
   kvc_watch_t *watch;
   uint64_t watch_retry_at_ms;
   uint64_t backoff_ms;
@@ -181,7 +183,7 @@
 {
   dmn_daemon_t *daemon;
   rt_table_t routes;
-  kb_map_t vms; ///< By id.
+  kb_map_t vms; ///< ent_vm_t by id.
   kb_map_t vms_by_address;
   mem_options_t member_options;
   ent_request_t *requests;
@@ -199,9 +201,10 @@
   bool is_map_known;
   bool is_map_call_pending;
   uint64_t last_map_read_ms;
-  uint64_t vacant_since_ms; ///< Since when some shard has no owner.
+  uint64_t vacant_since_ms; ///< Since when a shard lacks an owner; zero: none.
   ent_rebuild_t rebuild;
-  kb_buf_t handover[CLM_SHARDS]; ///< Received, until the map names us.
+  /// Received records, applied when the shard map names this entry.
+  kb_buf_t handover[CLM_SHARDS];
   bool has_handover[CLM_SHARDS];
   ent_inherited_t inherited[ENT_MAX_INHERITED];
   uint32_t inherited_count;
@@ -211,7 +214,7 @@
   bool is_handover_done;
   bool is_list_known;
   uint64_t tick_count;
-  tmr_sub_t tick;
+  tmr_sub_t tick_timer;
   tmr_sub_t list_poll_timer;
   tmr_sub_t gate_timer;
   tmr_sub_t exit_timer;
@@ -221,57 +224,71 @@
 void ent_http_handle_request (ent_entry_t *entry, hts_request_t *http);
 
 // entry_request.c
-/// Take a checked request.
+/// Start a validated request.
 void ent_request_start (ent_request_t *r);
-/// The caller hung up.
+/// Handle a caller's hang-up.
 void ent_request_abort (ent_request_t *r);
 void ent_request_on_part (ent_entry_t *entry, const msg_part_t *part);
 void ent_request_on_end (ent_entry_t *entry, kb_slice_t from,
                          const msg_end_t *end);
-/// A target is down, or back under another incarnation.
-/// @param is_final  Its earlier incarnation can not answer any more.
+/// Handle a target that is down or restarted: retry its requests elsewhere or
+/// fail them.
+/// @param is_final  The earlier incarnation can no longer answer. Otherwise
+///                  only repeatable requests are handled.
 void ent_requests_on_vm_lost (ent_entry_t *entry, ent_vm_t *vm, bool is_final);
-/// A target is connected again in the same incarnation: settle what is there.
+/// Handle a target that reconnected with the same incarnation: determine the
+/// state of the attempts there.
 void ent_requests_on_vm_reconnected (ent_entry_t *entry, ent_vm_t *vm);
 
 // entry_quarantine.c
-/// An agent tells of requests under which its target ended.
+/// Merge an agent's report of requests during which its target ended.
 void ent_quarantine_merge (ent_entry_t *entry, kb_slice_t records);
-/// @param hold_ms  How much longer it is held.
+/// Decide whether the request may run freely, only while no other request
+/// begins, or not at all for a time (held).
+/// @param[out] hold_ms  Remaining time for which it is held.
 qrt_verdict_t ent_quarantine_judge (ent_request_t *r, uint64_t *hold_ms);
-/// It was answered whole.
+/// Record that the request was answered completely.
 void ent_quarantine_mark_served (ent_request_t *r);
 
 // entry_request.c, for entry_keyed.c
-/// End a request that has no whole answer.
+/// End a request that has no complete answer, and free it.
 void ent_request_fail (ent_request_t *r, int http_status, const char *outcome,
                        const char *message, uint64_t retry_after_ms);
-/// The same with "not run", unless an earlier attempt may have run.
+/// End a request as "not_run", unless an earlier attempt ran or may have run.
 void ent_request_fail_not_run (ent_request_t *r, const char *message,
                                uint64_t retry_after_ms);
+/// Forget the current attempt, so that its late messages are ignored.
 void ent_request_drop_attempt (ent_request_t *r);
+/// Unbind the request from its target.
 void ent_request_release_vm (ent_request_t *r);
-/// Choose a target and begin an attempt there.
+/// Choose a target and begin an attempt there, or fail the request.
 void ent_request_begin_attempt (ent_request_t *r);
-/// Send the present attempt to its target.
+/// Send the current attempt to its target.
 void ent_request_dispatch (ent_request_t *r);
-/// The attempt is over and certainly did not run.
+/// Handle an attempt that ended and did not run: retry at another target, or
+/// fail the request.
 void ent_request_handle_not_run (ent_request_t *r, const char *reason,
                                  uint64_t retry_after_ms);
-/// The attempt is over and may have run.
-/// @param ran  Whether it certainly ran.
+/// Handle an attempt that ended and ran or may have run: retry if the request
+/// is repeatable, else fail it.
+/// @param has_run  It is certain that it ran.
 void ent_request_handle_unknown (ent_request_t *r, const char *reason,
-                                 bool ran);
+                                 bool has_run);
 
 // entry_keyed.c
 void ent_request_on_revoked (ent_entry_t *entry, const msg_revoked_t *revoked);
-/// The answer of a claim owner, local or remote.
+/// Handle the verdict of a claim owner, local or remote.
+/// @param holder       Attempt that holds the key, if any.
+/// @param incarnation  Incarnation of the holder's runner.
+/// @param state        State of the holder's claim.
+/// @param runner       Id of the VM that runs or ran the holder.
 void ent_request_handle_claim_verdict (ent_request_t *r, clm_verdict_t verdict,
                                        uint64_t epoch, uint64_t holder,
                                        uint64_t incarnation, clm_state_t state,
                                        uint64_t runner);
 
 // entry_members.c
+/// @return  NULL if the VM is unknown.
 ent_vm_t *ent_vm_find (ent_entry_t *entry, kb_slice_t name);
 void ent_members_start (ent_entry_t *entry);
 void ent_members_tick (ent_entry_t *entry, uint64_t now_ms);
@@ -281,29 +298,33 @@
                           const msg_ping_t *ping);
 void ent_members_on_pong (ent_entry_t *entry, ent_vm_t *vm,
                           const msg_pong_t *pong);
-/// Conclude again what state a VM is in.
+/// Re-evaluate the state of a VM and apply it to the routing table.
 void ent_vm_update_state (ent_entry_t *entry, ent_vm_t *vm);
-/// The entry that a key belongs to by rendezvous among the live ones.
-/// @return  Its name; NULL when this entry is alone and draining.
+/// Choose an entry for a key by rendezvous hashing among the live entries.
+/// @param can_be_self  Whether this entry is a candidate.
+/// @return  Its name; NULL if there is no candidate.
 const char *ent_members_choose_entry (ent_entry_t *entry, uint64_t key,
                                       bool can_be_self);
 
 // entry_shards.c
-/// Whether the map names this entry and incarnation.
+/// @return  Whether the shard map names this entry in its current incarnation
+///          as the owner.
 bool ent_shard_is_own (const ent_entry_t *entry, const shm_shard_t *shard);
 void ent_claims_tick (ent_entry_t *entry, uint64_t now_ms);
 void ent_claims_apply_map_item (ent_entry_t *entry, const kvc_item_t *item);
-/// Read the shard map, unless it was read just now.
+/// Read the shard map from the store. Does nothing while a call is pending or
+/// within MAP_READ_INTERVAL_MS of the last read.
 void ent_claims_read_map (ent_entry_t *entry);
 void ent_claims_on_records (ent_entry_t *entry, kb_slice_t from,
                             const msg_records_t *records);
-/// Hand all shards to other entries.
+/// Hand the owned shards over to other entries.
 void ent_claims_hand_over (ent_entry_t *entry);
 uint32_t ent_claims_count_owned_shards (const ent_entry_t *entry);
 
 // entry_claims.c
-/// Claim for the request's present attempt.
+/// Claim the request's key for its current attempt.
 void ent_claim_send (ent_request_t *r);
+/// Report the state of the request's claim to the owner of its key.
 void ent_claim_report_outcome (ent_request_t *r, clm_state_t state);
 void ent_claims_on_claim (ent_entry_t *entry, kb_slice_t from,
                           const msg_claim_t *claim);
@@ -314,13 +335,16 @@
 
 // entry_config.c
 void ent_config_tick (ent_entry_t *entry, uint64_t now_ms);
-/// Some daemon is at this revision.
+/// Record that a daemon has a revision; pull the configuration from it if this
+/// entry is older.
+/// @param peer  Entry that has the revision; empty: no entry to pull from.
 void ent_config_record_revision (ent_entry_t *entry, uint64_t revision,
                                  kb_slice_t peer);
 void ent_config_on_pull (ent_entry_t *entry, kb_slice_t from,
                          const msg_config_pull_t *pull);
 void ent_config_on_part (ent_entry_t *entry, kb_slice_t from,
                          const msg_config_part_t *part);
+/// @return  The revision in force; zero: none.
 static inline uint64_t
 ent_config_revision (const ent_entry_t *entry)
 {
--- a/src/daemon/entry_http.c
+++ b/src/daemon/entry_http.c
@@ -1,5 +1,5 @@
 /// @file entry_http.c
-/// The callers' side: checks a request and turns it into an ent_request_t.
+/// Validation of callers' HTTP requests and their conversion to ent_request_t.
 #include <inttypes.h>
 #include <openssl/sha.h>
 #include <stdarg.h>
@@ -22,7 +22,7 @@
   MAX_KEY_BYTES = 255,
 };
 
-/// A refusal on its way to the caller.
+/// Error reply to a refused request.
 typedef struct
 {
   int http_status;
@@ -58,8 +58,8 @@
   return fallback;
 }
 
-/// A header that stands twice could be read one way here and another way
-/// behind, so it is refused.
+/// Refuse repeated headers: the entry and the target might use different
+/// values.
 static bool
 check_single_headers (hts_request_t *http, refusal_t *refusal)
 {
@@ -107,7 +107,7 @@
                        tmr_now_ms ());
       kb_map_put (&entry->workspaces, id, limits);
     }
-  // The configuration may have changed since.
+  // The configuration may have changed since the last request.
   limits->bucket.rate_per_s = workspace->rate_per_s;
   limits->bucket.burst = workspace->rate_per_s < 1 ? 1 : workspace->rate_per_s;
   return limits;
@@ -160,7 +160,7 @@
   return true;
 }
 
-/// Repeatability and the idempotency key.
+/// Read whether the request is idempotent, and its idempotency key.
 static bool
 read_idempotency (hts_request_t *http, bool service_default, ent_request_t *r,
                   refusal_t *refusal)
@@ -228,7 +228,8 @@
   return read_idempotency (http, service->is_idempotent, r, refusal);
 }
 
-/// "/v1/services/NAME/rest": the rest goes to the target.
+/// Read a request for "/v1/services/NAME/rest"; "/rest" is the path at the
+/// target.
 static bool
 read_plain_request (ent_entry_t *entry, const cfg_workspace_t *workspace,
                     hts_request_t *http, ent_request_t *r, refusal_t *refusal)
@@ -253,7 +254,8 @@
   kb_buf_append (&r->body, http->body.ptr, http->body.len_bytes);
   r->priority_class
       = cfg_priority_class (config, workspace, name, (kb_slice_t){ "", 0 });
-  // Reading calls may be repeated by their method; others as configured.
+  // GET and HEAD are idempotent; for other methods the service's setting
+  // counts.
   bool is_read_only = kb_slice_equal (http->method, kb_slice_str ("GET"))
                       || kb_slice_equal (http->method, kb_slice_str ("HEAD"));
   return read_idempotency (http, is_read_only || service->is_idempotent, r,
--- a/src/daemon/entry_keyed.c
+++ b/src/daemon/entry_keyed.c
@@ -1,7 +1,6 @@
 /// @file entry_keyed.c
-/// The stages that only requests with an idempotency key pass: waiting for
-/// the owner of the key, asking the runner of an earlier attempt, fetching a
-/// kept answer.
+/// Stages of requests with an idempotency key: claiming the key at its owner,
+/// revoking an earlier attempt at its runner, fetching a stored answer.
 #include "daemon/entry_defs.h"
 #include "transport/metrics.h"
 
@@ -9,7 +8,7 @@
 {
   DEFAULT_RETRY_AFTER_MS = 1000,
   RUNNING_RETRY_AFTER_MS = 1000,
-  CLAIM_RETRY_INTERVAL_MS = 200, ///< Also the patience for one answer.
+  CLAIM_RETRY_INTERVAL_MS = 200, ///< Also the timeout of one reply.
   MAX_CLAIM_RETRIES = 15,
   HTTP_CONFLICT = 409,
   HTTP_UNPROCESSABLE = 422,
@@ -33,14 +32,15 @@
                                 0);
       return;
     }
-  // The owner that the map names has not answered as one: the map is old.
+  // The owner in the shard map didn't reply as the owner: the map is stale.
   if (r->claim_retry_count > 1)
     ent_claims_read_map (r->entry);
   tmr_after (&r->entry->daemon->timers, &r->claim_retry_timer,
              CLAIM_RETRY_INTERVAL_MS, claim_retry_timer_on_expire, r);
 }
 
-/// Where an earlier request with the same key ran or runs.
+/// Bind the request to the target of the earlier attempt with the same key.
+/// @return  False if that incarnation of the target can no longer be reached.
 static bool
 select_holder_target (ent_request_t *r, uint64_t runner, uint64_t incarnation)
 {
@@ -75,7 +75,8 @@
   msg.revoke = (msg_revoke_t){ .attempt = holder,
                                .claim_key = r->claim_key,
                                .incarnation = r->vm_incarnation };
-  // The answer names the holder's attempt; it comes back to this request.
+  // The reply carries the holder's attempt; ent_request_on_revoked finds this
+  // request by `holder_attempt`.
   kb_map_put (&r->entry->requests_by_attempt, r->attempt, r);
   if (dmn_send (r->entry->daemon, r->vm->name, &msg) != KB_OK)
     ent_request_fail (r, HTTP_GATEWAY_TIMEOUT, "unknown",
@@ -153,7 +154,7 @@
       = kb_map_get (&entry->requests_by_attempt, revoked->attempt);
   if (r != NULL && r->stage == ENT_STAGE_SENT)
     {
-      // Settling an attempt of our own after a lost connection.
+      // Reply to ent_requests_on_vm_reconnected: an attempt of this request.
       if (revoked->state == MSG_REVOKED_VOIDED)
         ent_request_handle_not_run (r, "the connection to the target was lost",
                                     0);
@@ -171,7 +172,7 @@
   switch (revoked->state)
     {
     case MSG_REVOKED_VOIDED:
-      // The earlier attempt cannot start any more: the key is free.
+      // The earlier attempt can no longer start, so the key is free.
       r->voided_attempt = revoked->attempt;
       r->holder_attempt = 0;
       ent_request_drop_attempt (r);
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -1,5 +1,5 @@
 /// @file entry_members.c
-/// Membership as an entry sees it: the platform's list, hellos, pings.
+/// Membership at an entry: the platform's list of VMs, hellos and pings.
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -10,10 +10,10 @@
 
 enum
 {
-  PING_BUSY_MS = 2000,  ///< To a target that has work of ours.
+  PING_BUSY_MS = 2000,  ///< To a target with attempts of this entry.
   PING_IDLE_MS = 15000, ///< To any other daemon.
-  DOWN_RETRY_MS = 1000, ///< A connection may flap this long.
-  DOWN_FAIL_MS = 5000,
+  DOWN_RETRY_MS = 1000, ///< Tolerates flaps; then retries repeatable requests.
+  DOWN_FAIL_MS = 5000,  ///< Then fails the remaining requests as unknown.
 };
 
 ent_vm_t *
@@ -101,7 +101,8 @@
   vm->route = rt_target_add (&entry->routes, vm->id, service, domain,
                              (uint32_t)hello->max_batch);
   if (vm->route == RT_NONE)
-    log_write (LOG_ERROR, "member", "No place for target %s.", vm->name);
+    log_write (LOG_ERROR, "member",
+               "Routing table is full; target %s gets no requests.", vm->name);
 }
 
 void
@@ -168,7 +169,7 @@
                   tmr_now_ms ());
   if (pong->state == MSG_STATE_LEAVING)
     vm->member.says = MEM_SAYS_LEAVING;
-  // Its target was leaving, and goes on in another life.
+  // The target was leaving, but it remains under another incarnation.
   else if (vm->member.says == MEM_SAYS_LEAVING)
     vm->member.says = MEM_SAYS_LIVE;
   ent_vm_update_state (entry, vm);
@@ -183,8 +184,9 @@
   return strcmp (name, entry->daemon->settings.name) == 0;
 }
 
-/// Of two entries the one with the smaller name opens the connection, so that
-/// there is one connection between them and not two under one name.
+/// Whether this entry opens the connection to a VM. Of two entries the one
+/// with the smaller name does, since two connections under one name would
+/// conflict.
 static bool
 is_initiator_for (const ent_entry_t *entry, const pls_vm_t *vm, bool is_entry)
 {
@@ -244,7 +246,7 @@
   ent_entry_t *entry = arg;
   if (vms == NULL)
     {
-      // A list that cannot be read says nothing about any VM.
+      // A failed read says nothing about the state of any VM.
       MET_INC ("knapweedbay_list_failures_total", "");
       return;
     }
@@ -289,7 +291,8 @@
 static void
 vm_ping (ent_entry_t *entry, ent_vm_t *vm, uint64_t now)
 {
-  // Absence from the list alone proves nothing; a quick answer settles it.
+  // Absence from the list alone doesn't prove that the VM is gone; a quick
+  // reply shows that it is up.
   bool is_absent_from_list = vm->member.listed == MEM_LISTED_ABSENT;
   uint64_t period_ms
       = vm->inflight > 0 || is_absent_from_list ? PING_BUSY_MS : PING_IDLE_MS;
@@ -325,7 +328,7 @@
     ent_requests_on_vm_lost (entry, vm, false);
 }
 
-/// Drop VMs that are gone for good.
+/// Remove one VM that is gone and has no attempts, if any.
 static void
 remove_gone_vm (ent_entry_t *entry)
 {
--- a/src/daemon/entry_quarantine.c
+++ b/src/daemon/entry_quarantine.c
@@ -1,7 +1,7 @@
 /// @file entry_quarantine.c
-/// Requests under which targets ended (coordination/quarantine.h), as agents
-/// tell of them. Each agent knows the ends of its own target, and tells all
-/// entries; together they are what an entry judges by.
+/// Quarantine of requests during which targets ended
+/// (coordination/quarantine.h). Each agent reports the ends of its own target
+/// to all entries; an entry decides by the merged reports.
 #include "daemon/entry_defs.h"
 #include "relay/fingerprint.h"
 #include "transport/log.h"
@@ -34,8 +34,7 @@
   if (qrt_take (&entry->quarantine, records, tmr_now_ms (), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
-  log_write (LOG_WARN, "entry",
-             "A word about requests that end targets is ignored.");
+  log_write (LOG_WARN, "entry", "Ignored a malformed quarantine report.");
 }
 
 void
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -1,5 +1,5 @@
 /// @file entry_request.c
-/// The life of one caller's request: claim, choice of target, attempts,
+/// Life cycle of a caller's request: choice of the target, claim, attempts,
 /// outcome. Every path ends in exactly one answer to the caller.
 #include <inttypes.h>
 #include <stdio.h>
@@ -11,7 +11,7 @@
 
 enum
 {
-  DEADLINE_GRACE_MS = 300, ///< For the agent's own word on the deadline.
+  DEADLINE_GRACE_MS = 300, ///< Time for the agent to report the deadline.
   DEFAULT_RETRY_AFTER_MS = 1000,
   RUNNING_RETRY_AFTER_MS = 1000,
   MAX_ANSWER_BYTES = 16 << 20,
@@ -76,7 +76,6 @@
               now_us - r->arrived_us, outcome);
 }
 
-/// The final answer when there is no whole one.
 void
 ent_request_fail (ent_request_t *r, int http_status, const char *outcome,
                   const char *message, uint64_t retry_after_ms)
@@ -86,9 +85,9 @@
     {
       hts_request_t *http = r->http;
       r->http = NULL;
-      // Part of a stream is out: the status cannot be changed, and joining
-      // another attempt's text to it would mix two answers. Cutting the
-      // stream tells the caller's library that it is not whole.
+      // Part of the stream has been sent: the status can't be changed, and
+      // text of another attempt would mix two answers. Aborting the stream
+      // shows the caller's library that the answer is incomplete.
       if (r->is_stream_started)
         hts_stream_end (http, false);
       else
@@ -119,7 +118,7 @@
 ent_request_fail_not_run (ent_request_t *r, const char *message,
                           uint64_t retry_after_ms)
 {
-  // An earlier attempt ran or may have run. Only this last one did not.
+  // Only the last attempt did not run; an earlier one ran or may have run.
   if (r->earlier_outcome == MSG_OUTCOME_RAN_FAILED)
     {
       request_fail_ran (r, message);
@@ -188,8 +187,6 @@
     r->excluded_routes[r->excluded_count++] = r->vm->route;
 }
 
-/// The attempt is over and certainly did not run: try elsewhere if that can
-/// help, else tell the caller at once.
 void
 ent_request_handle_not_run (ent_request_t *r, const char *reason,
                             uint64_t retry_after_ms)
@@ -200,8 +197,8 @@
   ent_request_release_vm (r);
   snprintf (r->not_run_reason, sizeof r->not_run_reason, "%s", reason);
   r->retry_after_ms = retry_after_ms;
-  // Both callers that hung up and late requests end here: another attempt
-  // would only cost others their place.
+  // If the caller hung up or the deadline has passed, another attempt would
+  // only take a place from other requests.
   if (r->http == NULL || request_is_past_deadline (r)
       || r->attempt_count >= ENT_MAX_ATTEMPTS
       || !lim_retry_take (&r->entry->retry_budget))
@@ -213,8 +210,8 @@
   ent_request_begin_attempt (r);
 }
 
-/// The attempt may have run. Only work that may be repeated, and of which the
-/// caller has seen nothing, is tried again.
+/// Only a repeatable request of which the caller has received nothing is
+/// retried.
 void
 ent_request_handle_unknown (ent_request_t *r, const char *reason, bool has_run)
 {
@@ -361,7 +358,7 @@
   r->http = NULL;
   if (r->stage == ENT_STAGE_SENT && !request_is_repeatable (r)
       && (r->claim_key != 0 || (r->flags & MSG_FLAG_IDEMPOTENT) == 0))
-    return; // It finishes, and its outcome is kept for a re-send.
+    return; // It runs to its end; the outcome is stored for a re-send.
   send_cancel (r);
   request_export_trace (r, "hangup");
   request_free (r);
@@ -408,7 +405,7 @@
   if (r == NULL
       || (r->stage != ENT_STAGE_SENT && r->stage != ENT_STAGE_FETCHING))
     {
-      // Late parts of an attempt that was given up must not reach a caller.
+      // Late parts of an abandoned attempt must not reach a caller.
       MET_INC ("knapweedbay_stray_parts_total", "");
       return;
     }
@@ -485,7 +482,7 @@
     }
 }
 
-/// The adapter and version that answered must be the ones that were named.
+/// Whether the adapter and version that answered are those of the request.
 static bool
 end_matches_request (const ent_request_t *r, const msg_end_t *end)
 {
@@ -556,8 +553,8 @@
 ent_requests_on_vm_lost (ent_entry_t *entry, ent_vm_t *vm, bool is_final)
 {
   ent_request_t *r;
-  // Each round either frees the request and unlinks it, or moves it to
-  // another target; the analyzer does not follow the unlinking.
+  // Each iteration either unlinks and frees the request or moves it to
+  // another target; the analyzer doesn't track the unlinking.
   // NOLINTNEXTLINE(clang-analyzer-unix.Malloc)
   while ((r = find_request_at_vm (entry, vm, !is_final)) != NULL)
     {
@@ -577,9 +574,9 @@
     {
       if (r->vm != vm || r->stage != ENT_STAGE_SENT)
         continue;
-      // Messages on the lost connection may be lost in either direction.
-      // The revocation settles it: either the attempt never arrived and now
-      // never will run, or the agent tells how far it is.
+      // Messages on the lost connection may be lost in either direction. The
+      // revocation resolves it: either the attempt didn't arrive and can no
+      // longer run, or the agent reports its state.
       msg_t msg = { .type = MSG_REVOKE };
       msg.revoke = (msg_revoke_t){ .attempt = r->attempt,
                                    .claim_key = r->claim_key,
--- a/src/daemon/entry_shards.c
+++ b/src/daemon/entry_shards.c
@@ -1,6 +1,6 @@
 /// @file entry_shards.c
-/// Shard ownership at an entry: the shard map, assignment, rebuilds and
-/// handovers. The decisions are in coordination/claim_owner.c.
+/// Ownership of claim shards at an entry: shard map, assignment, rebuilds and
+/// handovers. Claims are decided in coordination/claim_owner.c.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,17 +11,17 @@
 
 enum
 {
-  STARTUP_SETTLE_MS = 1500, ///< Wait after the start before shards are taken.
+  STARTUP_SETTLE_MS = 1500, ///< From the start to the first assignment.
   REBUILD_RETRY_MS = 500,
   RECORD_EXPIRE_TICKS = 50,
   MAP_CHECK_TICKS = 5,
   MAP_READ_INTERVAL_MS = 200,
-  ASSIGNER_SEED = 0x61737369, ///< Seed of the choice of the assigner.
+  ASSIGNER_SEED = 0x61737369, ///< Key by which the assigner is chosen.
   ASSIGNER_TIMEOUT_MS = 3000,
 };
 
 _Static_assert((int)SHM_SHARDS == (int)CLM_SHARDS,
-               "the map and the protocol cut keys into the same shards");
+               "the shard map and the protocol must have the same shards");
 
 static const char *
 own_name (const ent_entry_t *entry)
@@ -45,7 +45,7 @@
   return owned_count;
 }
 
-/// Merge records into the shards that are being rebuilt.
+/// Merge packed records into the shards that are being rebuilt.
 static void
 merge_packed_records (ent_entry_t *entry, kb_slice_t records)
 {
@@ -57,8 +57,9 @@
       clm_owner_merge (&entry->claim_owner, &record, now);
 }
 
-/// The former owner named us and sent its records before: the shard goes on
-/// without a rebuild.
+/// Take over a shard with the records that the former owner sent; this needs
+/// no rebuild.
+/// @return  False if it sent none.
 static bool
 shard_apply_handover (ent_entry_t *entry, uint32_t s)
 {
@@ -92,8 +93,8 @@
             shard_apply_handover (entry, s);
           continue;
         }
-      // Somebody took the shard over while this process stood still. Its
-      // grants die by their epoch; its table must go as well.
+      // Another entry took over the shard while this process was stalled. The
+      // epoch invalidates this entry's grants; its records are dropped too.
       if (shard->state != CLM_SHARD_FOREIGN)
         {
           kb_buf_t dropped = { 0 };
@@ -103,13 +104,13 @@
         }
     }
   if (lost_count > 0)
-    log_write (LOG_WARN, "claims", "%u shards were taken over by others.",
-               lost_count);
+    log_write (LOG_WARN, "claims",
+               "%u shards were taken over by other entries.", lost_count);
 }
 
-/// Whether the owner of a shard can never answer again. A timer alone never
-/// says so: its grants are fenced by the epoch, and a live owner is left
-/// alone.
+/// Whether the owner of a shard can never reply again. A time-out alone
+/// doesn't show this. The epoch fences the owner's grants, and a live owner
+/// keeps its shards.
 static bool
 owner_is_gone (ent_entry_t *entry, const shm_shard_t *shard, uint64_t now)
 {
@@ -150,7 +151,7 @@
   kvc_get (&entry->daemon->kv, SHM_KEY, on_map_read, entry);
 }
 
-/// Tell the other entries that the map changed; most do not watch it.
+/// Notify the other entries that the map changed; most don't watch it.
 static void
 map_announce (ent_entry_t *entry)
 {
@@ -165,7 +166,8 @@
       dmn_send (entry->daemon, vm->name, &msg);
 }
 
-/// Won, lost or unknown: the map itself tells.
+/// Whether the write succeeded, failed or is unknown, a read of the map shows
+/// the result.
 static void
 on_assignment_written (void *arg, kb_status_t status, const kvc_item_t *items,
                        uint32_t count)
@@ -187,9 +189,10 @@
   return ent_vm_find (entry, kb_slice_str (name))->member.incarnation;
 }
 
-/// One entry gives out all shards without a living owner in one swap. Were
-/// each to take its own, N entries would swap one value against each other:
-/// fifty needed more than twenty seconds. The others step in when it does not.
+/// Whether this entry assigns the vacant shards. One entry assigns all of them
+/// in one compare-and-swap. If each entry took its own shards, N entries would
+/// contend for one value, which took 50 entries more than 20 s. The others
+/// take over if the assigner doesn't act.
 static bool
 is_assigner (ent_entry_t *entry, uint64_t now)
 {
@@ -236,8 +239,8 @@
 
 static void rebuild_start (ent_entry_t *entry, const uint64_t *epochs);
 
-/// Shards that the map gives to this entry and whose records did not come
-/// from the former owner are rebuilt from the runners.
+/// Begin to own the shards that the map assigns to this entry. Those without
+/// records from the former owner are rebuilt from the runners.
 static void
 begin_owned_shards (ent_entry_t *entry)
 {
@@ -285,7 +288,7 @@
   ent_entry_t *entry = arg;
   ent_rebuild_t *b = &entry->rebuild;
   if (status != KB_OK || !b->is_active)
-    return; // The tick asks again.
+    return; // rebuild_check_progress retries.
   b->source_count = 0;
   for (uint32_t i = 0; i < count; i++)
     rebuild_read_roster_item (entry, &items[i]);
@@ -308,8 +311,9 @@
         clm_owner_begin_rebuild (&entry->claim_owner, s, epochs[s]);
         b->epochs[s] = epochs[s];
       }
-  // What agents that stopped gave to this entry; the other entries are asked
-  // for theirs. Without it a key that ran at a replaced agent ran again.
+  // Records that stopped agents sent to this entry; the other entries are
+  // queried for theirs. Without them a key that ran at a replaced agent would
+  // run again.
   for (uint32_t i = 0; i < entry->inherited_count; i++)
     merge_packed_records (entry,
                           (kb_slice_t){ entry->inherited[i].bytes,
@@ -323,7 +327,7 @@
   kvc_range (&entry->daemon->kv, "kb/roster/", on_roster_read, entry);
 }
 
-/// @return  True when nothing more can come from this source.
+/// @return  True if the source can send no more records.
 static bool
 source_is_settled (ent_entry_t *entry, ent_rebuild_source_t *source,
                    uint64_t now)
@@ -337,7 +341,7 @@
                             : vm->state == MEM_GONE;
   if (!is_gone)
     return false;
-  // Its memory is lost together with the former owner's.
+  // Its records are lost, as are the former owner's.
   if (!source->is_entry)
     entry->rebuild.is_complete = false;
   return true;
@@ -389,9 +393,12 @@
         count++;
       }
   log_write (b->is_complete ? LOG_INFO : LOG_WARN, "claims",
-             "Owner of %u more shards after %" PRIu64 " ms%s.", count,
-             now - b->started_ms,
-             b->is_complete ? "" : "; unseen keys are unknown for a window");
+             "Took ownership of %u shards after a rebuild of %" PRIu64
+             " ms%s.",
+             count, now - b->started_ms,
+             b->is_complete ? ""
+                            : "; keys without a record have an unknown "
+                              "outcome for one claim window");
   free (b->sources);
   *b = (ent_rebuild_t){ 0 };
 }
@@ -434,8 +441,8 @@
     assign_shards (entry, now_ms);
 }
 
-/// Keep the memory of an agent that stops, and say so: it counts as handed
-/// over only when an entry has confirmed it.
+/// Store the records of a stopping agent and acknowledge them; the agent
+/// counts them as handed over only when an entry has confirmed it.
 static void
 store_inherited_records (ent_entry_t *entry, kb_slice_t from,
                          kb_slice_t records)
@@ -483,8 +490,8 @@
         continue;
       source->has_replied = true;
       uint64_t window_ms = (uint64_t)entry->daemon->settings.claim_window_ms;
-      // A runner that lost its memory within the window cannot tell what it
-      // ran before, and the former owner cannot either.
+      // A runner that lost its records within the claim window can't report
+      // what it ran before, and neither can the former owner.
       if (!source->is_entry
           && records->memory_since_wall_ms + window_ms > tmr_wall_ms ())
         b->is_complete = false;
@@ -516,7 +523,7 @@
   entry->is_handover_done = true;
   if (status == KB_OK)
     map_announce (entry);
-  log_write (LOG_INFO, "claims", "Shards were handed over (%s).",
+  log_write (LOG_INFO, "claims", "Handover of shards finished: %s.",
              kb_status_name (status));
 }
 
@@ -547,8 +554,8 @@
       kb_buf_finish (&records);
       snprintf (new_map[s].owner, sizeof new_map[s].owner, "%s", new_owner);
       new_map[s].incarnation = vm->member.incarnation;
-      // With a new epoch a rebuild is safe as well, should the records be
-      // lost on their way: grants of ours that are still under way die then.
+      // If the records are lost in transit, the new epoch makes a rebuild safe
+      // too: it invalidates grants of this entry that are still in transit.
       new_map[s].epoch++;
       has_any = true;
     }
--- a/src/daemon/main.c
+++ b/src/daemon/main.c
@@ -1,6 +1,6 @@
 /// @file main.c
-/// Entry file of knapweedbayd: reads the command line and the settings and
-/// starts the role.
+/// Entry point of knapweedbayd: parses the command line, loads the settings
+/// and starts the role.
 #include <argtable2.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -16,12 +16,12 @@
 
 enum
 {
-  /// Buffers from here on go back to the system when they are freed. The
-  /// library's own threshold grows with each of them, so that after the first
-  /// configuration document of 0.3 MB the heap kept room for the next ones.
+  /// Larger buffers get their own mapping, which is unmapped on free. glibc
+  /// raises its default threshold with each freed mapping, so that after the
+  /// first configuration document of 0.3 MB the heap would keep the memory.
   MMAP_THRESHOLD_BYTES = 64 << 10,
-  TRIM_THRESHOLD_BYTES = 128
-                         << 10, ///< Free memory that the heap's end may keep.
+  /// Free memory at the top of the heap that isn't returned to the system.
+  TRIM_THRESHOLD_BYTES = 128 << 10,
 };
 
 static const char version_text[] = "knapweedbayd 0.1.0";
@@ -33,7 +33,7 @@
   return status == KB_EINVAL ? DMN_EXIT_SETTINGS : DMN_EXIT_START_FAILED;
 }
 
-/// The product's own interface.
+/// Run a role with the product's own interface (OpenAI API, LoRA adapters).
 static int
 run_openai_role (const set_settings_t *settings)
 {
@@ -46,7 +46,8 @@
   return status == KB_OK ? dmn_run (&daemon) : report_failure (status, &error);
 }
 
-/// Requests are passed on by the conventions of a deployment.
+/// Run a role of the `relay` interface, which forwards requests by the
+/// conventions of a deployment.
 static int
 run_relay_role (const set_settings_t *settings, const char *path)
 {
--- a/test/system/config_test.cc
+++ b/test/system/config_test.cc
@@ -1,4 +1,5 @@
-// Configuration: apply, races of operators, lost answers, outages, spreading.
+// Configuration: apply, concurrent operators, lost replies, outages and
+// propagation to all daemons.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -87,9 +88,9 @@
         [&] { return c.status_int (t.agent, "revision") == 2; }, 3000));
 }
 
-// The connections on which the entries wait for changes go silent without a
-// close, and new ones work. A change that the store took must be in force all
-// the same: an open watch is no proof that nothing changed.
+// The connections of the entries' watches go silent without a close; new
+// connections work. A change in the store must still come into force: an open
+// watch doesn't prove that nothing changed.
 TEST (Config, ChangeIsInForceWhenWatchesAreSilent)
 {
   Cluster c (ClusterOptions{});
@@ -103,8 +104,8 @@
   EXPECT_EQ (c.complete (0, "fresh@1", "x").status, 200);
 }
 
-// Two operators start from the same base and change the same file. The second
-// apply must be refused and name the file; the first change stays.
+// Two operators change the same file from the same base. The second apply must
+// be refused and name the file; the first change stays.
 TEST (Config, SecondOfTwoRacingOperatorsIsRefused)
 {
   Cluster c (ClusterOptions{});
@@ -123,8 +124,8 @@
   EXPECT_EQ (c.complete (0, "from-b@1", "x").status, 404);
 }
 
-// Two operators change different files. Both changes hold, in either order,
-// although neither folder has the other's change.
+// Two operators change different files. Both changes must be in force, in
+// either order, although neither folder has the other's change.
 TEST (Config, ChangesOfDifferentFilesBothHold)
 {
   Cluster c (ClusterOptions{});
@@ -135,7 +136,7 @@
   write_file (b + "/31-b.json", adapter_json ("from-b"));
   EXPECT_EQ (apply_dir (c, b), 0);
   EXPECT_EQ (apply_dir (c, a), 0);
-  // The first operator applies again from the old folder: nothing is undone.
+  // Applying the old folder again must not undo the other change.
   EXPECT_EQ (apply_dir (c, b), 0);
   ASSERT_TRUE (
       Cluster::wait_until ([&] { return revision (c, 0) >= 3; }, 3000));
@@ -146,13 +147,14 @@
   EXPECT_NE (output.find ("30-a.json: updated"), std::string::npos) << output;
 }
 
-// The store takes the swap and its answer is lost. The tool must recognise
-// its own change and not apply it twice.
+// The store executes the compare-and-swap and its reply is lost. The tool must
+// detect that its change is stored and not apply it twice.
 TEST (Config, LostCompareAndSwapReplyIsDetected)
 {
   Cluster c (ClusterOptions{});
   c.start ();
-  c.fault (c.kv, "{\"lose_cas\":2}"); // The chunk's write and the swap.
+  // The write of the chunk and the compare-and-swap of the head.
+  c.fault (c.kv, "{\"lose_cas\":2}");
   write_file (c.config_dir + "/30-x.json", adapter_json ("lost"));
   std::string output;
   EXPECT_EQ (c.apply (&output), 0) << output;
@@ -163,8 +165,8 @@
   EXPECT_NE (output.find ("nothing to apply"), std::string::npos) << output;
 }
 
-// The store is down: apply says so and changes nothing. Requests go on, and
-// an entry that restarts cold gets the configuration from its peer.
+// The store is down: requests are still served, and an entry that restarts
+// without state gets the configuration from its peer.
 TEST (Config, OutageAndColdEntry)
 {
   Cluster c (ClusterOptions{});
@@ -181,8 +183,8 @@
       [&] { return c.complete (1, "a2@1", "cold").status == 200; }, 10000));
 }
 
-// An entry stands still while a change is made. When it wakes it must take
-// the change over and never fall back.
+// An entry is paused during a change. When it resumes it must apply the change
+// and never return to the older revision.
 TEST (Config, PausedEntryCatchesUp)
 {
   Cluster c (ClusterOptions{});
@@ -197,7 +199,7 @@
   EXPECT_EQ (c.complete (1, "while-paused@1", "x").status, 200);
 }
 
-// A version is deleted while a request runs with it: the request finishes.
+// A version is deleted while a request uses it: the request must finish.
 TEST (Config, DeletedVersionFinishesItsRequests)
 {
   Cluster c (ClusterOptions{});
@@ -218,8 +220,8 @@
              Cluster::expected_text ("a1@2", "old", 500));
 }
 
-// Thirteen thousand adapters do not fit one value of the store. One adapter
-// is then changed: only a small part may travel.
+// 13,000 adapters don't fit into one value of the store. When one adapter is
+// then changed, only a small part may be transferred.
 TEST (Config, ThirteenThousandAdapters)
 {
   ClusterOptions o;
@@ -246,8 +248,8 @@
   json_object_put (stats);
 }
 
-// The store lost its content. To the folder's base it looks as if another
-// operator had removed every file; an apply must not make that so.
+// The store lost its content. Compared to the folder's base, this looks as if
+// another operator had removed every file; apply must not treat it so.
 TEST (Config, EmptyStoreIsNotTreatedAsRemovals)
 {
   Cluster c (ClusterOptions{});
--- a/test/system/edge_test.cc
+++ b/test/system/edge_test.cc
@@ -1,4 +1,5 @@
-// Edges: TLS, traces, limits, strangers, slow senders, the drain limit.
+// TLS, traces, limits, unauthenticated and malformed peers, slow senders,
+// drain limit.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <openssl/pem.h>
@@ -22,7 +23,7 @@
 namespace
 {
 
-/// A self-signed certificate for the test.
+/// Write a self-signed certificate and its key.
 void
 make_certificate (const std::string &cert_path, const std::string &key_path)
 {
@@ -70,7 +71,7 @@
 
 } // namespace
 
-// Callers speak TLS to one entry; the other stays plain.
+// One entry serves TLS and refuses plain HTTP.
 TEST (Edge, TlsForCallers)
 {
   Cluster c (ClusterOptions{});
@@ -101,7 +102,7 @@
              0);
 }
 
-// One request leaves a span for each hop, all of the caller's trace.
+// A request exports a span for each hop, all with the caller's trace id.
 TEST (Edge, SpansForEveryHop)
 {
   ClusterOptions o;
@@ -137,8 +138,8 @@
       3000));
 }
 
-// A workspace exceeds its limits: it is told so (429, not run) with a time to
-// come back, and another workspace is not touched.
+// A workspace exceeds its rate: it gets 429, outcome not_run and a Retry-After
+// header, and another workspace isn't affected.
 TEST (Edge, WorkspaceLimits)
 {
   Cluster c (ClusterOptions{});
@@ -165,8 +166,8 @@
   EXPECT_EQ (c.complete (0, "a1@1", "r").status, 200);
 }
 
-// A stranger with its own CURVE key, and one that sends garbage, reach the
-// inner port. Both are counted, nothing crashes, and work goes on.
+// A client with an unknown CURVE key and one that sends garbage connect to the
+// inner port. They are counted, nothing crashes, and requests are served.
 TEST (Edge, UnauthenticatedPeersOnInnerPort)
 {
   Cluster c (ClusterOptions{});
@@ -203,8 +204,8 @@
                200);
 }
 
-// A known peer sends messages that are cut, of a newer version or not a
-// message at all. They are counted and dropped; the connection goes on.
+// A peer sends messages that are truncated, of a newer version or not a
+// message at all. They are counted and dropped, and requests are served.
 TEST (Edge, MalformedInnerMessages)
 {
   ClusterOptions o;
@@ -239,8 +240,8 @@
   EXPECT_EQ (c.complete (0, "a1@1", "x").status, 200);
 }
 
-// A caller sends half a body and falls silent. Its connection is closed by
-// the read timeout; it holds nothing else up.
+// A caller sends part of a body and nothing more. The read timeout closes its
+// connection; other requests aren't delayed.
 TEST (Edge, SlowSenderIsClosed)
 {
   ClusterOptions o;
@@ -262,8 +263,8 @@
   EXPECT_EQ (c.complete (0, "a1@1", "x").status, 200);
 }
 
-// A drain meets a request that does not end. At the limit the daemon stops,
-// says so in its log and by its exit code.
+// A request doesn't end during a drain. At the drain limit the daemon stops
+// and reports this in its log and by its exit code.
 TEST (Edge, DrainLimitIsReported)
 {
   ClusterOptions o;
@@ -285,7 +286,8 @@
   t.join ();
 }
 
-// The tool drains a daemon, and refuses without the operator's key.
+// The tool shows the status of a daemon and drains it; with a wrong operator
+// key it fails.
 TEST (Edge, ToolDrainsAndShowsStatus)
 {
   Cluster c (ClusterOptions{});
--- a/test/system/member_test.cc
+++ b/test/system/member_test.cc
@@ -1,4 +1,4 @@
-// Membership: drains, lagging lists, fencing, lost entries and claim owners.
+// Membership: drains, stale lists, fencing, loss of entries and claim owners.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -48,8 +48,9 @@
 
 } // namespace
 
-// An operator replaces a VM: its agent gets SIGTERM while it streams. The
-// stream must not be cut, new work must go elsewhere, and the agent exits 0.
+// An agent gets SIGTERM while it streams, as when an operator replaces its VM.
+// The streams must finish, new requests must go elsewhere, and the agent must
+// exit with 0.
 TEST (Membership, DrainingAgentFinishesStreams)
 {
   Cluster c (ClusterOptions{});
@@ -79,8 +80,8 @@
   EXPECT_EQ (Cluster::wait_exit (leaving.agent), 0);
 }
 
-// An entry gets SIGTERM in the middle of requests: they finish, its claim
-// shards go to the other entry, and it exits 0.
+// An entry gets SIGTERM during requests: they finish, its claim shards go to
+// the other entry, and it exits with 0.
 TEST (Membership, DrainingEntryHandsOverShards)
 {
   Cluster c (ClusterOptions{});
@@ -103,8 +104,8 @@
   EXPECT_EQ (c.runs_of ("kept"), 1);
 }
 
-// The list calls a target leaving while its agent knows nothing of it. Two
-// seconds after the notice it must get no new work.
+// The list marks a target as leaving; its agent doesn't know. Two seconds
+// later the target must get no new requests.
 TEST (Membership, ListedLeavingGetsNoNewWork)
 {
   Cluster c (ClusterOptions{});
@@ -118,8 +119,8 @@
   EXPECT_EQ (total_run_count (c, c.targets[0]), before);
 }
 
-// The list loses a target that answers. Its own word is newer than the list:
-// it goes on serving.
+// The list lacks targets that respond. Their own report is newer than the
+// list, so they must still be used.
 TEST (Membership, UnlistedButRespondingTargetIsUsed)
 {
   Cluster c (short_timeout_options ());
@@ -132,7 +133,7 @@
   EXPECT_EQ (c.complete (0, "a1@1", "still").status, 200);
 }
 
-// The list shows a target that is dead. Requests must not wait for it.
+// The list still has a target that is dead. Requests must not wait for it.
 TEST (Membership, ListedButDeadTargetIsAvoided)
 {
   Cluster c (ClusterOptions{});
@@ -147,8 +148,8 @@
     }
 }
 
-// A whole failure domain goes at once, with its entry and targets. The other
-// domains carry on; repeatable work is not lost.
+// A whole failure domain fails at once, with its entry and targets. The other
+// domain keeps serving; no repeatable request is lost.
 TEST (Membership, FailureDomainLost)
 {
   ClusterOptions o = short_timeout_options ();
@@ -176,8 +177,8 @@
     EXPECT_EQ (answers[(size_t)i].status, 200) << answers[(size_t)i].body;
 }
 
-/// Pause the agent of a target, start its successor, wake the old one, and
-/// wait for it to leave.
+/// Pause the agent of a target, start its successor, resume the old one and
+/// wait for it to exit.
 static void
 replace_paused_agent (Cluster &c, kb::Target &t)
 {
@@ -187,16 +188,16 @@
   ASSERT_TRUE (Cluster::wait_until (
       [&] { return c.status_int (t.agent, "registered") == 1; }));
   c.publish ();
-  // The old one stands still for longer than its pause limit.
+  // The old agent is paused for longer than its pause limit.
   std::this_thread::sleep_for (std::chrono::milliseconds (2500));
   Cluster::kill_process (old, SIGCONT);
   EXPECT_EQ (Cluster::wait_exit (old), 0);
   EXPECT_EQ (c.stat_sum ("stale_orders"), 0);
 }
 
-// Another owner gave the engine a newer number while this agent still
-// believes that the target is its own. The engine refuses its next order; the
-// agent must leave, and the request must be served elsewhere.
+// Another owner used a newer fencing number at the engine while the agent
+// still considers itself the owner. The engine refuses the agent's next order;
+// the agent must exit, and the request must be served elsewhere.
 TEST (Membership, AgentLeavesAfterRefusedOrder)
 {
   Cluster c (ClusterOptions{});
@@ -214,8 +215,8 @@
   EXPECT_GE (c.stat_sum ("stale_orders"), 1);
 }
 
-// A paused agent wakes after its successor took the target over. The engine
-// checks fencing numbers; the old agent must not get as far as an order.
+// A paused agent resumes after its successor took over the target. The engine
+// checks fencing numbers; the old agent must not send an order.
 TEST (Membership, PausedAgentIsFencedByTheEngine)
 {
   Cluster c (ClusterOptions{});
@@ -224,8 +225,8 @@
   EXPECT_EQ (c.complete (0, "a1@1", "after").status, 200);
 }
 
-// The same with an engine that ignores the number: the old agent must find
-// out by itself before it orders anything.
+// The same with an engine that ignores fencing numbers: the old agent must
+// detect by itself that it was replaced, before it sends an order.
 TEST (Membership, PausedAgentLeavesBeforeOrders)
 {
   Cluster c (ClusterOptions{});
@@ -234,9 +235,10 @@
   replace_paused_agent (c, c.targets[0]);
 }
 
-// The entry that owns a key's shard is killed while the key runs. The caller
-// re-sends through the other entry, which takes the shard over and rebuilds
-// it from the runners: the key must not run again, and its answer is found.
+// The entry that owns a key's shard is killed while the key's request runs.
+// The caller re-sends through the other entry, which takes over the shard and
+// rebuilds it from the runners: the request must not run again, and its stored
+// answer must be returned.
 TEST (Membership, KeyIsNotRunAgainAfterOwnerIsKilled)
 {
   Cluster c (short_timeout_options ());
@@ -269,8 +271,9 @@
     }
 }
 
-// An owner is paused, another entry takes its shards over, and the old one
-// wakes with its former table. Nothing may run on its grants.
+// A claim owner is paused, another entry takes over its shards, and the old
+// owner resumes with its stale records. No request may run twice on its
+// grants.
 TEST (Membership, ResumedOwnerGrantsNothing)
 {
   Cluster c (short_timeout_options ());
@@ -295,8 +298,8 @@
     }
 }
 
-// Keyed work goes on through an outage of the key-value service: owners keep
-// their shards by consent, not by a lease that could lapse.
+// Requests with a key are served during an outage of the key-value store:
+// ownership of shards doesn't depend on a lease that could expire.
 TEST (Membership, KeyedWorkThroughOutage)
 {
   Cluster c (ClusterOptions{});
@@ -315,8 +318,9 @@
     }
 }
 
-// An agent restarts in an outage: it cannot register, so it takes all work
-// but keyed work, and that goes elsewhere.
+// An agent restarts during an outage of the key-value store and can't
+// register. It must serve requests without a key and refuse those with one
+// until the store is back.
 TEST (Membership, AgentStartsInOutage)
 {
   ClusterOptions o;
