--- a/src/daemon/entry_config.c
+++ b/src/daemon/entry_config.c
@@ -19,7 +19,7 @@
   /// 6.7 of the store's 2,000 reads per second.
   WATCHER_POLL_INTERVAL_MS = 1500,
   OTHER_POLL_INTERVAL_MS = 60000,
-  PULL_INTERVAL_MS = 100,     ///< Limits concurrent pulls from peers.
+  PULL_INTERVAL_MS = 100,     ///< One peer is queried per interval.
   CATCH_UP_INTERVAL_MS = 700, ///< Time for peers before the store is read.
   MIN_BACKOFF_MS = 100,
   MAX_BACKOFF_MS = 5000,
@@ -176,7 +176,7 @@
   fetch_reset (&entry->config);
 }
 
-/// A pending read of a chunk from the store.
+/// A pending read of a chunk from the store; `digest` is the requested one.
 typedef struct
 {
   ent_entry_t *entry;
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -169,7 +169,7 @@
                   tmr_now_ms ());
   if (pong->state == MSG_STATE_LEAVING)
     vm->member.says = MEM_SAYS_LEAVING;
-  // The target was leaving, but it remains under another incarnation.
+  // The target that was leaving stays on, under another incarnation.
   else if (vm->member.says == MEM_SAYS_LEAVING)
     vm->member.says = MEM_SAYS_LIVE;
   ent_vm_update_state (entry, vm);
