--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -14,23 +14,24 @@
 {
   TICK_MS = 100,
   POLL_MS = 1000,
-  PAUSE_MS = 2000, ///< A tick this late means that the process stood still.
-  PEER_SILENCE_MS = 6000,
+  STALL_THRESHOLD_MS
+  = 2000, ///< A tick this late means that the process stood still.
+  PEER_TIMEOUT_MS = 6000,
   CLAIM_EXPIRE_TICKS = 50,
-  HANDOVER_ENTRIES = 2,
+  MAX_HANDOVER_ENTRIES = 2,
   EXIT_FLUSH_MS = 200,
-  HANDOVER_PATIENCE_MS = 1500,
+  HANDOVER_TIMEOUT_MS = 1500,
 };
 
 static void
-pump_again (void *arg)
+schedule_again (void *arg)
 {
-  agt_pump (arg);
+  agt_schedule_work (arg);
 }
 
 /// Whether the target takes no request now; if so, ask again when it does.
 static bool
-is_held_back (agt_agent_t *agent)
+is_deferred_by_target (agt_agent_t *agent)
 {
   uint64_t wait_ms = bkp_meter_wait_ms (&agent->meter, 0, tmr_now_ms ());
   uint64_t pause_ms = agt_backpressure_pause_ms (agent);
@@ -38,25 +39,26 @@
     wait_ms = pause_ms;
   if (wait_ms > 0)
     tmr_after (&agent->daemon->timers, &agent->meter_timer, wait_ms,
-               pump_again, agent);
+               schedule_again, agent);
   return wait_ms > 0;
 }
 
 void
-agt_pump (agt_agent_t *agent)
+agt_schedule_work (agt_agent_t *agent)
 {
   if (!agent->is_engine_up || !agent->is_reconciled)
     return;
   for (;;)
     {
-      bool may_order = !agent->order.is_busy && !agent->is_fence_in_doubt;
-      sch_action_t action = sch_next (&agent->queue, tmr_now_us (),
-                                      may_order && agent->wish.is_granted);
+      bool may_order = !agent->order.is_busy && !agent->is_fence_unverified;
+      sch_action_t action
+          = sch_next (&agent->queue, tmr_now_us (),
+                      may_order && agent->load_permit.is_granted);
       if (action.kind == SCH_RUN)
         {
           agt_request_t *r = (agt_request_t *)action.item;
           if (!aln_may_start (&agent->alone, &r->alone, tmr_now_ms ())
-              || is_held_back (agent))
+              || is_deferred_by_target (agent))
             break;
           agt_run_start (agent, r);
           continue;
@@ -82,13 +84,13 @@
 
 /// A place for a new peer; the one silent longest gives way.
 static agt_peer_t *
-peer_place (agt_agent_t *agent)
+peer_allocate (agt_agent_t *agent)
 {
   if (agent->peer_count < AGT_MAX_PEERS)
     return &agent->peers[agent->peer_count++];
   agt_peer_t *oldest = &agent->peers[0];
   for (uint32_t i = 1; i < agent->peer_count; i++)
-    if (agent->peers[i].heard_ms < oldest->heard_ms)
+    if (agent->peers[i].last_contact_ms < oldest->last_contact_ms)
       oldest = &agent->peers[i];
   return oldest;
 }
@@ -119,7 +121,7 @@
                        .slots = (uint64_t)s->slots,
                        .max_batch = (uint64_t)s->max_batch,
                        .revision = agent->revision,
-                       .state = agt_state (agent),
+                       .state = agt_reported_state (agent),
                        .memory_since_wall_ms = agent->memory_since_wall_ms,
                        .is_reply = 1,
                        .resident = kb_buf_slice (&resident) };
@@ -128,7 +130,7 @@
 }
 
 void
-agt_note_revision (agt_agent_t *agent, uint64_t revision)
+agt_record_revision (agt_agent_t *agent, uint64_t revision)
 {
   if (revision <= agent->revision)
     return;
@@ -142,7 +144,7 @@
   agt_peer_t *peer = agt_peer_find (agent, from);
   if (peer == NULL)
     {
-      peer = peer_place (agent);
+      peer = peer_allocate (agent);
       *peer = (agt_peer_t){
         .id = kb_hash (from.ptr, from.len_bytes, 0),
       };
@@ -150,12 +152,12 @@
       log_write (LOG_INFO, "member", "Entry %s is connected.", peer->name);
     }
   else if (peer->incarnation != hello->incarnation)
-    agt_run_peer_lost (agent, peer->id);
+    agt_run_cancel_peer (agent, peer->id);
   peer->incarnation = hello->incarnation;
-  peer->heard_ms = tmr_now_ms ();
-  agt_note_revision (agent, hello->revision);
+  peer->last_contact_ms = tmr_now_ms ();
+  agt_record_revision (agent, hello->revision);
   send_hello (agent, from);
-  agt_quarantine_tell (agent, peer);
+  agt_quarantine_send (agent, peer);
 }
 
 static void
@@ -164,7 +166,7 @@
   *msg = (msg_t){ .type = MSG_PONG };
   msg->pong = (msg_pong_t){ .stamp_us = stamp_us,
                             .revision = agent->revision,
-                            .state = agt_state (agent),
+                            .state = agt_reported_state (agent),
                             .queue_len = agent->queue.waiting,
                             .running = agent->queue.running,
                             .expected_wait_ms
@@ -178,7 +180,7 @@
 }
 
 static void
-tell_state (agt_agent_t *agent)
+broadcast_state (agt_agent_t *agent)
 {
   msg_t msg;
   pong_fill (agent, 0, &msg);
@@ -189,7 +191,7 @@
 static void
 on_ping (agt_agent_t *agent, kb_slice_t from, const msg_ping_t *ping)
 {
-  agt_note_revision (agent, ping->revision);
+  agt_record_revision (agent, ping->revision);
   if (ping->target_count > 0)
     agent->target_count = (uint32_t)ping->target_count;
   msg_t msg;
@@ -226,7 +228,7 @@
   agt_agent_t *agent = ((dmn_daemon_t *)link->owner)->role_state;
   agt_peer_t *peer = agt_peer_find (agent, from);
   if (peer != NULL)
-    peer->heard_ms = tmr_now_ms ();
+    peer->last_contact_ms = tmr_now_ms ();
   switch (msg->type)
     {
     case MSG_HELLO:
@@ -251,7 +253,7 @@
       on_records (agent, &msg->records);
       break;
     case MSG_GATE_GRANT:
-      agt_gate_granted (agent, msg->gate_grant.id);
+      agt_gate_on_grant (agent, msg->gate_grant.id);
       break;
     default:
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"unexpected\"");
@@ -265,11 +267,11 @@
   for (uint32_t i = 0; i < agent->peer_count; i++)
     {
       agt_peer_t *peer = &agent->peers[i];
-      if (peer->inflight == 0 || now - peer->heard_ms < PEER_SILENCE_MS)
+      if (peer->inflight == 0 || now - peer->last_contact_ms < PEER_TIMEOUT_MS)
         continue;
       log_write (LOG_WARN, "member", "Entry %s is silent with %u requests.",
                  peer->name, peer->inflight);
-      agt_run_peer_lost (agent, peer->id);
+      agt_run_cancel_peer (agent, peer->id);
     }
 }
 
@@ -301,7 +303,7 @@
 /// Give the memory of claims to entries, so that a rebuild during the window
 /// still sees it.
 static void
-hand_over (agt_agent_t *agent)
+hand_over_claims (agt_agent_t *agent)
 {
   uint64_t epochs[CLM_SHARDS];
   for (uint32_t i = 0; i < CLM_SHARDS; i++)
@@ -316,23 +318,24 @@
                          .memory_since_wall_ms = agent->memory_since_wall_ms,
                          .records = kb_buf_slice (&records) };
   uint32_t sent = 0;
-  for (uint32_t i = 0; i < agent->peer_count && sent < HANDOVER_ENTRIES; i++)
+  for (uint32_t i = 0; i < agent->peer_count && sent < MAX_HANDOVER_ENTRIES;
+       i++)
     if (dmn_send (agent->daemon, agent->peers[i].name, &msg) == KB_OK)
       sent++;
   kb_buf_finish (&records);
   // Unless an entry confirms it, the roster must not call this a graceful
   // leave: the next incarnation would claim a memory that nobody has.
   tmr_after (&agent->daemon->timers, &agent->exit_timer,
-             sent > 0 ? HANDOVER_PATIENCE_MS : 0, exit_after_flush, agent);
+             sent > 0 ? HANDOVER_TIMEOUT_MS : 0, exit_after_flush, agent);
 }
 
 static void
 on_records (agt_agent_t *agent, const msg_records_t *records)
 {
-  if (records->purpose != MSG_RECORDS_INHERIT || !agent->is_leaving_said
-      || agent->is_memory_kept)
+  if (records->purpose != MSG_RECORDS_INHERIT || !agent->is_handover_started
+      || agent->is_handover_confirmed)
     return;
-  agent->is_memory_kept = true;
+  agent->is_handover_confirmed = true;
   tmr_cancel (&agent->daemon->timers, &agent->exit_timer);
   agt_fence_leave (agent, exit_after_flush);
 }
@@ -340,7 +343,7 @@
 static void
 check_drain (agt_agent_t *agent, uint64_t now)
 {
-  if (agent->state != MSG_STATE_LEAVING || agent->is_leaving_said)
+  if (agent->state != MSG_STATE_LEAVING || agent->is_handover_started)
     return;
   uint64_t limit = (uint64_t)agent->daemon->settings.drain_limit_ms;
   bool is_late = now - agent->drain_started_ms > limit;
@@ -350,23 +353,23 @@
     log_write (LOG_ERROR, "daemon",
                "The drain limit is reached with %u requests running.",
                agent->queue.running);
-  agent->is_leaving_said = true;
-  hand_over (agent);
+  agent->is_handover_started = true;
+  hand_over_claims (agent);
 }
 
 /// Entries learn it at once and send nothing new; what waits goes back to
 /// them, since they can place it elsewhere sooner than it would start here.
 static void
-tell_leaving (agt_agent_t *agent)
+announce_leaving (agt_agent_t *agent)
 {
-  tell_state (agent);
+  broadcast_state (agent);
   agt_run_refuse_all (agent, "the target takes nothing new");
 }
 
 /// Follow whether the target takes anything new. Entries would spend their
 /// retries on one that does not.
 static void
-follow_target (agt_agent_t *agent)
+update_target_closed (agt_agent_t *agent)
 {
   bool is_closed = agt_backpressure_is_closed (agent);
   if (is_closed == agent->is_target_closed)
@@ -375,9 +378,9 @@
   log_write (LOG_INFO, "engine", "The target takes %s.",
              is_closed ? "nothing new" : "work again");
   if (is_closed)
-    tell_leaving (agent);
+    announce_leaving (agent);
   else
-    tell_state (agent);
+    broadcast_state (agent);
 }
 
 static void
@@ -385,24 +388,25 @@
 {
   agt_agent_t *agent = arg;
   uint64_t now = tmr_now_ms ();
-  if (agent->tick_ms != 0 && now - agent->tick_ms > PAUSE_MS
+  if (agent->last_tick_ms != 0
+      && now - agent->last_tick_ms > STALL_THRESHOLD_MS
       && !agt_is_plain (agent))
     {
       log_write (LOG_WARN, "fence",
                  "The process stood still for %" PRIu64
                  " ms; checking ownership.",
-                 now - agent->tick_ms);
+                 now - agent->last_tick_ms);
       agt_fence_check (agent);
     }
-  agent->tick_ms = now;
-  follow_target (agent);
+  agent->last_tick_ms = now;
+  update_target_closed (agent);
   agt_run_expire (agent);
-  agt_quarantine_expire (agent);
+  agt_quarantine_refuse_blocked (agent);
   check_peers (agent, now);
   sample_fill (agent);
   if (++agent->ticks % CLAIM_EXPIRE_TICKS == 0)
     clm_runner_expire (&agent->claims, now);
-  agt_pump (agent);
+  agt_schedule_work (agent);
   check_drain (agent, now);
 }
 
@@ -418,7 +422,7 @@
   agt_agent_t *agent = daemon->role_state;
   agent->state = MSG_STATE_LEAVING;
   agent->drain_started_ms = tmr_now_ms ();
-  tell_leaving (agent);
+  announce_leaving (agent);
 }
 
 static void
@@ -454,7 +458,7 @@
       daemon->settings.service, agent->revision, pong.pong.queue_len,
       pong.pong.running, agent->slots.len, agent->slots.cap,
       agent->stall_us_total / 1000, (double)pong.pong.fill_permille / 1000,
-      agent->fence, agent->is_fence_known ? "true" : "false",
+      agent->fence, agent->is_registered ? "true" : "false",
       agent->is_engine_up ? "true" : "false", agent->claims.by_attempt.len);
 }
 
@@ -483,7 +487,8 @@
   clm_runner_init (&agent.claims, (uint32_t)s->claim_limit,
                    (uint64_t)s->claim_window_ms,
                    (uint64_t)s->answer_cache_bytes);
-  lim_bucket_init (&agent.own_share, s->load_rate_per_s, 1, tmr_now_ms ());
+  lim_bucket_init (&agent.own_load_share, s->load_rate_per_s, 1,
+                   tmr_now_ms ());
   eng_openai_init (&agent.engine, &daemon->http, s->target_address,
                    (uint16_t)s->target_port, s->target_order_token,
                    (uint64_t)s->load_timeout_ms);
--- a/src/daemon/agent_admit.c
+++ b/src/daemon/agent_admit.c
@@ -10,8 +10,8 @@
 
 enum
 {
-  STALE_REVISION_MS = 3000,
-  REFUSE_RETRY_MS = 1000,
+  STALE_REVISION_GRACE_MS = 3000,
+  REFUSAL_RETRY_MS = 1000,
 };
 
 /// Refuse an attempt that was never taken in.
@@ -75,9 +75,10 @@
   return r;
 }
 
-/// The kept answer of a key that ran here.
+/// The sent_stream answer of a key that ran here.
 static void
-answer_fetch (agt_agent_t *agent, kb_slice_t peer, const msg_dispatch_t *d)
+send_stored_answer (agt_agent_t *agent, kb_slice_t peer,
+                    const msg_dispatch_t *d)
 {
   clm_run_t *run = clm_runner_find_key (&agent->claims, d->claim_key);
   if (run == NULL || run->state != CLM_RUN_DONE || run->answer == NULL)
@@ -106,7 +107,7 @@
 
 /// The worst waiting request, if the new one is of a better class.
 static agt_request_t *
-worse_than (agt_agent_t *agent, uint64_t priority_class)
+find_lower_class (agt_agent_t *agent, uint64_t priority_class)
 {
   for (int c = SCH_CLASSES - 1; c > (int)priority_class; c--)
     {
@@ -124,32 +125,32 @@
 admission_refusal (agt_agent_t *agent, const msg_dispatch_t *d,
                    uint64_t *retry_after_ms)
 {
-  *retry_after_ms = REFUSE_RETRY_MS;
+  *retry_after_ms = REFUSAL_RETRY_MS;
   uint64_t pause_ms = agt_backpressure_pause_ms (agent);
   if (pause_ms > 0)
     {
       *retry_after_ms = pause_ms;
       return "the target asks for a pause";
     }
-  if (agt_state (agent) == MSG_STATE_LEAVING)
+  if (agt_reported_state (agent) == MSG_STATE_LEAVING)
     return "the target is leaving";
   if (!agent->is_engine_up)
     return "the target does not answer";
   // An entry that was cut off keeps dispatching by an old configuration. It
   // gets the time that a change may take everywhere, then no more.
   if (d->revision < agent->revision
-      && tmr_now_ms () - agent->revision_since_ms > STALE_REVISION_MS)
+      && tmr_now_ms () - agent->revision_since_ms > STALE_REVISION_GRACE_MS)
     return "the entry's configuration is stale";
   if (agent->queue.waiting >= (uint32_t)agent->daemon->settings.queue_limit)
     {
-      agt_request_t *worse = worse_than (agent, d->priority_class);
-      if (worse == NULL)
+      agt_request_t *evicted = find_lower_class (agent, d->priority_class);
+      if (evicted == NULL)
         {
           *retry_after_ms
               = agt_expected_wait_ms (agent, (uint8_t)d->priority_class);
           return "the queue is full";
         }
-      agt_run_refuse (worse, "the queue is full of better classes",
+      agt_run_refuse (evicted, "the queue is full of better classes",
                       agt_expected_wait_ms (agent, SCH_CLASSES - 1));
     }
   return NULL;
@@ -178,14 +179,14 @@
   agt_peer_t *peer = agt_peer_find (agent, peer_name);
   if (peer == NULL || d->attempt == 0)
     {
-      refuse_dispatch (agent, peer_name, d, "say hello first", REFUSE_RETRY_MS,
-                       MSG_OUTCOME_NOT_RUN);
+      refuse_dispatch (agent, peer_name, d, "say hello first",
+                       REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
       return;
     }
-  agt_note_revision (agent, d->revision);
+  agt_record_revision (agent, d->revision);
   if (d->flags & MSG_FLAG_FETCH)
     {
-      answer_fetch (agent, peer_name, d);
+      send_stored_answer (agent, peer_name, d);
       return;
     }
   uint64_t retry_after_ms;
@@ -205,12 +206,12 @@
                        MSG_OUTCOME_NOT_RUN);
       return;
     }
-  if (d->claim_key != 0 && !agent->is_fence_known)
+  if (d->claim_key != 0 && !agent->is_registered)
     {
       // An agent that no new owner can find on the roster must not run keyed
       // work: its memory would be missing from a rebuild.
       refuse_dispatch (agent, peer_name, d, "the agent is not registered yet",
-                       REFUSE_RETRY_MS, MSG_OUTCOME_NOT_RUN);
+                       REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
       return;
     }
   clm_admit_t admit
@@ -226,12 +227,12 @@
   if (admit != CLM_ADMIT_OK)
     {
       refuse_dispatch (agent, peer_name, d, claim_refusal (admit),
-                       REFUSE_RETRY_MS, MSG_OUTCOME_NOT_RUN);
+                       REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
       return;
     }
   agt_request_t *r = request_new (agent, peer, d);
   if (r->item.adapter != 0)
-    agt_model_remember (agent, r->model);
+    agt_model_register (agent, r->model);
   slt_slot_t *slot = r->item.adapter == 0
                          ? NULL
                          : slt_find (&agent->slots, r->item.adapter);
@@ -247,5 +248,5 @@
       agt_run_refuse (r, "the deadline cannot be met", wait_ms);
       return;
     }
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
--- a/src/daemon/agent_backpressure.c
+++ b/src/daemon/agent_backpressure.c
@@ -10,28 +10,29 @@
   US_PER_MS = 1000,
   /// A plain target that has left and come back is not told apart from one
   /// that leaves: one request finds out.
-  LEAVING_LASTS_MS = 60000,
+  LEAVING_EXPIRY_MS = 60000,
 };
 
 static void
-note_limit (agt_request_t *r, const eng_head_t *head)
+apply_limit (agt_request_t *r, const eng_head_t *head)
 {
   agt_agent_t *agent = r->agent;
-  bkp_limit_t heard = agent->meter.limit;
-  bool is_change = bkp_limit_heard (&heard, head->limit_per_s,
-                                    r->started_us / US_PER_MS, tmr_now_ms ());
-  bkp_meter_told (&agent->meter, &heard, tmr_now_ms ());
-  if (!is_change)
+  bkp_limit_t new_limit = agent->meter.limit;
+  bool has_changed = bkp_limit_heard (
+      &new_limit, head->limit_per_s, r->started_us / US_PER_MS, tmr_now_ms ());
+  bkp_meter_told (&agent->meter, &new_limit, tmr_now_ms ());
+  if (!has_changed)
     return;
   log_write (LOG_INFO, "engine",
-             heard.is_limited ? "The target takes %.3f requests a second."
-                              : "The target takes all requests again (%.0f).",
-             heard.per_s);
+             new_limit.is_limited
+                 ? "The target takes %.3f requests a second."
+                 : "The target takes all requests again (%.0f).",
+             new_limit.per_s);
 }
 
 /// A shorter pause does not end a longer one.
 static void
-note_pause (agt_agent_t *agent, uint64_t pause_ms)
+apply_pause (agt_agent_t *agent, uint64_t pause_ms)
 {
   uint64_t until_ms = tmr_now_ms () + pause_ms;
   if (until_ms <= agent->paused_until_ms)
@@ -43,7 +44,7 @@
 }
 
 void
-agt_backpressure_note (agt_request_t *r, const eng_head_t *head)
+agt_backpressure_apply_head (agt_request_t *r, const eng_head_t *head)
 {
   enum
   {
@@ -56,9 +57,9 @@
                  head->malformed);
     }
   if (!head->is_limit_malformed)
-    note_limit (r, head);
+    apply_limit (r, head);
   if (head->http_status == HTTP_UNAVAILABLE && head->retry_after_ms > 0)
-    note_pause (r->agent, head->retry_after_ms);
+    apply_pause (r->agent, head->retry_after_ms);
 }
 
 uint64_t
@@ -71,17 +72,17 @@
 uint64_t
 agt_backpressure_wait_ms (const agt_agent_t *agent, uint8_t priority_class)
 {
-  uint32_t ahead = 0;
+  uint32_t ahead_count = 0;
   for (int c = 0; c <= priority_class; c++)
-    ahead += agent->queue.waiting_by_class[c];
-  return bkp_meter_wait_ms (&agent->meter, ahead, tmr_now_ms ());
+    ahead_count += agent->queue.waiting_by_class[c];
+  return bkp_meter_wait_ms (&agent->meter, ahead_count, tmr_now_ms ());
 }
 
 static bool
 is_leaving (const agt_agent_t *agent)
 {
-  uint64_t said_ms = agent->engine.leaving_ms;
-  return said_ms > 0 && tmr_now_ms () - said_ms < LEAVING_LASTS_MS;
+  uint64_t reported_ms = agent->engine.leaving_ms;
+  return reported_ms > 0 && tmr_now_ms () - reported_ms < LEAVING_EXPIRY_MS;
 }
 
 bool
@@ -91,13 +92,13 @@
 }
 
 msg_state_t
-agt_state (const agt_agent_t *agent)
+agt_reported_state (const agt_agent_t *agent)
 {
   return agt_backpressure_is_closed (agent) ? MSG_STATE_LEAVING : agent->state;
 }
 
 void
-agt_backpressure_forget (agt_agent_t *agent)
+agt_backpressure_reset (agt_agent_t *agent)
 {
   agent->engine.leaving_ms = 0;
   agent->paused_until_ms = 0;
--- a/src/daemon/agent_defs.h
+++ b/src/daemon/agent_defs.h
@@ -17,7 +17,7 @@
   AGT_MAX_PEERS = 512,
   AGT_NAME_BYTES = 48,
   AGT_MODEL_BYTES = 272,
-  AGT_MAX_BREAKS = 64,
+  AGT_MAX_BROKEN_RUNS = 64,
 };
 
 /// An entry that said hello.
@@ -26,7 +26,7 @@
   char name[AGT_NAME_BYTES];
   uint64_t id;
   uint64_t incarnation;
-  uint64_t heard_ms;
+  uint64_t last_contact_ms;
   uint64_t revision;
   uint32_t inflight; ///< Its requests here.
 } agt_peer_t;
@@ -55,18 +55,19 @@
   aln_request_t alone;
 
   eng_run_t *run;
-  kb_buf_t answer; ///< Unary: the whole answer. Stream: not yet split.
-  kb_buf_t kept;   ///< Keyed stream: what was sent, for re-sends.
+  kb_buf_t answer;      ///< Unary: the whole answer. Stream: not yet split.
+  kb_buf_t sent_stream; ///< Keyed stream: what was sent, for re-sends.
   char content_type[64];
   int http_status;
   uint64_t seq;
-  bool is_whole; ///< The end mark of a stream was seen.
+  bool has_end_mark; ///< The end mark of a stream was seen.
   bool is_wrong_model;
   uint32_t reruns; ///< Times the engine did not know the adapter.
   uint64_t arrived_us;
   uint64_t arrived_wall_us;
   uint64_t started_us;
-  uint64_t begun_ms; ///< When the first byte of its answer came; zero: none.
+  uint64_t
+      first_byte_ms; ///< When the first byte of its answer came; zero: none.
   uint64_t load_us;  ///< Time spent waiting for its adapter's load.
   uint64_t not_resident_since_us; ///< Zero when it does not wait for a load.
 } agt_request_t;
@@ -86,17 +87,17 @@
   uint64_t started_us;
 } agt_order_t;
 
-/// The wish for a load that stands at the gate.
+/// The load_permit for a load that stands at the gate.
 typedef struct
 {
-  bool is_asked;
+  bool is_requested;
   bool is_granted;
-  bool is_own_share; ///< Granted by the fallback; nothing to give back.
+  bool is_from_own_share; ///< Granted by the fallback; nothing to give back.
   uint64_t id;
-  uint64_t asked_ms; ///< First asked, for the fallback.
-  uint64_t sent_ms;  ///< Last sent.
+  uint64_t requested_ms; ///< First asked, for the fallback.
+  uint64_t sent_ms;      ///< Last sent.
   char gate[AGT_NAME_BYTES];
-} agt_wish_t;
+} agt_load_permit_t;
 
 /// A run that broke off while it was beginning. If the target has ended, it
 /// may be the cause.
@@ -106,7 +107,7 @@
   uint64_t caller;  ///< Hash of its workspace.
   uint64_t at_ms;
   bool is_alone;
-} agt_break_t;
+} agt_broken_run_t;
 
 struct agt_agent
 {
@@ -119,12 +120,13 @@
   bkp_meter_t meter;        ///< Of the requests that the target takes.
   uint64_t paused_until_ms; ///< The target wants no request before.
   tmr_sub_t meter_timer;
-  qrt_table_t quarantine;             ///< Of ends of this target.
-  agt_break_t breaks[AGT_MAX_BREAKS]; ///< The newest, in a ring.
-  uint32_t break_count;
-  uint32_t end_count; ///< Ends of the target that were seen.
-  kb_map_t requests;  ///< By attempt.
-  kb_map_t models;    ///< By adapter hash: agt_model_t.
+  qrt_table_t quarantine; ///< Of ends of this target.
+  agt_broken_run_t
+      broken_runs[AGT_MAX_BROKEN_RUNS]; ///< The newest, in a ring.
+  uint32_t broken_run_count;
+  uint32_t target_end_count; ///< Ends of the target that were seen.
+  kb_map_t requests;         ///< By attempt.
+  kb_map_t models;           ///< By adapter hash: agt_model_t.
   agt_peer_t peers[AGT_MAX_PEERS];
   uint32_t peer_count;
   msg_state_t state;
@@ -133,24 +135,24 @@
   bool is_reconciled; ///< The engine's list was compared at least once.
   char engine_incarnation[64];
   agt_order_t order;
-  agt_wish_t wish;
-  lim_bucket_t own_share;
+  agt_load_permit_t load_permit;
+  lim_bucket_t own_load_share;
   uint32_t target_count; ///< Engines in the region, as entries tell.
   uint64_t fence;
   uint64_t fence_mod_revision;
-  bool is_fence_known;    ///< Registered at the key-value service.
-  bool is_fence_in_doubt; ///< The process was paused; check before orders.
+  bool is_registered;       ///< Registered at the key-value service.
+  bool is_fence_unverified; ///< The process was paused; check before orders.
   uint64_t memory_since_wall_ms;
   uint64_t revision; ///< Highest configuration revision heard of.
   uint64_t revision_since_ms;
-  uint64_t tick_ms;
-  double service_ms; ///< Moving average of a run.
+  uint64_t last_tick_ms;
+  double mean_run_ms; ///< Moving average of a run.
   uint64_t stall_us_total;
   uint64_t fill_sum;   ///< Running requests summed over ticks.
   uint64_t fill_ticks; ///< Ticks with work.
   uint64_t drain_started_ms;
-  bool is_leaving_said;
-  bool is_memory_kept; ///< An entry confirmed the memory of claims.
+  bool is_handover_started;
+  bool is_handover_confirmed; ///< An entry confirmed the memory of claims.
   tmr_sub_t tick;
   tmr_sub_t poll;
   tmr_sub_t retry_fence;
@@ -160,13 +162,13 @@
 };
 
 /// Do whatever can be done now: start runs, loads and evictions.
-void agt_pump (agt_agent_t *agent);
+void agt_schedule_work (agt_agent_t *agent);
 
 // agent.c
 /// @return  The entry of that name, or NULL before its hello.
 agt_peer_t *agt_peer_find (agt_agent_t *agent, kb_slice_t name);
 /// Some daemon is at this configuration revision.
-void agt_note_revision (agt_agent_t *agent, uint64_t revision);
+void agt_record_revision (agt_agent_t *agent, uint64_t revision);
 
 // agent_admit.c
 /// Take a dispatched attempt or refuse it.
@@ -190,7 +192,7 @@
 /// Refuse everything that waits.
 void agt_run_refuse_all (agt_agent_t *agent, const char *reason);
 /// An entry is lost: stop its idempotent work, nobody waits for it.
-void agt_run_peer_lost (agt_agent_t *agent, uint64_t peer);
+void agt_run_cancel_peer (agt_agent_t *agent, uint64_t peer);
 /// @return  Expected wait of new work of a class, milliseconds.
 uint64_t agt_expected_wait_ms (const agt_agent_t *agent,
                                uint8_t priority_class);
@@ -198,7 +200,7 @@
 
 // agent_backpressure.c
 /// Take what the target says about itself in the head of its answer.
-void agt_backpressure_note (agt_request_t *r, const eng_head_t *head);
+void agt_backpressure_apply_head (agt_request_t *r, const eng_head_t *head);
 /// @return  How much longer the target wants no request.
 uint64_t agt_backpressure_pause_ms (const agt_agent_t *agent);
 /// @return  Time until a new request of a class may start, by the limit.
@@ -209,32 +211,32 @@
 bool agt_backpressure_is_closed (const agt_agent_t *agent);
 /// @return  What entries are told: this process leaves, or its target takes
 ///          nothing new.
-msg_state_t agt_state (const agt_agent_t *agent);
+msg_state_t agt_reported_state (const agt_agent_t *agent);
 /// The target is another incarnation, which has stated nothing.
-void agt_backpressure_forget (agt_agent_t *agent);
+void agt_backpressure_reset (agt_agent_t *agent);
 
 // agent_quarantine.c
 /// A run's connection broke; whether the target ended is looked up next.
-void agt_quarantine_note_break (agt_request_t *r);
+void agt_quarantine_record_broken_run (agt_request_t *r);
 /// The target has ended since its last good word.
-void agt_quarantine_target_ended (agt_agent_t *agent);
+void agt_quarantine_record_target_end (agt_agent_t *agent);
 /// Tell an entry all that is known here.
-void agt_quarantine_tell (agt_agent_t *agent, const agt_peer_t *peer);
+void agt_quarantine_send (agt_agent_t *agent, const agt_peer_t *peer);
 /// Refuse waiting requests that are to begin alone and can not.
-void agt_quarantine_expire (agt_agent_t *agent);
+void agt_quarantine_refuse_blocked (agt_agent_t *agent);
 
 // agent_engine.c
 /// Keep the name of an adapter that holds a slot or has requests.
 /// @return  Its hash.
-uint64_t agt_model_remember (agt_agent_t *agent, const char *name);
+uint64_t agt_model_register (agt_agent_t *agent, const char *name);
 void agt_engine_load (agt_agent_t *agent, uint64_t adapter);
 void agt_engine_unload (agt_agent_t *agent, uint64_t adapter);
 /// Ask the engine's list and reconcile the slot table with it.
 void agt_engine_poll (agt_agent_t *agent);
-/// Keep the wish at the load gate in step with what is wanted.
+/// Keep the load_permit at the load gate in step with what is wanted.
 void agt_gate_update (agt_agent_t *agent);
-void agt_gate_granted (agt_agent_t *agent, uint64_t id);
-void agt_gate_give_back (agt_agent_t *agent);
+void agt_gate_on_grant (agt_agent_t *agent, uint64_t id);
+void agt_gate_release (agt_agent_t *agent);
 
 // agent_fence.c
 /// Take a fencing number, retrying in the background.
--- a/src/daemon/agent_engine.c
+++ b/src/daemon/agent_engine.c
@@ -10,11 +10,11 @@
 
 enum
 {
-  GATE_SILENCE_MS = 1500, ///< Without a grant this long: use the own share.
-  GATE_RENEW_MS = 500,
-  PEER_LIVE_MS = 20000,
-  LOAD_FAILURES_TO_REFUSE = 2,
-  RETRY_ELSEWHERE_MS = 500,
+  GATE_TIMEOUT_MS = 1500, ///< Without a grant this long: use the own share.
+  GATE_RENEW_INTERVAL_MS = 500,
+  PEER_TIMEOUT_MS = 20000,
+  MAX_LOAD_FAILURES = 2,
+  RETRY_AT_OTHER_TARGET_MS = 500,
 };
 
 static const char *
@@ -25,7 +25,7 @@
 }
 
 uint64_t
-agt_model_remember (agt_agent_t *agent, const char *name)
+agt_model_register (agt_agent_t *agent, const char *name)
 {
   uint64_t adapter = kb_hash (name, strlen (name), 0) | 1;
   if (kb_map_get (&agent->models, adapter) == NULL)
@@ -50,7 +50,7 @@
 /// Another process gave the engine a newer fencing number: this one is no
 /// longer the owner and must not order anything any more.
 static void
-ownership_lost (agt_agent_t *agent)
+leave_after_ownership_loss (agt_agent_t *agent)
 {
   log_write (LOG_ERROR, "fence",
              "The engine refused an old fencing number; leaving.");
@@ -63,7 +63,7 @@
 {
   sch_item_t *item;
   while ((item = sch_first_of (&agent->queue, adapter)) != NULL)
-    agt_run_refuse ((agt_request_t *)item, reason, RETRY_ELSEWHERE_MS);
+    agt_run_refuse ((agt_request_t *)item, reason, RETRY_AT_OTHER_TARGET_MS);
 }
 
 static void
@@ -75,7 +75,7 @@
   bool is_loaded = status == KB_OK;
   agent->order.is_busy = false;
   sch_note_load_end (&agent->queue, adapter, is_loaded, now_us);
-  agt_gate_give_back (agent);
+  agt_gate_release (agent);
   if (is_loaded)
     {
       MET_INC ("knapweedbay_loads_total", "result=\"ok\"");
@@ -89,17 +89,17 @@
       MET_INC ("knapweedbay_loads_total", "result=\"failed\"");
       log_write (LOG_WARN, "load", "Load of %s failed (%s).",
                  model_name (agent, adapter), kb_status_name (status));
-      if (sch_failed_loads (&agent->queue, adapter) >= LOAD_FAILURES_TO_REFUSE)
+      if (sch_failed_loads (&agent->queue, adapter) >= MAX_LOAD_FAILURES)
         refuse_group (agent, adapter, "the adapter cannot be loaded here");
       model_release (agent, adapter);
     }
   if (status == KB_ECONFLICT)
-    ownership_lost (agent);
+    leave_after_ownership_loss (agent);
   // A load whose answer was lost may have taken a slot of the engine that
   // the table does not know; the engine's list tells.
   if (status == KB_EUNKNOWN)
     agt_engine_poll (agent);
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 void
@@ -129,8 +129,8 @@
   if (is_unloaded)
     model_release (agent, adapter);
   if (status == KB_ECONFLICT)
-    ownership_lost (agent);
-  agt_pump (agent);
+    leave_after_ownership_loss (agent);
+  agt_schedule_work (agent);
 }
 
 void
@@ -146,8 +146,8 @@
 }
 
 static bool
-list_has (agt_agent_t *agent, uint64_t adapter, const char *const *models,
-          uint32_t count)
+is_model_listed (agt_agent_t *agent, uint64_t adapter,
+                 const char *const *models, uint32_t count)
 {
   const char *name = model_name (agent, adapter);
   for (uint32_t i = 0; i < count; i++)
@@ -165,14 +165,14 @@
     {
       slt_slot_t *slot = &agent->slots.slots[i];
       if (slot->key == 0 || slot->state != SLT_RESIDENT || slot->pins > 0
-          || list_has (agent, slot->key, models, count))
+          || is_model_listed (agent, slot->key, models, count))
         continue;
       MET_INC ("knapweedbay_slots_forgotten_total", "");
       slt_forget (&agent->slots, slot->key);
     }
   for (uint32_t i = 0; i < count; i++)
     {
-      uint64_t adapter = agt_model_remember (agent, models[i]);
+      uint64_t adapter = agt_model_register (agent, models[i]);
       uint64_t now_us = tmr_now_us ();
       if (slt_find (&agent->slots, adapter) != NULL
           || slt_begin_load (&agent->slots, adapter, now_us) == NULL)
@@ -191,17 +191,17 @@
       if (agent->is_engine_up)
         log_write (LOG_WARN, "engine", "The engine does not answer.");
       agent->is_engine_up = false;
-      agt_quarantine_target_ended (agent);
+      agt_quarantine_record_target_end (agent);
       return;
     }
-  bool is_cold = agent->engine_incarnation[0] != '\0'
-                 && strcmp (agent->engine_incarnation, incarnation) != 0;
-  if (is_cold)
+  bool has_restarted = agent->engine_incarnation[0] != '\0'
+                       && strcmp (agent->engine_incarnation, incarnation) != 0;
+  if (has_restarted)
     {
       log_write (LOG_WARN, "engine", "The engine restarted cold.");
       MET_INC ("knapweedbay_engine_restarts_total", "");
-      agt_backpressure_forget (agent);
-      agt_quarantine_target_ended (agent);
+      agt_backpressure_reset (agent);
+      agt_quarantine_record_target_end (agent);
     }
   snprintf (agent->engine_incarnation, sizeof agent->engine_incarnation, "%s",
             incarnation);
@@ -212,7 +212,7 @@
       agent->is_reconciled = true;
     }
   agent->is_engine_up = true;
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 void
@@ -238,7 +238,8 @@
     {
       agt_peer_t *peer = &agent->peers[i];
       uint64_t weight = kb_hash (&peer->id, sizeof peer->id, 0x67617465);
-      if (now - peer->heard_ms > PEER_LIVE_MS || weight < best_weight)
+      if (now - peer->last_contact_ms > PEER_TIMEOUT_MS
+          || weight < best_weight)
         continue;
       best = peer;
       best_weight = weight;
@@ -247,70 +248,73 @@
 }
 
 static void
-gate_ask (agt_agent_t *agent, const sch_action_t *wanted)
+request_load_permit (agt_agent_t *agent, const sch_action_t *wanted)
 {
-  agt_wish_t *wish = &agent->wish;
+  agt_load_permit_t *load_permit = &agent->load_permit;
   agt_peer_t *gate = gate_peer (agent);
   uint64_t now = tmr_now_ms ();
-  if (!wish->is_asked)
+  if (!load_permit->is_requested)
     {
-      *wish = (agt_wish_t){ .is_asked = true,
-                            .id = dmn_random () | 1,
-                            .asked_ms = now };
+      *load_permit = (agt_load_permit_t){ .is_requested = true,
+                                          .id = dmn_random () | 1,
+                                          .requested_ms = now };
     }
-  else if (now - wish->sent_ms < GATE_RENEW_MS)
+  else if (now - load_permit->sent_ms < GATE_RENEW_INTERVAL_MS)
     return;
-  wish->sent_ms = now;
+  load_permit->sent_ms = now;
   if (gate == NULL)
     return;
-  snprintf (wish->gate, sizeof wish->gate, "%s", gate->name);
+  snprintf (load_permit->gate, sizeof load_permit->gate, "%s", gate->name);
   msg_t msg = { .type = MSG_GATE_ASK };
-  msg.gate_ask = (msg_gate_ask_t){ .id = wish->id,
+  msg.gate_ask = (msg_gate_ask_t){ .id = load_permit->id,
                                    .waiting = wanted->waiting,
                                    .priority_class = wanted->priority_class };
   // A gate that cannot be reached gives way to the next entry at once.
-  if (dmn_send (agent->daemon, wish->gate, &msg) == KB_OK)
+  if (dmn_send (agent->daemon, load_permit->gate, &msg) == KB_OK)
     return;
-  gate->heard_ms = 0;
-  wish->sent_ms = 0;
+  gate->last_contact_ms = 0;
+  load_permit->sent_ms = 0;
 }
 
 /// Without a reachable gate each agent keeps to its share of the rate.
 static void
 gate_try_own_share (agt_agent_t *agent)
 {
-  agt_wish_t *wish = &agent->wish;
+  agt_load_permit_t *load_permit = &agent->load_permit;
   uint64_t now = tmr_now_ms ();
   agt_peer_t *gate = gate_peer (agent);
-  bool is_gate_silent = gate == NULL || now - gate->heard_ms > GATE_SILENCE_MS;
-  if (!is_gate_silent || now - wish->asked_ms < GATE_SILENCE_MS)
+  bool is_gate_unresponsive
+      = gate == NULL || now - gate->last_contact_ms > GATE_TIMEOUT_MS;
+  if (!is_gate_unresponsive
+      || now - load_permit->requested_ms < GATE_TIMEOUT_MS)
     return;
   uint32_t count = agent->target_count > 0 ? agent->target_count : 1;
-  agent->own_share.rate_per_s
+  agent->own_load_share.rate_per_s
       = agent->daemon->settings.load_rate_per_s / count;
   uint64_t retry_after_ms;
-  if (!lim_bucket_take (&agent->own_share, now, &retry_after_ms))
+  if (!lim_bucket_take (&agent->own_load_share, now, &retry_after_ms))
     return;
   MET_INC ("knapweedbay_loads_own_share_total", "");
   // It counts as lost until it is heard again, so that the next load does not
   // wait for it as well.
   if (gate != NULL)
-    gate->heard_ms = 0;
-  wish->is_granted = true;
-  wish->is_own_share = true;
+    gate->last_contact_ms = 0;
+  load_permit->is_granted = true;
+  load_permit->is_from_own_share = true;
 }
 
 void
-agt_gate_give_back (agt_agent_t *agent)
+agt_gate_release (agt_agent_t *agent)
 {
-  agt_wish_t *wish = &agent->wish;
-  if (wish->is_asked && !wish->is_own_share && wish->gate[0] != '\0')
+  agt_load_permit_t *load_permit = &agent->load_permit;
+  if (load_permit->is_requested && !load_permit->is_from_own_share
+      && load_permit->gate[0] != '\0')
     {
       msg_t msg = { .type = MSG_GATE_DONE };
-      msg.gate_done.id = wish->id;
-      dmn_send (agent->daemon, wish->gate, &msg);
+      msg.gate_done.id = load_permit->id;
+      dmn_send (agent->daemon, load_permit->gate, &msg);
     }
-  *wish = (agt_wish_t){ 0 };
+  *load_permit = (agt_load_permit_t){ 0 };
 }
 
 void
@@ -321,21 +325,21 @@
   sch_action_t wanted = sch_wanted_load (&agent->queue, tmr_now_us ());
   if (wanted.kind == SCH_IDLE)
     {
-      if (agent->wish.is_asked)
-        agt_gate_give_back (agent);
+      if (agent->load_permit.is_requested)
+        agt_gate_release (agent);
       return;
     }
-  if (agent->wish.is_granted)
+  if (agent->load_permit.is_granted)
     return;
-  gate_ask (agent, &wanted);
+  request_load_permit (agent, &wanted);
   gate_try_own_share (agent);
 }
 
 void
-agt_gate_granted (agt_agent_t *agent, uint64_t id)
+agt_gate_on_grant (agt_agent_t *agent, uint64_t id)
 {
-  if (!agent->wish.is_asked || agent->wish.id != id)
+  if (!agent->load_permit.is_requested || agent->load_permit.id != id)
     return;
-  agent->wish.is_granted = true;
-  agt_pump (agent);
+  agent->load_permit.is_granted = true;
+  agt_schedule_work (agent);
 }
--- a/src/daemon/agent_fence.c
+++ b/src/daemon/agent_fence.c
@@ -36,13 +36,13 @@
                  agent->memory_since_wall_ms);
 }
 
-static void fence_read (void *arg);
+static void read_fence (void *arg);
 
 static void
-fence_retry (agt_agent_t *agent)
+retry_read_fence (agt_agent_t *agent)
 {
   uint64_t delay = FENCE_RETRY_MS + dmn_random () % FENCE_RETRY_JITTER_MS;
-  tmr_after (&agent->daemon->timers, &agent->retry_fence, delay, fence_read,
+  tmr_after (&agent->daemon->timers, &agent->retry_fence, delay, read_fence,
              agent);
 }
 
@@ -51,8 +51,8 @@
 /// incarnation on the roster and asks it, or its epoch is in the map read
 /// here. Without this a restarted agent would take a former owner's grant.
 static void
-epochs_got (void *arg, kb_status_t status, const kvc_item_t *items,
-            uint32_t count)
+on_epochs_read (void *arg, kb_status_t status, const kvc_item_t *items,
+                uint32_t count)
 {
   agt_agent_t *agent = arg;
   shm_shard_t shards[SHM_SHARDS];
@@ -60,35 +60,35 @@
       = status == KB_OK && (count == 0 || shm_parse (items[0].value, shards));
   if (!is_read)
     {
-      fence_retry (agent);
+      retry_read_fence (agent);
       return;
     }
   for (uint32_t s = 0; count > 0 && s < SHM_SHARDS; s++)
     clm_runner_raise_epoch (&agent->claims, s, shards[s].epoch);
-  agent->is_fence_known = true;
+  agent->is_registered = true;
   log_write (LOG_INFO, "fence", "Registered with number %" PRIu64 ".",
              agent->fence);
 }
 
 static void
-fence_written (void *arg, kb_status_t status, const kvc_item_t *items,
-               uint32_t count)
+on_fence_written (void *arg, kb_status_t status, const kvc_item_t *items,
+                  uint32_t count)
 {
   agt_agent_t *agent = arg;
   if (status != KB_OK)
     {
       // A conflict may be our own write whose answer was lost; the next read
       // tells by the incarnation.
-      fence_retry (agent);
+      retry_read_fence (agent);
       return;
     }
-  kvc_get (&agent->daemon->kv, SHM_KEY, epochs_got, agent);
+  kvc_get (&agent->daemon->kv, SHM_KEY, on_epochs_read, agent);
 }
 
 /// The former incarnation left gracefully: its memory of claims went to the
 /// entries, so the memory of this target is unbroken.
 static uint64_t
-memory_after (struct json_object *former, uint64_t now_wall_ms)
+inherit_memory_since (struct json_object *former, uint64_t now_wall_ms)
 {
   if (former == NULL)
     return 0; // Nothing ever ran here.
@@ -98,13 +98,13 @@
 }
 
 static void
-fence_got (void *arg, kb_status_t status, const kvc_item_t *items,
-           uint32_t count)
+on_fence_read (void *arg, kb_status_t status, const kvc_item_t *items,
+               uint32_t count)
 {
   agt_agent_t *agent = arg;
   if (status != KB_OK)
     {
-      fence_retry (agent);
+      retry_read_fence (agent);
       return;
     }
   struct json_object *former = NULL;
@@ -116,11 +116,11 @@
     {
       agent->fence = (uint64_t)jsn_int (former, "fence", 0);
       json_object_put (former);
-      kvc_get (&agent->daemon->kv, SHM_KEY, epochs_got, agent);
+      kvc_get (&agent->daemon->kv, SHM_KEY, on_epochs_read, agent);
       return;
     }
   uint64_t last = (uint64_t)jsn_int (former, "fence", 0);
-  agent->memory_since_wall_ms = memory_after (former, tmr_wall_ms ());
+  agent->memory_since_wall_ms = inherit_memory_since (former, tmr_wall_ms ());
   if (agent->fence <= last)
     agent->fence = last + 1;
   json_object_put (former);
@@ -129,17 +129,17 @@
   kb_buf_t value = { 0 };
   fence_value (agent, "live", &value);
   kvc_cas (&agent->daemon->kv, key, count > 0 ? items[0].mod_revision : 0,
-           kb_buf_slice (&value), fence_written, agent);
+           kb_buf_slice (&value), on_fence_written, agent);
   kb_buf_finish (&value);
 }
 
 static void
-fence_read (void *arg)
+read_fence (void *arg)
 {
   agt_agent_t *agent = arg;
   char key[KVC_KEY_BYTES];
   fence_key (agent, key, sizeof key);
-  kvc_get (&agent->daemon->kv, key, fence_got, agent);
+  kvc_get (&agent->daemon->kv, key, on_fence_read, agent);
 }
 
 void
@@ -147,19 +147,19 @@
 {
   agent->fence = tmr_wall_ms ();
   agent->memory_since_wall_ms = agent->fence;
-  fence_read (agent);
+  read_fence (agent);
 }
 
 static void
-fence_checked (void *arg, kb_status_t status, const kvc_item_t *items,
-               uint32_t count)
+on_fence_checked (void *arg, kb_status_t status, const kvc_item_t *items,
+                  uint32_t count)
 {
   agt_agent_t *agent = arg;
-  agent->is_fence_in_doubt = false;
+  agent->is_fence_unverified = false;
   if (status != KB_OK || count == 0)
     {
       // In an outage nobody can have registered in between either.
-      agt_pump (agent);
+      agt_schedule_work (agent);
       return;
     }
   struct json_object *record = NULL;
@@ -174,35 +174,35 @@
       dmn_drain (agent->daemon);
       return;
     }
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 void
 agt_fence_check (agt_agent_t *agent)
 {
-  agent->is_fence_in_doubt = true;
+  agent->is_fence_unverified = true;
   char key[KVC_KEY_BYTES];
   fence_key (agent, key, sizeof key);
-  kvc_get (&agent->daemon->kv, key, fence_checked, agent);
+  kvc_get (&agent->daemon->kv, key, on_fence_checked, agent);
 }
 
 /// The roster entry as it stands, to be replaced by "left".
 static void
-leave_written (void *arg, kb_status_t status, const kvc_item_t *items,
-               uint32_t count)
+on_leave_written (void *arg, kb_status_t status, const kvc_item_t *items,
+                  uint32_t count)
 {
   agt_agent_t *agent = arg;
   agent->on_left (agent);
 }
 
 static void
-leave_got (void *arg, kb_status_t status, const kvc_item_t *items,
-           uint32_t count)
+on_leave_read (void *arg, kb_status_t status, const kvc_item_t *items,
+               uint32_t count)
 {
   agt_agent_t *agent = arg;
   if (status != KB_OK || count == 0)
     {
-      leave_written (agent, status, NULL, 0);
+      on_leave_written (agent, status, NULL, 0);
       return;
     }
   struct json_object *record = NULL;
@@ -211,7 +211,7 @@
   json_object_put (record);
   if (!is_own)
     {
-      leave_written (agent, KB_ECONFLICT, NULL, 0);
+      on_leave_written (agent, KB_ECONFLICT, NULL, 0);
       return;
     }
   char key[KVC_KEY_BYTES];
@@ -219,7 +219,7 @@
   kb_buf_t value = { 0 };
   fence_value (agent, "left", &value);
   kvc_cas (&agent->daemon->kv, key, items[0].mod_revision,
-           kb_buf_slice (&value), leave_written, agent);
+           kb_buf_slice (&value), on_leave_written, agent);
   kb_buf_finish (&value);
 }
 
@@ -230,5 +230,5 @@
   tmr_cancel (&agent->daemon->timers, &agent->retry_fence);
   char key[KVC_KEY_BYTES];
   fence_key (agent, key, sizeof key);
-  kvc_get (&agent->daemon->kv, key, leave_got, agent);
+  kvc_get (&agent->daemon->kv, key, on_leave_read, agent);
 }
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -11,11 +11,11 @@
 
 enum
 {
-  PART_MAX_BYTES = 262144,
-  ANSWER_MAX_BYTES = 16 << 20,
-  STREAM_PENDING_MAX_BYTES = 1 << 20,
-  RERUN_LIMIT = 3,
-  REFUSE_RETRY_MS = 1000,
+  MAX_PART_BYTES = 262144,
+  MAX_ANSWER_BYTES = 16 << 20,
+  MAX_PENDING_STREAM_BYTES = 1 << 20,
+  MAX_RERUNS = 3,
+  REFUSAL_RETRY_MS = 1000,
   HTTP_NOT_FOUND = 404,
 };
 
@@ -29,7 +29,7 @@
 agt_expected_wait_ms (const agt_agent_t *agent, uint8_t priority_class)
 {
   uint64_t wait_ms = sch_expected_wait_ms (&agent->queue, priority_class,
-                                           agent->service_ms);
+                                           agent->mean_run_ms);
   uint64_t limit_ms = agt_backpressure_wait_ms (agent, priority_class);
   return wait_ms > limit_ms ? wait_ms : limit_ms;
 }
@@ -48,7 +48,7 @@
                              : sch_demand (&agent->queue, adapter) * 1000ULL
                                    / agent->queue.options.max_batch;
   end->revision = agent->revision;
-  end->state = agt_state (agent);
+  end->state = agt_reported_state (agent);
 }
 
 void
@@ -88,12 +88,12 @@
 send_parts (agt_request_t *r, kb_slice_t data)
 {
   bool is_first = r->seq == 0;
-  while (data.len_bytes > PART_MAX_BYTES)
+  while (data.len_bytes > MAX_PART_BYTES)
     {
-      send_part (r, (kb_slice_t){ data.ptr, PART_MAX_BYTES }, is_first);
+      send_part (r, (kb_slice_t){ data.ptr, MAX_PART_BYTES }, is_first);
       is_first = false;
-      data.ptr += PART_MAX_BYTES;
-      data.len_bytes -= PART_MAX_BYTES;
+      data.ptr += MAX_PART_BYTES;
+      data.len_bytes -= MAX_PART_BYTES;
     }
   send_part (r, data, is_first);
 }
@@ -120,7 +120,7 @@
   free (r->path);
   kb_buf_finish (&r->body);
   kb_buf_finish (&r->answer);
-  kb_buf_finish (&r->kept);
+  kb_buf_finish (&r->sent_stream);
   free (r);
 }
 
@@ -197,14 +197,14 @@
 }
 
 static void
-run_over (agt_request_t *r)
+run_record_end (agt_request_t *r)
 {
   agt_agent_t *agent = r->agent;
   uint64_t now_us = tmr_now_us ();
   r->run = NULL;
   sch_note_end (&agent->queue, &r->item, now_us);
-  double took_ms = (double)(now_us - r->started_us) / 1000;
-  agent->service_ms = agent->service_ms * 0.9 + took_ms * 0.1;
+  double duration_ms = (double)(now_us - r->started_us) / 1000;
+  agent->mean_run_ms = agent->mean_run_ms * 0.9 + duration_ms * 0.1;
 }
 
 static void
@@ -213,11 +213,11 @@
   agt_request_t *r = arg;
   r->http_status = head->http_status;
   kb_slice_copy (head->content_type, r->content_type, sizeof r->content_type);
-  agt_backpressure_note (r, head);
+  agt_backpressure_apply_head (r, head);
 }
 
 static bool
-request_is_stream (const agt_request_t *r)
+is_stream_answer (const agt_request_t *r)
 {
   return (r->flags & MSG_FLAG_STREAM) != 0 && r->http_status == 200
          && strncmp (r->content_type, "text/event-stream", 17) == 0;
@@ -226,7 +226,7 @@
 /// Check one event of a stream: the end mark, or a chunk that must name the
 /// adapter and version the request named.
 static bool
-event_is_good (agt_request_t *r, kb_slice_t event)
+is_event_valid (agt_request_t *r, kb_slice_t event)
 {
   const char prefix[] = "data:";
   if (event.len_bytes < sizeof prefix - 1
@@ -241,7 +241,7 @@
     }
   if (kb_slice_equal (event, kb_slice_str ("[DONE]")))
     {
-      r->is_whole = true;
+      r->has_end_mark = true;
       return true;
     }
   return oai_answer_check (event, r->model) == KB_OK;
@@ -251,54 +251,55 @@
 static void
 stream_forward (agt_request_t *r)
 {
-  size_t taken = 0;
+  size_t forwarded_bytes = 0;
   while (!r->is_wrong_model)
     {
-      char *start = r->answer.ptr + taken;
-      size_t left = r->answer.len_bytes - taken;
+      char *start = r->answer.ptr + forwarded_bytes;
+      size_t left = r->answer.len_bytes - forwarded_bytes;
       char *end = left > 1 ? memmem (start, left, "\n\n", 2) : NULL;
       if (end == NULL)
         break;
-      if (!event_is_good (r, (kb_slice_t){ start, (uint32_t)(end - start) }))
+      if (!is_event_valid (r, (kb_slice_t){ start, (uint32_t)(end - start) }))
         {
           r->is_wrong_model = true;
           break;
         }
-      taken += (size_t)(end - start) + 2;
+      forwarded_bytes += (size_t)(end - start) + 2;
     }
-  if (taken == 0)
+  if (forwarded_bytes == 0)
     return;
-  kb_slice_t ready = { r->answer.ptr, (uint32_t)taken };
-  if (r->claim_key != 0 && r->kept.len_bytes + taken <= ANSWER_MAX_BYTES)
-    kb_buf_append (&r->kept, ready.ptr, taken);
+  kb_slice_t ready = { r->answer.ptr, (uint32_t)forwarded_bytes };
+  if (r->claim_key != 0
+      && r->sent_stream.len_bytes + forwarded_bytes <= MAX_ANSWER_BYTES)
+    kb_buf_append (&r->sent_stream, ready.ptr, forwarded_bytes);
   send_parts (r, ready);
-  kb_buf_consume (&r->answer, taken);
+  kb_buf_consume (&r->answer, forwarded_bytes);
 }
 
 static void
 run_fail (agt_request_t *r, msg_outcome_t outcome, const char *reason)
 {
   agt_agent_t *agent = r->agent;
-  run_over (r);
+  run_record_end (r);
   request_end (r, outcome, reason, 0);
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 static void
 run_on_body (void *arg, kb_slice_t bytes)
 {
   agt_request_t *r = arg;
-  if (r->begun_ms == 0)
+  if (r->first_byte_ms == 0)
     {
-      r->begun_ms = tmr_now_ms ();
-      aln_begun (&r->agent->alone, &r->alone, r->begun_ms);
+      r->first_byte_ms = tmr_now_ms ();
+      aln_begun (&r->agent->alone, &r->alone, r->first_byte_ms);
     }
   kb_buf_append (&r->answer, bytes.ptr, bytes.len_bytes);
-  size_t limit = ANSWER_MAX_BYTES;
-  if (request_is_stream (r))
+  size_t limit = MAX_ANSWER_BYTES;
+  if (is_stream_answer (r))
     {
       stream_forward (r);
-      limit = STREAM_PENDING_MAX_BYTES;
+      limit = MAX_PENDING_STREAM_BYTES;
     }
   if (!r->is_wrong_model && r->answer.len_bytes <= limit)
     return;
@@ -312,10 +313,10 @@
 /// restarted cold. Its protocol refuses such a request before any work, so
 /// the request goes back to the queue and the adapter is loaded again.
 static void
-run_again_after_cold (agt_request_t *r)
+requeue_after_cold_start (agt_request_t *r)
 {
   agt_agent_t *agent = r->agent;
-  run_over (r);
+  run_record_end (r);
   aln_ended (&agent->alone, &r->alone);
   slt_slot_t *slot = slt_find (&agent->slots, r->item.adapter);
   if (slot != NULL && slot->pins == 0 && slot->state == SLT_RESIDENT)
@@ -328,29 +329,29 @@
   r->not_resident_since_us = tmr_now_us ();
   sch_add (&agent->queue, &r->item);
   agt_engine_poll (agent);
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 static void
 run_finish_stream (agt_request_t *r)
 {
   agt_agent_t *agent = r->agent;
-  if (!r->is_whole || r->answer.len_bytes > 0)
+  if (!r->has_end_mark || r->answer.len_bytes > 0)
     {
-      agt_quarantine_note_break (r);
+      agt_quarantine_record_broken_run (r);
       run_fail (r, MSG_OUTCOME_RAN_FAILED, "the engine cut its stream");
       return;
     }
-  run_over (r);
+  run_record_end (r);
   if (r->claim_key != 0)
     clm_runner_keep_answer (&agent->claims, r->attempt, r->content_type,
-                            kb_buf_slice (&r->kept));
+                            kb_buf_slice (&r->sent_stream));
   request_end (r, MSG_OUTCOME_DONE, "", 0);
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 static void
-run_finish_whole (agt_request_t *r)
+run_finish_unary (agt_request_t *r)
 {
   agt_agent_t *agent = r->agent;
   kb_slice_t answer = kb_buf_slice (&r->answer);
@@ -362,7 +363,7 @@
                 "the engine's answer is cut or names another model");
       return;
     }
-  run_over (r);
+  run_record_end (r);
   send_parts (r, answer);
   if (r->claim_key != 0 && r->http_status == 200)
     clm_runner_keep_answer (&agent->claims, r->attempt, r->content_type,
@@ -370,7 +371,7 @@
   bool is_done = r->http_status < 500;
   request_end (r, is_done ? MSG_OUTCOME_DONE : MSG_OUTCOME_RAN_FAILED,
                is_done ? "" : "the target answered with an error", 0);
-  agt_pump (agent);
+  agt_schedule_work (agent);
 }
 
 static void
@@ -381,14 +382,14 @@
   if (end == HTC_END_NOT_SENT)
     {
       agent->is_engine_up = false;
-      agt_quarantine_target_ended (agent);
+      agt_quarantine_record_target_end (agent);
       run_fail (r, MSG_OUTCOME_NOT_RUN, "the target refuses connections");
       return;
     }
   if (end != HTC_END_WHOLE)
     {
       if (end != HTC_END_TIMEOUT)
-        agt_quarantine_note_break (r);
+        agt_quarantine_record_broken_run (r);
       run_fail (r, MSG_OUTCOME_UNKNOWN,
                 end == HTC_END_TIMEOUT ? "the target is silent"
                                        : "the connection to the target broke");
@@ -396,12 +397,12 @@
     }
   bool is_unknown_model
       = r->http_status == HTTP_NOT_FOUND && (r->flags & MSG_FLAG_PLAIN) == 0;
-  if (is_unknown_model && r->reruns < RERUN_LIMIT)
-    run_again_after_cold (r);
-  else if (request_is_stream (r))
+  if (is_unknown_model && r->reruns < MAX_RERUNS)
+    requeue_after_cold_start (r);
+  else if (is_stream_answer (r))
     run_finish_stream (r);
   else
-    run_finish_whole (r);
+    run_finish_unary (r);
 }
 
 static const eng_run_events_t run_events
@@ -416,7 +417,7 @@
   bkp_meter_start (&agent->meter, now_us / 1000);
   clm_runner_note (&agent->claims, r->attempt, CLM_RUN_STARTED, tmr_now_ms ());
   r->started_us = now_us;
-  r->begun_ms = 0;
+  r->first_byte_ms = 0;
   aln_started (&agent->alone, &r->alone, now_us / 1000);
   eng_run_request_t request
       = { .method = r->method,
@@ -449,12 +450,13 @@
 }
 
 void
-agt_run_revoke (agt_agent_t *agent, kb_slice_t peer, const msg_revoke_t *v)
+agt_run_revoke (agt_agent_t *agent, kb_slice_t peer,
+                const msg_revoke_t *revoke)
 {
   msg_t msg = { .type = MSG_REVOKED };
-  msg.revoked
-      = (msg_revoked_t){ .attempt = v->attempt, .claim_key = v->claim_key };
-  if (v->incarnation != agent->daemon->incarnation)
+  msg.revoked = (msg_revoked_t){ .attempt = revoke->attempt,
+                                 .claim_key = revoke->claim_key };
+  if (revoke->incarnation != agent->daemon->incarnation)
     {
       // The attempt went to a process that is no more; that this one does
       // not know it proves nothing.
@@ -462,7 +464,7 @@
       lnk_link_send (&agent->daemon->link, peer, &msg);
       return;
     }
-  switch (clm_runner_revoke (&agent->claims, v->attempt, tmr_now_ms ()))
+  switch (clm_runner_revoke (&agent->claims, revoke->attempt, tmr_now_ms ()))
     {
     case CLM_RUN_VOIDED:
       msg.revoked.state = MSG_REVOKED_VOIDED;
@@ -486,7 +488,7 @@
   sch_item_t *item;
   while ((item = sch_first_late (&agent->queue, now_us)) != NULL)
     agt_run_refuse ((agt_request_t *)item, "the deadline passed in the queue",
-                    REFUSE_RETRY_MS);
+                    REFUSAL_RETRY_MS);
 }
 
 void
@@ -500,12 +502,12 @@
         first = group->heads[c];
       // A refusal unlinks the item; the analyzer does not follow that.
       // NOLINTNEXTLINE(clang-analyzer-unix.Malloc)
-      agt_run_refuse ((agt_request_t *)first, reason, REFUSE_RETRY_MS);
+      agt_run_refuse ((agt_request_t *)first, reason, REFUSAL_RETRY_MS);
     }
 }
 
 void
-agt_run_peer_lost (agt_agent_t *agent, uint64_t peer)
+agt_run_cancel_peer (agt_agent_t *agent, uint64_t peer)
 {
   uint64_t attempts[64];
   uint32_t count;
--- a/test/system/claim_failure_test.cc
+++ b/test/system/claim_failure_test.cc
@@ -16,7 +16,7 @@
 {
 
 ClusterOptions
-quick (int window_ms)
+short_window_options (int window_ms)
 {
   std::string window = "\"claim_window_ms\":" + std::to_string (window_ms)
                        + ",\"max_deadline_ms\":" + std::to_string (window_ms)
@@ -28,13 +28,13 @@
 }
 
 Answer
-keyed (Cluster &c, int entry, const std::string &id)
+complete_keyed (Cluster &c, int entry, const std::string &id)
 {
   return c.complete (entry, "a1@1", id, { "Idempotency-Key: " + id });
 }
 
 bool
-owns_all (Cluster &c, int entry)
+wait_owns_all_shards (Cluster &c, int entry)
 {
   return Cluster::wait_until ([&] {
     return c.status_int (c.entries[(size_t)entry].process, "shards_owned")
@@ -43,7 +43,7 @@
 }
 
 void
-kill_entry0 (Cluster &c)
+kill_and_unlist_entry0 (Cluster &c)
 {
   Cluster::kill_process (c.entries[0].process, SIGKILL);
   c.publish ({}, { "entry0" });
@@ -57,13 +57,13 @@
 // new keys are served at once, since no memory was lost.
 TEST (ClaimFailure, MemoryOutlivesGracefulReplacement)
 {
-  Cluster c (quick (60000));
+  Cluster c (short_window_options (60000));
   c.start ();
   std::vector<std::string> ids;
   for (int i = 0; i < 12; i++)
     ids.push_back ("memory" + std::to_string (i));
   for (auto &id : ids)
-    ASSERT_EQ (keyed (c, 0, id).status, 200);
+    ASSERT_EQ (complete_keyed (c, 0, id).status, 200);
   for (auto &t : c.targets)
     {
       Cluster::kill_process (t.agent, SIGTERM);
@@ -72,16 +72,16 @@
       c.publish ();
     }
   ASSERT_TRUE (c.wait_ready ());
-  kill_entry0 (c);
-  ASSERT_TRUE (owns_all (c, 1));
+  kill_and_unlist_entry0 (c);
+  ASSERT_TRUE (wait_owns_all_shards (c, 1));
   for (auto &id : ids)
     {
-      Answer again = keyed (c, 1, id);
+      Answer again = complete_keyed (c, 1, id);
       EXPECT_NE (again.status, 200) << id;
       EXPECT_NE (again.headers["x-knapweedbay-outcome"], "not_run") << id;
       EXPECT_EQ (c.runs_of (id), 1) << id;
     }
-  EXPECT_EQ (keyed (c, 1, "fresh").status, 200);
+  EXPECT_EQ (complete_keyed (c, 1, "fresh").status, 200);
 }
 
 // Owners and runners crash within one window. Nobody can tell whether an
@@ -89,30 +89,30 @@
 // passed, new keys are served again.
 TEST (ClaimFailure, DoubleCrashMakesUnseenKeysUnknown)
 {
-  Cluster c (quick (6000));
+  Cluster c (short_window_options (6000));
   c.start ();
-  ASSERT_EQ (keyed (c, 0, "before").status, 200);
+  ASSERT_EQ (complete_keyed (c, 0, "before").status, 200);
   for (auto &t : c.targets)
     {
       Cluster::kill_process (t.agent, SIGKILL);
       c.start_agent (t);
     }
-  kill_entry0 (c);
-  ASSERT_TRUE (owns_all (c, 1));
+  kill_and_unlist_entry0 (c);
+  ASSERT_TRUE (wait_owns_all_shards (c, 1));
   int unknown = 0;
   for (int i = 0; i < 24; i++)
     {
       std::string id = "unseen" + std::to_string (i);
-      Answer answer = keyed (c, 1, id);
+      Answer answer = complete_keyed (c, 1, id);
       unknown += answer.headers["x-knapweedbay-outcome"] == "unknown";
       EXPECT_EQ (c.runs_of (id), answer.status == 200 ? 1 : 0);
     }
   EXPECT_GT (unknown, 0);
-  keyed (c, 1, "before");
+  complete_keyed (c, 1, "before");
   EXPECT_EQ (c.runs_of ("before"), 1);
   EXPECT_TRUE (Cluster::wait_until ([&] {
     static int n;
-    return keyed (c, 1, "later" + std::to_string (n++)).status == 200;
+    return complete_keyed (c, 1, "later" + std::to_string (n++)).status == 200;
   }));
 }
 
@@ -121,10 +121,10 @@
 // When the service is back, all are.
 TEST (ClaimFailure, OwnerDiesInOutage)
 {
-  Cluster c (quick (60000));
+  Cluster c (short_window_options (60000));
   c.start ();
   c.fault (c.kv, "{\"down\":true}");
-  kill_entry0 (c);
+  kill_and_unlist_entry0 (c);
   std::this_thread::sleep_for (std::chrono::milliseconds (2000));
   int served = 0;
   int refused = 0;
@@ -132,7 +132,8 @@
   std::vector<Answer> answers (24);
   for (int i = 0; i < 24; i++)
     threads.emplace_back ([&, i] {
-      answers[(size_t)i] = keyed (c, 1, "outage" + std::to_string (i));
+      answers[(size_t)i]
+          = complete_keyed (c, 1, "outage" + std::to_string (i));
     });
   for (auto &t : threads)
     t.join ();
@@ -148,11 +149,11 @@
   EXPECT_GT (served, 0);
   EXPECT_GT (refused, 0);
   c.fault (c.kv, "{\"down\":false}");
-  ASSERT_TRUE (owns_all (c, 1));
+  ASSERT_TRUE (wait_owns_all_shards (c, 1));
   for (int i = 0; i < 24; i++)
     {
       std::string id = "outage" + std::to_string (i);
-      EXPECT_EQ (keyed (c, 1, id).status, 200);
+      EXPECT_EQ (complete_keyed (c, 1, id).status, 200);
       EXPECT_EQ (c.runs_of (id), 1);
     }
 }
--- a/test/system/cluster.cc
+++ b/test/system/cluster.cc
@@ -87,11 +87,11 @@
 Answer
 http_call (const std::string &method, int port, const std::string &path,
            const std::string &body, const Headers &headers, long timeout_ms,
-           bool tls)
+           bool is_tls)
 {
   Answer answer;
   CURL *curl = curl_easy_init ();
-  std::string url = std::string (tls ? "https" : "http")
+  std::string url = std::string (is_tls ? "https" : "http")
                     + "://127.0.0.1:" + std::to_string (port) + path;
   curl_slist *list = nullptr;
   for (const auto &header : headers)
@@ -114,7 +114,7 @@
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, &answer.body);
   curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, collect_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, &answer.headers);
-  answer.whole = curl_easy_perform (curl) == CURLE_OK;
+  answer.is_complete = curl_easy_perform (curl) == CURLE_OK;
   long status = 0;
   curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (curl, CURLINFO_TOTAL_TIME, &answer.seconds);
@@ -259,7 +259,7 @@
     << ",\"load_concurrency\":" << options.load_concurrency
     << ",\"inner_port\":" << inner_port << ",\"operator_key\":\""
     << kOperatorKey << "\"," << options.extra_agent;
-  if (options.curve)
+  if (options.has_curve)
     s << "\"curve_public_key\":\"" << curve_keys_[0]
       << "\",\"curve_secret_key\":\"" << curve_keys_[1]
       << "\",\"curve_agent_key\":\"" << curve_keys_[0]
@@ -282,7 +282,7 @@
     << ",\"load_concurrency\":" << options.load_concurrency
     << ",\"list_poll_ms\":200,\"operator_key\":\"" << kOperatorKey << "\","
     << options.extra_entry;
-  if (options.curve)
+  if (options.has_curve)
     s << "\"curve_public_key\":\"" << curve_keys_[2]
       << "\",\"curve_secret_key\":\"" << curve_keys_[3]
       << "\",\"curve_agent_key\":\"" << curve_keys_[0]
@@ -614,14 +614,14 @@
 Answer
 Cluster::complete (int entry, const std::string &model,
                    const std::string &prompt, const Headers &extra, int tokens,
-                   bool stream, const std::string &key)
+                   bool is_stream, const std::string &key)
 {
   Headers headers = extra;
   headers.push_back ("Authorization: Bearer " + key);
   headers.push_back ("Content-Type: application/json");
   std::string body = "{\"model\":\"" + model + "\",\"prompt\":\"" + prompt
                      + "\",\"max_tokens\":" + std::to_string (tokens)
-                     + (stream ? ",\"stream\":true}" : "}");
+                     + (is_stream ? ",\"stream\":true}" : "}");
   return http_call ("POST", entries[(size_t)entry].process.http_port,
                     "/v1/completions", body, headers, 60000);
 }
--- a/test/system/cluster.h
+++ b/test/system/cluster.h
@@ -29,7 +29,7 @@
 struct Answer
 {
   int status = 0; ///< 0: no whole answer.
-  bool whole = false;
+  bool is_complete = false;
   std::string body;
   std::map<std::string, std::string> headers;
   double seconds = 0;
@@ -40,7 +40,7 @@
 /// Blocking HTTP call.
 Answer http_call (const std::string &method, int port, const std::string &path,
                   const std::string &body = "", const Headers &headers = {},
-                  long timeout_ms = 20000, bool tls = false);
+                  long timeout_ms = 20000, bool is_tls = false);
 
 /// One target: stand-in, agent and their names.
 struct Target
@@ -73,7 +73,7 @@
   int adapters = 40;
   double load_rate_per_s = 200;
   int load_concurrency = 4;
-  bool curve = true;
+  bool has_curve = true;
   std::string extra_entry; ///< More settings, such as "\"max_inflight\":10,".
   std::string extra_agent;
   int slots = 4;
@@ -134,7 +134,7 @@
   /// A completion. @param key workspace key.
   Answer complete (int entry, const std::string &model,
                    const std::string &prompt, const Headers &extra = {},
-                   int tokens = 8, bool stream = false,
+                   int tokens = 8, bool is_stream = false,
                    const std::string &key = "kavango-key");
   static std::string text_of (const Answer &answer);
   static std::string text_of_stream (const Answer &answer);
--- a/test/system/edge_test.cc
+++ b/test/system/edge_test.cc
@@ -208,7 +208,7 @@
 TEST (Edge, MalformedInnerMessages)
 {
   ClusterOptions o;
-  o.curve = false;
+  o.has_curve = false;
   Cluster c (o);
   c.start ();
   kb::Target &t = c.targets[0];
--- a/test/system/outcome_test.cc
+++ b/test/system/outcome_test.cc
@@ -16,11 +16,11 @@
 namespace
 {
 
-const Headers kOnce = { "X-Knapweedbay-Idempotent: false" };
+const Headers kNonIdempotent = { "X-Knapweedbay-Idempotent: false" };
 
 /// The target whose stand-in counts a running request.
 kb::Target *
-target_running (Cluster &c)
+find_running_target (Cluster &c)
 {
   kb::Target *found = nullptr;
   Cluster::wait_until (
@@ -43,11 +43,11 @@
 }
 
 std::thread
-send (Cluster &c, Answer &out, const std::string &prompt,
-      const Headers &headers, int tokens, bool stream = false)
+send_async (Cluster &c, Answer &out, const std::string &prompt,
+            const Headers &headers, int tokens, bool is_stream = false)
 {
-  return std::thread ([&c, &out, prompt, headers, tokens, stream] {
-    out = c.complete (0, "a1@1", prompt, headers, tokens, stream);
+  return std::thread ([&c, &out, prompt, headers, tokens, is_stream] {
+    out = c.complete (0, "a1@1", prompt, headers, tokens, is_stream);
   });
 }
 
@@ -60,8 +60,8 @@
   Cluster c (ClusterOptions{});
   c.start ();
   Answer answer;
-  std::thread t = send (c, answer, "retry-me", {}, 300);
-  kb::Target *target = target_running (c);
+  std::thread t = send_async (c, answer, "retry-me", {}, 300);
+  kb::Target *target = find_running_target (c);
   ASSERT_NE (target, nullptr);
   Cluster::kill_process (target->agent, SIGKILL);
   t.join ();
@@ -77,8 +77,8 @@
   Cluster c (ClusterOptions{});
   c.start ();
   Answer answer;
-  std::thread t = send (c, answer, "only-once", kOnce, 300);
-  kb::Target *target = target_running (c);
+  std::thread t = send_async (c, answer, "only-once", kNonIdempotent, 300);
+  kb::Target *target = find_running_target (c);
   ASSERT_NE (target, nullptr);
   Cluster::kill_process (target->agent, SIGKILL);
   t.join ();
@@ -90,25 +90,25 @@
 // A target dies in the middle of a stream. The caller has half of the text;
 // it must not be continued with another attempt's text, and must not look
 // whole.
-TEST (Outcome, HalfStreamIsCutNotJoined)
+TEST (Outcome, PartialStreamIsNotContinued)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   Answer answer;
-  std::thread t = send (c, answer, "half", {}, 400, true);
-  kb::Target *target = target_running (c);
+  std::thread t = send_async (c, answer, "half", {}, 400, true);
+  kb::Target *target = find_running_target (c);
   ASSERT_NE (target, nullptr);
   std::this_thread::sleep_for (std::chrono::milliseconds (100));
   Cluster::kill_process (target->agent, SIGKILL);
   t.join ();
-  EXPECT_FALSE (answer.whole);
+  EXPECT_FALSE (answer.is_complete);
   EXPECT_EQ (answer.body.find ("[DONE]"), std::string::npos);
   EXPECT_EQ (c.runs_of ("half"), 1);
 }
 
 // An engine cuts its stream without the end mark and closes cleanly. The
 // caller must see a cut stream, not a short answer.
-TEST (Outcome, EngineCutStreamIsNotWhole)
+TEST (Outcome, TruncatedEngineStreamIsIncomplete)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -116,7 +116,7 @@
     if (!t.is_plain)
       c.fault (t.fake, "{\"cut_after\":3}");
   Answer answer = c.complete (0, "a1@1", "cut", {}, 10, true);
-  EXPECT_FALSE (answer.whole);
+  EXPECT_FALSE (answer.is_complete);
   EXPECT_EQ (answer.body.find ("[DONE]"), std::string::npos);
 }
 
@@ -148,7 +148,7 @@
   for (auto &t : c.targets)
     if (!t.is_plain)
       c.fault (t.fake, "{\"hung\":true}");
-  Answer answer = c.complete (0, "a1@1", "hung", kOnce, 4);
+  Answer answer = c.complete (0, "a1@1", "hung", kNonIdempotent, 4);
   EXPECT_EQ (answer.status, 504) << answer.body;
   EXPECT_EQ (c.runs_of ("hung"), 1);
 }
@@ -180,7 +180,7 @@
 
 // Loads fail at one engine. The request goes to another target and ends
 // whole; it is not run twice.
-TEST (Outcome, FailedLoadsGoElsewhere)
+TEST (Outcome, FailedLoadIsRetriedAtOtherTarget)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -261,7 +261,7 @@
 
 // Nothing can take the work: no engine is left. The refusal must be true
 // (not run) and come at once, with a time to come back, not at the deadline.
-TEST (Outcome, RefusalIsImmediateAndTrue)
+TEST (Outcome, RefusalIsImmediateAndNotRun)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -278,7 +278,7 @@
 
 // A caller hangs up. Repeatable work is stopped at the engine, since nobody
 // waits for it; work that may not be repeated is left to finish.
-TEST (Outcome, HangupCancelsOnlyRepeatableWork)
+TEST (Outcome, DisconnectCancelsOnlyIdempotentRequests)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -290,7 +290,7 @@
   EXPECT_TRUE (
       Cluster::wait_until ([&] { return c.stat_sum ("running") == 0; }, 2500));
   Headers once = auth;
-  once.push_back (kOnce[0]);
+  once.push_back (kNonIdempotent[0]);
   kb::http_call ("POST", c.entries[0].process.http_port, "/v1/completions",
                  body, once, 400);
   std::this_thread::sleep_for (std::chrono::milliseconds (1200));
@@ -299,7 +299,7 @@
 
 // Five thousand requests arrive at once. Each gets exactly one answer; every
 // refusal is true, and the daemons' memory stays bounded.
-TEST (Outcome, BurstOfFiveThousand)
+TEST (Outcome, BurstOfFiveThousandRequests)
 {
   ClusterOptions o;
   o.extra_agent = "\"queue_limit\":300,";
--- a/test/system/path_test.cc
+++ b/test/system/path_test.cc
@@ -32,7 +32,7 @@
 };
 Cluster *PathTest::cluster;
 
-TEST_F (PathTest, WholeAnswerFromNamedVersion)
+TEST_F (PathTest, CompleteAnswerFromRequestedVersion)
 {
   Answer answer = cluster->complete (0, "a1@2", "hello");
   ASSERT_EQ (answer.status, 200) << answer.body;
@@ -53,7 +53,7 @@
 {
   Answer answer = cluster->complete (0, "a3@1", "streamed", {}, 12, true);
   ASSERT_EQ (answer.status, 200) << answer.body;
-  EXPECT_TRUE (answer.whole);
+  EXPECT_TRUE (answer.is_complete);
   EXPECT_EQ (Cluster::text_of_stream (answer),
              Cluster::expected_text ("a3@1", "streamed", 12));
 }
@@ -68,7 +68,7 @@
   EXPECT_EQ (cluster->runs_of ("cell-7"), 1);
 }
 
-TEST_F (PathTest, UnknownNamesAreNamed)
+TEST_F (PathTest, UnknownNamesAreReported)
 {
   Answer answer = cluster->complete (0, "nobody@1", "x");
   EXPECT_EQ (answer.status, 404);
@@ -83,7 +83,7 @@
   EXPECT_EQ (answer.headers["x-knapweedbay-outcome"], "not_run");
 }
 
-TEST_F (PathTest, BadBodiesAreRefused)
+TEST_F (PathTest, InvalidBodiesAreRefused)
 {
   int port = cluster->entries[0].process.http_port;
   kb::Headers auth = { "Authorization: Bearer kavango-key" };
@@ -107,7 +107,7 @@
 // sending. What arrives after the close must not be answered with a reset: it
 // would discard the 413 before the client reads it, and the batch would be
 // sent again and again.
-TEST_F (PathTest, ACallerThatIsStillSendingReadsItsRefusal)
+TEST_F (PathTest, ClientStillSendingReadsRefusal)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = {};
@@ -135,7 +135,7 @@
   close (fd);
 }
 
-TEST_F (PathTest, PagesOfEveryDaemon)
+TEST_F (PathTest, DaemonPagesRespond)
 {
   int port = cluster->entries[0].process.http_port;
   EXPECT_EQ (kb::http_call ("GET", port, "/healthz").status, 200);
@@ -151,7 +151,7 @@
 // A planner's script sends the same upload twice because the first answer was
 // slow to come. The second send must not run it again: it gets the answer of
 // the first. The key is the same; through the other entry as well.
-TEST_F (PathTest, ResentKeyGetsKeptAnswer)
+TEST_F (PathTest, ResentKeyGetsStoredAnswer)
 {
   kb::Headers key = { "Idempotency-Key: upload-17" };
   Answer first = cluster->complete (0, "a4@1", "upload-17", key);
--- a/test/system/target_leaving_test.cc
+++ b/test/system/target_leaving_test.cc
@@ -14,17 +14,17 @@
 {
 
 /// New work that comes that much later reaches the target no more.
-constexpr int kBoundMs = 2000;
+constexpr int kLeaveBoundMs = 2000;
 
 void
-pause_ms (int ms)
+sleep_for_ms (int ms)
 {
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
 
 /// Press the services, one of whose targets says that it leaves.
 void
-expect_nothing_after_bound (Cluster &c, const kb::Target &leaving,
+expect_no_runs_after_bound (Cluster &c, const kb::Target &leaving,
                             Answer (*send) (Cluster &c, int entry))
 {
   std::atomic<bool> is_ended{ false };
@@ -35,15 +35,15 @@
       while (!is_ended)
         {
           failed += send (c, i % 2).status != 200;
-          pause_ms (5);
+          sleep_for_ms (5);
         }
     });
-  pause_ms (1500);
+  sleep_for_ms (1500);
   EXPECT_GT (c.runs_at (leaving), 0);
   c.fault (leaving.fake, "{\"says_leaving\":true}");
-  pause_ms (kBoundMs);
+  sleep_for_ms (kLeaveBoundMs);
   int before = c.runs_at (leaving);
-  pause_ms (1500);
+  sleep_for_ms (1500);
   EXPECT_EQ (c.runs_at (leaving) - before, 0);
   is_ended = true;
   for (std::thread &caller : callers)
@@ -68,24 +68,24 @@
 }
 
 // Guards against an agent that does not hear that its engine leaves.
-TEST (TargetLeaving, AnEngineThatSaysSoGetsNothingNew)
+TEST (TargetLeaving, LeavingEngineGetsNoNewRequests)
 {
   ClusterOptions options;
   options.engines = 2;
   Cluster c (options);
   c.start ();
-  expect_nothing_after_bound (c, c.targets[0], complete);
+  expect_no_runs_after_bound (c, c.targets[0], complete);
 }
 
 // Guards against the same at a plain target.
-TEST (TargetLeaving, APlainTargetThatSaysSoGetsNothingNew)
+TEST (TargetLeaving, LeavingPlainTargetGetsNoNewRequests)
 {
   ClusterOptions options;
   options.engines = 1;
   options.plains = 2;
   Cluster c (options);
   c.start ();
-  expect_nothing_after_bound (c, c.targets[1], call_plain);
+  expect_no_runs_after_bound (c, c.targets[1], call_plain);
 }
 
 } // namespace
--- a/test/system/target_limit_test.cc
+++ b/test/system/target_limit_test.cc
@@ -14,18 +14,18 @@
 {
 
 /// The limit binds from then on, over any window, with this tolerance.
-constexpr int kBindsAfterMs = 3000;
-constexpr int kWindowMs = 4000;
+constexpr int kSettleMs = 3000;
+constexpr int kMeasureWindowMs = 4000;
 constexpr double kLimitPerS = 5;
 
 int
-allowed ()
+max_runs_in_window ()
 {
-  return (int)(1.5 * kLimitPerS * kWindowMs / 1000) + 5;
+  return (int)(1.5 * kLimitPerS * kMeasureWindowMs / 1000) + 5;
 }
 
 void
-pause_ms (int ms)
+sleep_for_ms (int ms)
 {
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
@@ -44,26 +44,26 @@
       while (!is_ended)
         send (c, i % 2);
     });
-  pause_ms (kBindsAfterMs);
-  int most = 0;
+  sleep_for_ms (kSettleMs);
+  int max_runs = 0;
   for (int i = 0; i < 2; i++)
     {
       int before = c.runs_at (limited);
-      pause_ms (kWindowMs);
-      most = std::max (most, c.runs_at (limited) - before);
+      sleep_for_ms (kMeasureWindowMs);
+      max_runs = std::max (max_runs, c.runs_at (limited) - before);
     }
   is_ended = true;
   for (std::thread &caller : callers)
     caller.join ();
-  EXPECT_LE (most, allowed ());
-  EXPECT_GT (most, 0);
+  EXPECT_LE (max_runs, max_runs_in_window ());
+  EXPECT_GT (max_runs, 0);
 }
 
 void
 complete (Cluster &c, int entry)
 {
   c.complete (entry, "a1@1", "pressed");
-  pause_ms (5);
+  sleep_for_ms (5);
 }
 
 void
@@ -72,11 +72,11 @@
   kb::http_call ("POST", c.entries[(size_t)entry].process.http_port,
                  "/v1/services/map-query/look", "pressed",
                  { "Authorization: Bearer kavango-key" });
-  pause_ms (5);
+  sleep_for_ms (5);
 }
 
 // Guards against an agent that does not keep its engine's limit.
-TEST (TargetLimit, AnEngineGetsWhatItTakes)
+TEST (TargetLimit, EngineLimitIsKept)
 {
   ClusterOptions options;
   options.engines = 1;
@@ -86,7 +86,7 @@
 }
 
 // Guards against the same at a plain target.
-TEST (TargetLimit, APlainTargetGetsWhatItTakes)
+TEST (TargetLimit, PlainTargetLimitIsKept)
 {
   ClusterOptions options;
   options.engines = 1;
--- a/test/system/target_pause_test.cc
+++ b/test/system/target_pause_test.cc
@@ -14,13 +14,13 @@
 {
 
 /// Of the pause an agent may miss this much.
-constexpr int kHeardMs = 500;
+constexpr int kReactionMs = 500;
 /// Requests that may come within the rest of it.
-constexpr int kWithinPause = 2;
+constexpr int kMaxSendsDuringPause = 2;
 constexpr int kPauseMs = 3000;
 
 void
-pause_ms (int ms)
+sleep_for_ms (int ms)
 {
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
@@ -38,18 +38,19 @@
       while (!is_ended)
         {
           failed += send (c, i % 2).status != 200;
-          pause_ms (5);
+          sleep_for_ms (5);
         }
     });
-  pause_ms (1500);
+  sleep_for_ms (1500);
   EXPECT_GT (c.runs_at (pausing), 0);
   c.fault (pausing.fake, "{\"pause_s\":3}");
   ASSERT_TRUE (Cluster::wait_until (
       [&] { return c.stat_at (pausing, "turned_away") > 0; }));
-  pause_ms (kHeardMs);
+  sleep_for_ms (kReactionMs);
   int64_t before = c.stat_at (pausing, "turned_away");
-  pause_ms (kPauseMs - 2 * kHeardMs);
-  EXPECT_LE (c.stat_at (pausing, "turned_away") - before, kWithinPause);
+  sleep_for_ms (kPauseMs - 2 * kReactionMs);
+  EXPECT_LE (c.stat_at (pausing, "turned_away") - before,
+             kMaxSendsDuringPause);
   is_ended = true;
   for (std::thread &caller : callers)
     caller.join ();
@@ -76,7 +77,7 @@
 
 // Guards against an agent that goes on sending to an engine which asks for a
 // pause.
-TEST (TargetPause, AnEngineThatAsksForOneIsLeftAlone)
+TEST (TargetPause, EnginePauseIsKept)
 {
   ClusterOptions options;
   options.engines = 2;
@@ -86,7 +87,7 @@
 }
 
 // Guards against the same at a plain target.
-TEST (TargetPause, APlainTargetThatAsksForOneIsLeftAlone)
+TEST (TargetPause, PlainTargetPauseIsKept)
 {
   ClusterOptions options;
   options.engines = 1;
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -83,7 +83,7 @@
           = kb::http_call ("POST", c.entries[(size_t)entry].process.http_port,
                            "/v1/services/map-query/cells", job.prompt,
                            { "Authorization: Bearer " + key });
-      if (answer.status == 200 && answer.whole)
+      if (answer.status == 200 && answer.is_complete)
         return answer.body.find ("\"count\":1") != std::string::npos ? 0 : 2;
       return is_refused (answer) ? 1 : 2;
     }
@@ -96,7 +96,7 @@
     return is_refused (answer) ? 1 : 2;
   std::string text = job.stream ? kb::Cluster::text_of_stream (answer)
                                 : kb::Cluster::text_of (answer);
-  bool is_right = answer.whole
+  bool is_right = answer.is_complete
                   && text
                          == kb::Cluster::expected_text (job.model, job.prompt,
                                                         job.tokens)
--- a/tools/fleet.cc
+++ b/tools/fleet.cc
@@ -199,7 +199,7 @@
         {
           kb::Answer answer = c.complete (
               0, "a" + std::to_string (w % 8) + "@1", "s", {}, 300, true);
-          tokens += answer.whole ? 300 : 0;
+          tokens += answer.is_complete ? 300 : 0;
         }
     });
   for (auto &t : threads)
