--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -1,5 +1,5 @@
 /// @file agent.c
-/// Wiring of the agent role: messages, membership, the pump and the drain.
+/// The agent role: peer messages, membership, scheduling and the drain.
 #include "daemon/agent.h"
 
 #include <inttypes.h>
@@ -14,8 +14,7 @@
 {
   TICK_MS = 100,
   POLL_MS = 1000,
-  STALL_THRESHOLD_MS
-  = 2000, ///< A tick this late means that the process stood still.
+  STALL_THRESHOLD_MS = 2000, ///< A later tick means that the process stalled.
   PEER_TIMEOUT_MS = 6000,
   CLAIM_EXPIRE_TICKS = 50,
   MAX_HANDOVER_ENTRIES = 2,
@@ -29,7 +28,8 @@
   agt_schedule_work (arg);
 }
 
-/// Whether the target takes no request now; if so, ask again when it does.
+/// Whether the target's limit or pause forbids a request now; if so, schedule
+/// the next attempt for when it ends.
 static bool
 is_deferred_by_target (agt_agent_t *agent)
 {
@@ -82,7 +82,8 @@
   return NULL;
 }
 
-/// A place for a new peer; the one silent longest gives way.
+/// Allocate an entry of the peer table; when it is full, the peer with the
+/// oldest contact is replaced.
 static agt_peer_t *
 peer_allocate (agt_agent_t *agent)
 {
@@ -149,7 +150,7 @@
         .id = kb_hash (from.ptr, from.len_bytes, 0),
       };
       kb_slice_copy (from, peer->name, sizeof peer->name);
-      log_write (LOG_INFO, "member", "Entry %s is connected.", peer->name);
+      log_write (LOG_INFO, "member", "Entry %s connected.", peer->name);
     }
   else if (peer->incarnation != hello->incarnation)
     agt_run_cancel_peer (agent, peer->id);
@@ -260,7 +261,8 @@
     }
 }
 
-/// An entry that is lost would leave its idempotent work running for nobody.
+/// Cancel the work of entries that are silent for PEER_TIMEOUT_MS, as nobody
+/// waits for it.
 static void
 check_peers (agt_agent_t *agent, uint64_t now)
 {
@@ -269,7 +271,8 @@
       agt_peer_t *peer = &agent->peers[i];
       if (peer->inflight == 0 || now - peer->last_contact_ms < PEER_TIMEOUT_MS)
         continue;
-      log_write (LOG_WARN, "member", "Entry %s is silent with %u requests.",
+      log_write (LOG_WARN, "member",
+                 "Entry %s timed out with %u requests in progress.",
                  peer->name, peer->inflight);
       agt_run_cancel_peer (agent, peer->id);
     }
@@ -300,8 +303,8 @@
              exit_now, agent);
 }
 
-/// Give the memory of claims to entries, so that a rebuild during the window
-/// still sees it.
+/// Send the claim records to entries, so that an owner that rebuilds its
+/// claims within the claim window still receives them.
 static void
 hand_over_claims (agt_agent_t *agent)
 {
@@ -323,8 +326,8 @@
     if (dmn_send (agent->daemon, agent->peers[i].name, &msg) == KB_OK)
       sent++;
   kb_buf_finish (&records);
-  // Unless an entry confirms it, the roster must not call this a graceful
-  // leave: the next incarnation would claim a memory that nobody has.
+  // The roster may say "left" only after an entry has confirmed the records:
+  // otherwise the next incarnation would claim a history that no process has.
   tmr_after (&agent->daemon->timers, &agent->exit_timer,
              sent > 0 ? HANDOVER_TIMEOUT_MS : 0, exit_after_flush, agent);
 }
@@ -357,8 +360,8 @@
   hand_over_claims (agent);
 }
 
-/// Entries learn it at once and send nothing new; what waits goes back to
-/// them, since they can place it elsewhere sooner than it would start here.
+/// Report the state to entries at once, so that they send nothing new, and
+/// return queued requests to them: another target can start them sooner.
 static void
 announce_leaving (agt_agent_t *agent)
 {
@@ -366,8 +369,8 @@
   agt_run_refuse_all (agent, "the target takes nothing new");
 }
 
-/// Follow whether the target takes anything new. Entries would spend their
-/// retries on one that does not.
+/// Report to entries when the target stops or resumes accepting requests.
+/// Otherwise they would spend their retry budget on a closed target.
 static void
 update_target_closed (agt_agent_t *agent)
 {
@@ -375,8 +378,8 @@
   if (is_closed == agent->is_target_closed)
     return;
   agent->is_target_closed = is_closed;
-  log_write (LOG_INFO, "engine", "The target takes %s.",
-             is_closed ? "nothing new" : "work again");
+  log_write (LOG_INFO, "engine", "The target accepts %s.",
+             is_closed ? "no new requests" : "requests again");
   if (is_closed)
     announce_leaving (agent);
   else
@@ -393,8 +396,8 @@
       && !agt_is_plain (agent))
     {
       log_write (LOG_WARN, "fence",
-                 "The process stood still for %" PRIu64
-                 " ms; checking ownership.",
+                 "The process stalled for %" PRIu64
+                 " ms; checking ownership of the target.",
                  now - agent->last_tick_ms);
       agt_fence_check (agent);
     }
--- a/src/daemon/agent_admit.c
+++ b/src/daemon/agent_admit.c
@@ -1,6 +1,6 @@
 /// @file agent_admit.c
-/// Admission of dispatched attempts: what is refused, with which proof, and
-/// what is taken into the queue.
+/// Admission of dispatched attempts: each is queued, or refused with the
+/// outcome that is certain.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
   REFUSAL_RETRY_MS = 1000,
 };
 
-/// Refuse an attempt that was never taken in.
+/// Refuse an attempt that was not queued.
 static void
 refuse_dispatch (agt_agent_t *agent, kb_slice_t peer,
                  const msg_dispatch_t *dispatch, const char *reason,
@@ -75,7 +75,7 @@
   return r;
 }
 
-/// The sent_stream answer of a key that ran here.
+/// Send the stored answer of a claim key that ran here.
 static void
 send_stored_answer (agt_agent_t *agent, kb_slice_t peer,
                     const msg_dispatch_t *d)
@@ -105,7 +105,8 @@
   lnk_link_send (&agent->daemon->link, peer, &msg);
 }
 
-/// The worst waiting request, if the new one is of a better class.
+/// @return  The last queued request of the worst class below the given one, or
+///          NULL.
 static agt_request_t *
 find_lower_class (agt_agent_t *agent, uint64_t priority_class)
 {
@@ -120,7 +121,8 @@
   return NULL;
 }
 
-/// @return  Why the attempt cannot be taken, or NULL.
+/// @param retry_after_ms  Receives the wait to report with a refusal.
+/// @return                Why the attempt is refused, or NULL.
 static const char *
 admission_refusal (agt_agent_t *agent, const msg_dispatch_t *d,
                    uint64_t *retry_after_ms)
@@ -136,21 +138,21 @@
     return "the target is leaving";
   if (!agent->is_engine_up)
     return "the target does not answer";
-  // An entry that was cut off keeps dispatching by an old configuration. It
-  // gets the time that a change may take everywhere, then no more.
+  // A partitioned entry keeps dispatching by an old configuration. It is
+  // accepted for the time that a change may take to reach all entries.
   if (d->revision < agent->revision
       && tmr_now_ms () - agent->revision_since_ms > STALE_REVISION_GRACE_MS)
     return "the entry's configuration is stale";
   if (agent->queue.waiting >= (uint32_t)agent->daemon->settings.queue_limit)
     {
-      agt_request_t *evicted = find_lower_class (agent, d->priority_class);
-      if (evicted == NULL)
+      agt_request_t *displaced = find_lower_class (agent, d->priority_class);
+      if (displaced == NULL)
         {
           *retry_after_ms
               = agt_expected_wait_ms (agent, (uint8_t)d->priority_class);
           return "the queue is full";
         }
-      agt_run_refuse (evicted, "the queue is full of better classes",
+      agt_run_refuse (displaced, "the queue is full of better classes",
                       agt_expected_wait_ms (agent, SCH_CLASSES - 1));
     }
   return NULL;
@@ -198,8 +200,8 @@
       return;
     }
   // A delayed grant may be dispatched after this target restarted. Its attempt
-  // may have been voided at the former incarnation, and the key may have run
-  // there; this one remembers neither.
+  // may have been voided at the former incarnation, or its key may have run
+  // there; this incarnation has no record of either.
   if (d->incarnation != agent->daemon->incarnation)
     {
       refuse_dispatch (agent, peer_name, d, "the target was restarted", 0,
@@ -208,8 +210,9 @@
     }
   if (d->claim_key != 0 && !agent->is_registered)
     {
-      // An agent that no new owner can find on the roster must not run keyed
-      // work: its memory would be missing from a rebuild.
+      // A new owner rebuilds its claims from the agents on the roster. Keyed
+      // requests must not run at an agent that is not listed there, as its
+      // claim records would be missing.
       refuse_dispatch (agent, peer_name, d, "the agent is not registered yet",
                        REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
       return;
@@ -240,8 +243,8 @@
   if (r->item.adapter != 0 && !is_resident)
     r->not_resident_since_us = r->arrived_us;
   sch_add (&agent->queue, &r->item);
-  // Refusing now leaves the caller time to try elsewhere; waiting until the
-  // deadline would not.
+  // Refuse now: at the deadline the caller would have no time left to try
+  // another target.
   uint64_t wait_ms = agt_expected_wait_ms (agent, r->item.priority_class);
   if (wait_ms > d->deadline_ms)
     {
--- a/src/daemon/agent_backpressure.c
+++ b/src/daemon/agent_backpressure.c
@@ -1,6 +1,6 @@
 /// @file agent_backpressure.c
-/// What the target asks of its callers in the heads of its answers. All of its
-/// requests pass through this agent.
+/// Applies the rate limits, pauses and leave notices that the target states in
+/// the heads of its answers. All of its requests pass through this agent.
 #include "daemon/agent_defs.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
@@ -8,8 +8,8 @@
 enum
 {
   US_PER_MS = 1000,
-  /// A plain target that has left and come back is not told apart from one
-  /// that leaves: one request finds out.
+  /// A plain target that has restarted cannot be told from one that is still
+  /// leaving, so a request is sent after this time to find out.
   LEAVING_EXPIRY_MS = 60000,
 };
 
@@ -25,12 +25,13 @@
     return;
   log_write (LOG_INFO, "engine",
              new_limit.is_limited
-                 ? "The target takes %.3f requests a second."
-                 : "The target takes all requests again (%.0f).",
+                 ? "The target limits requests to %.3f/s."
+                 : "The target's request limit ended (%.0f/s).",
              new_limit.per_s);
 }
 
-/// A shorter pause does not end a longer one.
+/// Apply a requested pause; one that ends before the current pause has no
+/// effect.
 static void
 apply_pause (agt_agent_t *agent, uint64_t pause_ms)
 {
@@ -39,7 +40,7 @@
     return;
   agent->paused_until_ms = until_ms;
   MET_INC ("knapweedbay_target_pauses_total", "");
-  log_write (LOG_INFO, "engine", "The target asks for a pause of %llu ms.",
+  log_write (LOG_INFO, "engine", "The target requested a pause of %llu ms.",
              (unsigned long long)pause_ms);
 }
 
@@ -53,7 +54,8 @@
   if (head->malformed != NULL)
     {
       MET_INC ("knapweedbay_answer_fields_ignored_total", "");
-      log_write (LOG_WARN, "engine", "%s of an answer has no meaning.",
+      log_write (LOG_WARN, "engine",
+                 "Ignored the invalid field %s of an answer.",
                  head->malformed);
     }
   if (!head->is_limit_malformed)
--- a/src/daemon/agent_defs.h
+++ b/src/daemon/agent_defs.h
@@ -1,5 +1,5 @@
 /// @file agent_defs.h
-/// State of the agent role, shared by its files.
+/// State and internal functions of the agent role.
 #ifndef KB_DAEMON_AGENT_DEFS_H
 #define KB_DAEMON_AGENT_DEFS_H
 
@@ -20,7 +20,7 @@
   AGT_MAX_BROKEN_RUNS = 64,
 };
 
-/// An entry that said hello.
+/// An entry that has sent its hello message.
 typedef struct
 {
   char name[AGT_NAME_BYTES];
@@ -28,7 +28,7 @@
   uint64_t incarnation;
   uint64_t last_contact_ms;
   uint64_t revision;
-  uint32_t inflight; ///< Its requests here.
+  uint32_t inflight; ///< Requests it has queued or running here.
 } agt_peer_t;
 
 typedef struct agt_agent agt_agent_t;
@@ -36,12 +36,12 @@
 /// One attempt at this target.
 typedef struct
 {
-  sch_item_t item; ///< First, so that an item is its request.
+  sch_item_t item; ///< Must be first: items are cast to requests.
   agt_agent_t *agent;
   uint64_t attempt;
   uint64_t claim_key;
   uint64_t flags;
-  uint64_t peer; ///< Id of the entry that sent it.
+  uint64_t peer; ///< Id of the sending entry.
   char peer_name[AGT_NAME_BYTES];
   char model[AGT_MODEL_BYTES]; ///< "adapter@version".
   char *source;
@@ -55,30 +55,30 @@
   aln_request_t alone;
 
   eng_run_t *run;
-  kb_buf_t answer;      ///< Unary: the whole answer. Stream: not yet split.
-  kb_buf_t sent_stream; ///< Keyed stream: what was sent, for re-sends.
+  kb_buf_t answer;      ///< Whole answer, or the unsplit rest of a stream.
+  kb_buf_t sent_stream; ///< Keyed stream: events sent, kept for resends.
   char content_type[64];
   int http_status;
   uint64_t seq;
-  bool has_end_mark; ///< The end mark of a stream was seen.
+  bool has_end_mark; ///< The stream has delivered its [DONE] event.
   bool is_wrong_model;
-  uint32_t reruns; ///< Times the engine did not know the adapter.
+  uint32_t reruns; ///< Requeues because the engine did not know the adapter.
   uint64_t arrived_us;
   uint64_t arrived_wall_us;
   uint64_t started_us;
-  uint64_t
-      first_byte_ms; ///< When the first byte of its answer came; zero: none.
-  uint64_t load_us;  ///< Time spent waiting for its adapter's load.
-  uint64_t not_resident_since_us; ///< Zero when it does not wait for a load.
+  /// When the first byte of the answer arrived; zero: not yet.
+  uint64_t first_byte_ms;
+  uint64_t load_us; ///< Total time spent waiting for the adapter to load.
+  uint64_t not_resident_since_us; ///< Zero: not waiting for a load.
 } agt_request_t;
 
-/// Name and source of an adapter the agent knows by hash.
+/// Name of an adapter; elsewhere adapters are identified by its hash.
 typedef struct
 {
   char model[AGT_MODEL_BYTES];
 } agt_model_t;
 
-/// The order to the engine that is under way; one at a time.
+/// The load or unload order in progress; at most one at a time.
 typedef struct
 {
   bool is_busy;
@@ -87,24 +87,24 @@
   uint64_t started_us;
 } agt_order_t;
 
-/// The load_permit for a load that stands at the gate.
+/// The permit for one load, requested from the load gate.
 typedef struct
 {
   bool is_requested;
   bool is_granted;
-  bool is_from_own_share; ///< Granted by the fallback; nothing to give back.
+  bool is_from_own_share; ///< Taken from own_load_share; not released.
   uint64_t id;
-  uint64_t requested_ms; ///< First asked, for the fallback.
-  uint64_t sent_ms;      ///< Last sent.
+  uint64_t requested_ms; ///< First request; starts the fallback timeout.
+  uint64_t sent_ms;      ///< Last request message.
   char gate[AGT_NAME_BYTES];
 } agt_load_permit_t;
 
-/// A run that broke off while it was beginning. If the target has ended, it
-/// may be the cause.
+/// A run whose connection broke while the run was starting. If the target has
+/// ended, this request may be the cause.
 typedef struct
 {
-  uint64_t request; ///< Fingerprint; zero: none.
-  uint64_t caller;  ///< Hash of its workspace.
+  uint64_t request; ///< Fingerprint; zero: unused entry.
+  uint64_t caller;  ///< Hash of the workspace.
   uint64_t at_ms;
   bool is_alone;
 } agt_broken_run_t;
@@ -117,133 +117,142 @@
   sch_queue_t queue;
   clm_runner_t claims;
   aln_gate_t alone;
-  bkp_meter_t meter;        ///< Of the requests that the target takes.
-  uint64_t paused_until_ms; ///< The target wants no request before.
+  bkp_meter_t meter;        ///< Enforces the target's stated request rate.
+  uint64_t paused_until_ms; ///< End of the pause the target requested.
   tmr_sub_t meter_timer;
-  qrt_table_t quarantine; ///< Of ends of this target.
+  qrt_table_t quarantine; ///< Requests under which this target ended.
   agt_broken_run_t
       broken_runs[AGT_MAX_BROKEN_RUNS]; ///< The newest, in a ring.
   uint32_t broken_run_count;
-  uint32_t target_end_count; ///< Ends of the target that were seen.
-  kb_map_t requests;         ///< By attempt.
-  kb_map_t models;           ///< By adapter hash: agt_model_t.
+  uint32_t target_end_count; ///< Times the target was seen to end.
+  kb_map_t requests;         ///< agt_request_t by attempt.
+  kb_map_t models;           ///< agt_model_t by adapter hash.
   agt_peer_t peers[AGT_MAX_PEERS];
   uint32_t peer_count;
   msg_state_t state;
-  bool is_target_closed; ///< It takes nothing new, as entries were told.
+  bool is_target_closed; ///< As last reported to entries.
   bool is_engine_up;
-  bool is_reconciled; ///< The engine's list was compared at least once.
+  bool is_reconciled; ///< Slots were compared with the engine's list once.
   char engine_incarnation[64];
   agt_order_t order;
   agt_load_permit_t load_permit;
-  lim_bucket_t own_load_share;
-  uint32_t target_count; ///< Engines in the region, as entries tell.
+  lim_bucket_t own_load_share; ///< Load rate while the gate is unresponsive.
+  uint32_t target_count; ///< Engines in the region, as reported by entries.
   uint64_t fence;
   uint64_t fence_mod_revision;
-  bool is_registered;       ///< Registered at the key-value service.
-  bool is_fence_unverified; ///< The process was paused; check before orders.
-  uint64_t memory_since_wall_ms;
-  uint64_t revision; ///< Highest configuration revision heard of.
+  bool is_registered;       ///< The roster entry is written.
+  bool is_fence_unverified; ///< The process stalled; no orders until checked.
+  uint64_t memory_since_wall_ms; ///< The claim history is complete since.
+  uint64_t revision;             ///< Highest configuration revision reported.
   uint64_t revision_since_ms;
   uint64_t last_tick_ms;
-  double mean_run_ms; ///< Moving average of a run.
-  uint64_t stall_us_total;
-  uint64_t fill_sum;   ///< Running requests summed over ticks.
-  uint64_t fill_ticks; ///< Ticks with work.
+  double mean_run_ms;      ///< Moving average of the run time.
+  uint64_t stall_us_total; ///< Time that requests waited for loads.
+  uint64_t fill_sum;       ///< Running requests, summed over fill_ticks.
+  uint64_t fill_ticks;     ///< Ticks with queued or running requests.
   uint64_t drain_started_ms;
   bool is_handover_started;
-  bool is_handover_confirmed; ///< An entry confirmed the memory of claims.
+  bool is_handover_confirmed; ///< An entry has stored the claim records.
   tmr_sub_t tick;
   tmr_sub_t poll;
   tmr_sub_t retry_fence;
   tmr_sub_t exit_timer;
-  tmr_fn_t on_left; ///< Called when the roster entry says "left".
+  tmr_fn_t on_left; ///< Called when writing the "left" entry has ended.
   uint32_t ticks;
 };
 
-/// Do whatever can be done now: start runs, loads and evictions.
+/// Start the runs, loads and evictions that are possible now.
 void agt_schedule_work (agt_agent_t *agent);
 
 // agent.c
-/// @return  The entry of that name, or NULL before its hello.
+/// @return  The entry of that name, or NULL before its hello message.
 agt_peer_t *agt_peer_find (agt_agent_t *agent, kb_slice_t name);
-/// Some daemon is at this configuration revision.
+/// Record a configuration revision that another daemon reported.
 void agt_record_revision (agt_agent_t *agent, uint64_t revision);
 
 // agent_admit.c
-/// Take a dispatched attempt or refuse it.
+/// Queue a dispatched attempt or refuse it.
 void agt_run_accept (agt_agent_t *agent, kb_slice_t peer,
                      const msg_dispatch_t *dispatch);
 
 // agent_run.c
-/// Fill the load figures that go back on every reply.
+/// Fill the load figures that every end message carries.
 void agt_end_fill_load (const agt_agent_t *agent, uint64_t adapter,
                         msg_end_t *end);
 void agt_count_outcome (msg_outcome_t outcome);
 void agt_run_start (agt_agent_t *agent, agt_request_t *request);
-/// End an attempt that waits, with a proof that it did not run.
+/// End a queued attempt with the outcome "not_run".
 void agt_run_refuse (agt_request_t *request, const char *reason,
                      uint64_t retry_after_ms);
 void agt_run_cancel (agt_agent_t *agent, uint64_t attempt);
 void agt_run_revoke (agt_agent_t *agent, kb_slice_t peer,
                      const msg_revoke_t *revoke);
-/// Refuse what waits past its deadline.
+/// Refuse queued requests whose deadline has passed.
 void agt_run_expire (agt_agent_t *agent);
-/// Refuse everything that waits.
+/// Refuse all queued requests.
 void agt_run_refuse_all (agt_agent_t *agent, const char *reason);
-/// An entry is lost: stop its idempotent work, nobody waits for it.
+/// Cancel the queued and the idempotent requests of an entry that is lost, as
+/// nobody waits for them. Running non-idempotent requests finish.
 void agt_run_cancel_peer (agt_agent_t *agent, uint64_t peer);
-/// @return  Expected wait of new work of a class, milliseconds.
+/// @return  Expected wait of a new request of this class, in milliseconds.
 uint64_t agt_expected_wait_ms (const agt_agent_t *agent,
                                uint8_t priority_class);
+/// @return  Whether the target is a plain service, without adapters.
 bool agt_is_plain (const agt_agent_t *agent);
 
 // agent_backpressure.c
-/// Take what the target says about itself in the head of its answer.
+/// Apply the limit and pause stated in the head of an answer.
 void agt_backpressure_apply_head (agt_request_t *r, const eng_head_t *head);
-/// @return  How much longer the target wants no request.
+/// @return  Rest of the pause that the target requested; zero: none.
 uint64_t agt_backpressure_pause_ms (const agt_agent_t *agent);
-/// @return  Time until a new request of a class may start, by the limit.
+/// @return  Time until the target's rate limit lets a new request of this
+///          class start, behind the queued ones of this and better classes.
 uint64_t agt_backpressure_wait_ms (const agt_agent_t *agent,
                                    uint8_t priority_class);
-/// @return  Whether the target takes nothing new: it said that it leaves, or
-///          asked for a pause.
+/// @return  Whether the target accepts no new requests: it has announced that
+///          it leaves, or requested a pause.
 bool agt_backpressure_is_closed (const agt_agent_t *agent);
-/// @return  What entries are told: this process leaves, or its target takes
-///          nothing new.
+/// @return  The state reported to entries: leaving while this process leaves
+///          or the target accepts no new requests.
 msg_state_t agt_reported_state (const agt_agent_t *agent);
-/// The target is another incarnation, which has stated nothing.
+/// Discard the statements of a former incarnation of the target.
 void agt_backpressure_reset (agt_agent_t *agent);
 
 // agent_quarantine.c
-/// A run's connection broke; whether the target ended is looked up next.
+/// Record that the connection of a run broke while the run was starting, and
+/// poll the engine to find out whether the target has ended.
 void agt_quarantine_record_broken_run (agt_request_t *r);
-/// The target has ended since its last good word.
+/// The target has ended: suspect the requests whose runs broke recently.
 void agt_quarantine_record_target_end (agt_agent_t *agent);
-/// Tell an entry all that is known here.
+/// Send the whole quarantine table to an entry.
 void agt_quarantine_send (agt_agent_t *agent, const agt_peer_t *peer);
-/// Refuse waiting requests that are to begin alone and can not.
+/// Refuse queued requests that must start alone and cannot
+/// (coordination/alone.h).
 void agt_quarantine_refuse_blocked (agt_agent_t *agent);
 
 // agent_engine.c
-/// Keep the name of an adapter that holds a slot or has requests.
+/// Store the name of an adapter that holds a slot or has requests.
 /// @return  Its hash.
 uint64_t agt_model_register (agt_agent_t *agent, const char *name);
 void agt_engine_load (agt_agent_t *agent, uint64_t adapter);
 void agt_engine_unload (agt_agent_t *agent, uint64_t adapter);
-/// Ask the engine's list and reconcile the slot table with it.
+/// Request the engine's adapter list and reconcile the slot table with it.
 void agt_engine_poll (agt_agent_t *agent);
-/// Keep the load_permit at the load gate in step with what is wanted.
+/// Request, renew or release the load permit, as the queue needs it.
 void agt_gate_update (agt_agent_t *agent);
+/// The gate has granted the permit with this id.
 void agt_gate_on_grant (agt_agent_t *agent, uint64_t id);
+/// Return the load permit to the gate, or withdraw the request for it.
 void agt_gate_release (agt_agent_t *agent);
 
 // agent_fence.c
-/// Take a fencing number, retrying in the background.
+/// Obtain a fencing number and register it, retrying in the background.
 void agt_fence_start (agt_agent_t *agent);
-/// After a pause: is this process still the owner of its target?
+/// After a stall of the process, check that it still owns its target.
 void agt_fence_check (agt_agent_t *agent);
-/// At the end of a drain: say that the memory was handed over.
+/// At the end of a drain, record in the roster that the claim records were
+/// handed over.
+/// @param done  Called when the write has ended, also when it failed.
 void agt_fence_leave (agt_agent_t *agent, tmr_fn_t done);
 
 #endif
--- a/src/daemon/agent_engine.c
+++ b/src/daemon/agent_engine.c
@@ -1,6 +1,6 @@
 /// @file agent_engine.c
-/// Orders to the engine: loads and evictions, the load gate, and keeping the
-/// slot table in step with the engine's own list.
+/// Orders to the engine: loads and evictions, the permits of the load gate,
+/// and reconciliation of the slot table with the engine's adapter list.
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -10,9 +10,9 @@
 
 enum
 {
-  GATE_TIMEOUT_MS = 1500, ///< Without a grant this long: use the own share.
+  GATE_TIMEOUT_MS = 1500, ///< Then load at the own share without a grant.
   GATE_RENEW_INTERVAL_MS = 500,
-  PEER_TIMEOUT_MS = 20000,
+  GATE_PEER_TIMEOUT_MS = 20000,
   MAX_LOAD_FAILURES = 2,
   RETRY_AT_OTHER_TARGET_MS = 500,
 };
@@ -37,7 +37,7 @@
   return adapter;
 }
 
-/// A name is needed while the adapter holds a slot or has requests.
+/// Free the name of an adapter unless it holds a slot or has requests.
 static void
 model_release (agt_agent_t *agent, uint64_t adapter)
 {
@@ -47,13 +47,14 @@
   free (kb_map_remove (&agent->models, adapter));
 }
 
-/// Another process gave the engine a newer fencing number: this one is no
-/// longer the owner and must not order anything any more.
+/// Another process has used a newer fencing number at the engine: this process
+/// is no longer the owner and must not send further orders.
 static void
 leave_after_ownership_loss (agt_agent_t *agent)
 {
   log_write (LOG_ERROR, "fence",
-             "The engine refused an old fencing number; leaving.");
+             "The engine refused this agent's fencing number as outdated; "
+             "draining.");
   MET_INC ("knapweedbay_fence_refusals_total", "");
   dmn_drain (agent->daemon);
 }
@@ -79,7 +80,7 @@
   if (is_loaded)
     {
       MET_INC ("knapweedbay_loads_total", "result=\"ok\"");
-      log_write (LOG_DEBUG, "load", "Loaded %s in %llu ms.",
+      log_write (LOG_DEBUG, "load", "Loaded adapter %s in %llu ms.",
                  model_name (agent, adapter),
                  (unsigned long long)(now_us - agent->order.started_us)
                      / 1000);
@@ -87,7 +88,7 @@
   else
     {
       MET_INC ("knapweedbay_loads_total", "result=\"failed\"");
-      log_write (LOG_WARN, "load", "Load of %s failed (%s).",
+      log_write (LOG_WARN, "load", "Failed to load adapter %s (%s).",
                  model_name (agent, adapter), kb_status_name (status));
       if (sch_failed_loads (&agent->queue, adapter) >= MAX_LOAD_FAILURES)
         refuse_group (agent, adapter, "the adapter cannot be loaded here");
@@ -95,8 +96,8 @@
     }
   if (status == KB_ECONFLICT)
     leave_after_ownership_loss (agent);
-  // A load whose answer was lost may have taken a slot of the engine that
-  // the table does not know; the engine's list tells.
+  // A load whose answer was lost may occupy a slot of the engine that the
+  // table does not know; the engine's list shows it.
   if (status == KB_EUNKNOWN)
     agt_engine_poll (agent);
   agt_schedule_work (agent);
@@ -122,7 +123,7 @@
   agt_agent_t *agent = arg;
   uint64_t adapter = agent->order.adapter;
   agent->order.is_busy = false;
-  // An adapter that the engine no longer knows is as good as unloaded.
+  // KB_EINVAL: the engine does not know the adapter, so it is not loaded.
   bool is_unloaded = status == KB_OK || status == KB_EINVAL;
   slt_end_unload (&agent->slots, adapter, is_unloaded, tmr_now_us ());
   MET_INC ("knapweedbay_evictions_total", "");
@@ -156,8 +157,9 @@
   return false;
 }
 
-/// The engine's own list is the truth: forget what it lost, adopt what it
-/// holds. A pinned slot is left to the end of its runs.
+/// Bring the slot table in line with the engine's list, which is
+/// authoritative: remove adapters that it lacks and add those that it has. A
+/// pinned slot is left alone until its runs end.
 static void
 reconcile (agt_agent_t *agent, const char *const *models, uint32_t count)
 {
@@ -189,7 +191,8 @@
   if (status != KB_OK)
     {
       if (agent->is_engine_up)
-        log_write (LOG_WARN, "engine", "The engine does not answer.");
+        log_write (LOG_WARN, "engine",
+                   "The engine does not answer its list request.");
       agent->is_engine_up = false;
       agt_quarantine_record_target_end (agent);
       return;
@@ -198,14 +201,15 @@
                        && strcmp (agent->engine_incarnation, incarnation) != 0;
   if (has_restarted)
     {
-      log_write (LOG_WARN, "engine", "The engine restarted cold.");
+      log_write (LOG_WARN, "engine",
+                 "The engine restarted without its adapters.");
       MET_INC ("knapweedbay_engine_restarts_total", "");
       agt_backpressure_reset (agent);
       agt_quarantine_record_target_end (agent);
     }
   snprintf (agent->engine_incarnation, sizeof agent->engine_incarnation, "%s",
             incarnation);
-  // While an order is under way the list may show it half done.
+  // While an order is in progress, the list may show it half done.
   if (!agent->order.is_busy)
     {
       reconcile (agent, models, count);
@@ -227,7 +231,8 @@
   agent->engine.vtable->list (&agent->engine, poll_done, agent);
 }
 
-/// The region's gate: the live entry with the highest rendezvous weight.
+/// @return  The region's load gate: the live entry with the highest rendezvous
+///          weight; NULL: no entry is live.
 static agt_peer_t *
 gate_peer (agt_agent_t *agent)
 {
@@ -238,7 +243,7 @@
     {
       agt_peer_t *peer = &agent->peers[i];
       uint64_t weight = kb_hash (&peer->id, sizeof peer->id, 0x67617465);
-      if (now - peer->last_contact_ms > PEER_TIMEOUT_MS
+      if (now - peer->last_contact_ms > GATE_PEER_TIMEOUT_MS
           || weight < best_weight)
         continue;
       best = peer;
@@ -247,6 +252,7 @@
   return best;
 }
 
+/// Request the load permit from the gate, or renew the request.
 static void
 request_load_permit (agt_agent_t *agent, const sch_action_t *wanted)
 {
@@ -269,14 +275,16 @@
   msg.gate_ask = (msg_gate_ask_t){ .id = load_permit->id,
                                    .waiting = wanted->waiting,
                                    .priority_class = wanted->priority_class };
-  // A gate that cannot be reached gives way to the next entry at once.
+  // The send failed: exclude this gate, so that the next call selects another
+  // entry.
   if (dmn_send (agent->daemon, load_permit->gate, &msg) == KB_OK)
     return;
   gate->last_contact_ms = 0;
   load_permit->sent_ms = 0;
 }
 
-/// Without a reachable gate each agent keeps to its share of the rate.
+/// While the gate is unresponsive, each agent loads at its share of the
+/// region's load rate.
 static void
 gate_try_own_share (agt_agent_t *agent)
 {
@@ -295,8 +303,8 @@
   if (!lim_bucket_take (&agent->own_load_share, now, &retry_after_ms))
     return;
   MET_INC ("knapweedbay_loads_own_share_total", "");
-  // It counts as lost until it is heard again, so that the next load does not
-  // wait for it as well.
+  // The gate counts as lost until its next message, so that the next load does
+  // not wait for it as well.
   if (gate != NULL)
     gate->last_contact_ms = 0;
   load_permit->is_granted = true;
--- a/src/daemon/agent_fence.c
+++ b/src/daemon/agent_fence.c
@@ -1,10 +1,10 @@
 /// @file agent_fence.c
 /// The fencing number and the roster entry of an agent.
 ///
-/// Number = max(last + 1, wall clock in milliseconds), taken by
-/// compare-and-swap. In an outage the wall clock alone serves, so that an
-/// agent can start; it is registered as soon as the service is back, and
-/// until then it takes no keyed work.
+/// The number is max(last + 1, wall clock in milliseconds), registered by
+/// compare-and-swap. During an outage of the key-value service the wall clock
+/// alone is used, so that an agent can start; it registers as soon as the
+/// service is back, and accepts no keyed requests until then.
 #include <inttypes.h>
 #include <stdio.h>
 
@@ -46,10 +46,10 @@
              agent);
 }
 
-/// The last step of the registration: learn the epochs in force. A takeover
-/// swaps the map first and reads the roster after, so it either finds this
-/// incarnation on the roster and asks it, or its epoch is in the map read
-/// here. Without this a restarted agent would take a former owner's grant.
+/// The last step of the registration: apply the epochs in force. A takeover
+/// swaps the shard map first and reads the roster after, so it either finds
+/// this incarnation on the roster and queries it, or its epoch is in the map
+/// read here. Otherwise a restarted agent would accept a former owner's grant.
 static void
 on_epochs_read (void *arg, kb_status_t status, const kvc_item_t *items,
                 uint32_t count)
@@ -66,7 +66,7 @@
   for (uint32_t s = 0; count > 0 && s < SHM_SHARDS; s++)
     clm_runner_raise_epoch (&agent->claims, s, shards[s].epoch);
   agent->is_registered = true;
-  log_write (LOG_INFO, "fence", "Registered with number %" PRIu64 ".",
+  log_write (LOG_INFO, "fence", "Registered with fencing number %" PRIu64 ".",
              agent->fence);
 }
 
@@ -77,21 +77,22 @@
   agt_agent_t *agent = arg;
   if (status != KB_OK)
     {
-      // A conflict may be our own write whose answer was lost; the next read
-      // tells by the incarnation.
+      // A conflict may come from this process's own write whose answer was
+      // lost; the next read recognises it by the incarnation.
       retry_read_fence (agent);
       return;
     }
   kvc_get (&agent->daemon->kv, SHM_KEY, on_epochs_read, agent);
 }
 
-/// The former incarnation left gracefully: its memory of claims went to the
-/// entries, so the memory of this target is unbroken.
+/// @return  Since when the claim history of this target is complete. A former
+///          incarnation that left gracefully handed its claim records to
+///          entries, so its history continues.
 static uint64_t
 inherit_memory_since (struct json_object *former, uint64_t now_wall_ms)
 {
   if (former == NULL)
-    return 0; // Nothing ever ran here.
+    return 0; // No incarnation ran here before.
   if (strcmp (jsn_str (former, "state", ""), "left") == 0)
     return (uint64_t)jsn_int (former, "memory_since", 0);
   return now_wall_ms;
@@ -158,7 +159,7 @@
   agent->is_fence_unverified = false;
   if (status != KB_OK || count == 0)
     {
-      // In an outage nobody can have registered in between either.
+      // During an outage no other agent can have registered either.
       agt_schedule_work (agent);
       return;
     }
@@ -168,8 +169,9 @@
   json_object_put (record);
   if (is_newer)
     {
-      log_write (LOG_ERROR, "fence",
-                 "A newer agent owns this target; leaving.");
+      log_write (
+          LOG_ERROR, "fence",
+          "An agent with a newer fencing number owns this target; draining.");
       MET_INC ("knapweedbay_fence_lost_total", "");
       dmn_drain (agent->daemon);
       return;
@@ -186,7 +188,7 @@
   kvc_get (&agent->daemon->kv, key, on_fence_checked, agent);
 }
 
-/// The roster entry as it stands, to be replaced by "left".
+/// The write of the "left" entry has ended, or was skipped.
 static void
 on_leave_written (void *arg, kb_status_t status, const kvc_item_t *items,
                   uint32_t count)
--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -1,19 +1,21 @@
 /// @file agent_quarantine.c
 /// Requests under which this agent's target ended (coordination/quarantine.h):
-/// who was beginning there, and what entries are told.
+/// recorded when the runs break, and reported to entries.
 #include "daemon/agent_defs.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
 
 enum
 {
-  /// Between the break of a connection and the proof that the target has
-  /// ended: its list is asked for at once; a plain target refuses the next
-  /// request.
+  /// Time between the break of a connection and the proof that the target has
+  /// ended. An engine's list is requested at once; a plain target refuses the
+  /// next connection.
   MAX_BREAK_TO_END_MS = 5000,
 };
 
-/// @return  A hash of the target's present life, the same at every call.
+/// @return  A hash of the target's current incarnation, constant while it
+/// runs;
+///          not zero.
 static uint64_t
 incarnation_hash (const agt_agent_t *agent)
 {
@@ -52,7 +54,8 @@
   kb_buf_finish (&packed);
 }
 
-/// @return  Whether anything was new.
+/// Record a request as a suspect of the target's end.
+/// @return  Whether the end was not yet known.
 static bool
 add_suspect (agt_agent_t *agent, const agt_broken_run_t *run)
 {
@@ -78,12 +81,13 @@
   if (!has_new)
     return;
   MET_INC ("knapweedbay_targets_ended_total", "");
-  log_write (LOG_WARN, "engine", "The target ended under requests.");
+  log_write (LOG_WARN, "engine",
+             "The target ended while requests were starting.");
   for (uint32_t i = 0; i < agent->peer_count; i++)
     agt_quarantine_send (agent, &agent->peers[i]);
 }
 
-/// @return  A request that waits, is to begin alone and can not; or NULL.
+/// @return  A queued request that must start alone and cannot, or NULL.
 static agt_request_t *
 find_blocked (const agt_agent_t *agent)
 {
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -1,5 +1,5 @@
 /// @file agent_run.c
-/// One attempt at the target: run, answer, end.
+/// Attempts at the target: start, answer, end and cancellation.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -145,7 +145,8 @@
               outcome);
 }
 
-/// Send the end of an attempt and release it. It must be off the queue.
+/// Send the end message of an attempt and free it. The attempt must have been
+/// removed from the queue.
 static void
 request_end (agt_request_t *r, msg_outcome_t outcome, const char *reason,
              uint64_t retry_after_ms)
@@ -185,7 +186,7 @@
   request_end (r, MSG_OUTCOME_NOT_RUN, reason, retry_after_ms);
 }
 
-/// Waiting for the adapter's load ends now.
+/// Add the time spent waiting for the adapter's load to the totals.
 static void
 request_stop_stall (agt_request_t *r, uint64_t now_us)
 {
@@ -223,15 +224,15 @@
          && strncmp (r->content_type, "text/event-stream", 17) == 0;
 }
 
-/// Check one event of a stream: the end mark, or a chunk that must name the
-/// adapter and version the request named.
+/// Check one event of a stream. A data event is the end mark or a chunk, which
+/// must name the requested adapter and version.
 static bool
 is_event_valid (agt_request_t *r, kb_slice_t event)
 {
   const char prefix[] = "data:";
   if (event.len_bytes < sizeof prefix - 1
       || memcmp (event.ptr, prefix, sizeof prefix - 1) != 0)
-    return true; // A comment or another field.
+    return true; // An SSE comment or another field.
   event.ptr += sizeof prefix - 1;
   event.len_bytes -= sizeof prefix - 1;
   while (event.len_bytes > 0 && event.ptr[0] == ' ')
@@ -247,7 +248,7 @@
   return oai_answer_check (event, r->model) == KB_OK;
 }
 
-/// Forward the whole events that have arrived.
+/// Forward the events that have arrived completely.
 static void
 stream_forward (agt_request_t *r)
 {
@@ -309,9 +310,10 @@
                               : "the answer is too large");
 }
 
-/// The engine does not know the adapter, though the table says it does: it
-/// restarted cold. Its protocol refuses such a request before any work, so
-/// the request goes back to the queue and the adapter is loaded again.
+/// The engine does not know an adapter that the slot table lists as resident,
+/// so it has restarted without its adapters. Its protocol refuses such a
+/// request before running any of it, so it is safe to queue the request again
+/// and reload the adapter.
 static void
 requeue_after_cold_start (agt_request_t *r)
 {
@@ -441,8 +443,8 @@
       agt_run_refuse (r, "cancelled by the entry", 0);
       return;
     }
-  // A call that may not be repeated must not be left half done: it finishes,
-  // and its outcome is remembered for a re-send.
+  // A non-idempotent request must not be stopped half done: it finishes, and
+  // its outcome is stored for a resend.
   if ((r->flags & MSG_FLAG_IDEMPOTENT) == 0)
     return;
   agent->engine.vtable->cancel (&agent->engine, r->run);
@@ -458,8 +460,8 @@
                                  .claim_key = revoke->claim_key };
   if (revoke->incarnation != agent->daemon->incarnation)
     {
-      // The attempt went to a process that is no more; that this one does
-      // not know it proves nothing.
+      // The attempt was sent to a former incarnation; that this one does not
+      // know it is no proof that it did not run.
       msg.revoked.state = MSG_REVOKED_FOREIGN;
       lnk_link_send (&agent->daemon->link, peer, &msg);
       return;
@@ -500,7 +502,7 @@
       sch_item_t *first = NULL;
       for (int c = 0; c < SCH_CLASSES && first == NULL; c++)
         first = group->heads[c];
-      // A refusal unlinks the item; the analyzer does not follow that.
+      // A refusal unlinks the item, which the analyzer does not see.
       // NOLINTNEXTLINE(clang-analyzer-unix.Malloc)
       agt_run_refuse ((agt_request_t *)first, reason, REFUSAL_RETRY_MS);
     }
--- a/test/system/claim_failure_test.cc
+++ b/test/system/claim_failure_test.cc
@@ -1,5 +1,5 @@
-// Idempotency keys when several things fail together: owners, runners, the
-// key-value service, and an entry that is cut off with old data.
+// Idempotency keys under combined failures of claim owners, runners and the
+// key-value service, and with a partitioned entry that has stale data.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -51,10 +51,10 @@
 
 } // namespace
 
-// Every agent is replaced gracefully after a key ran, and then the entry that
-// owned the key is killed. No process that saw the key is left, but the
-// agents gave their memory to the entries: the key must not run again, and
-// new keys are served at once, since no memory was lost.
+// Every agent is replaced gracefully after a key ran, then the entry that
+// owned the key is killed. No process that handled the key is left, but the
+// agents handed their claim records to the entries: the key must not run
+// again, and new keys are served at once, as no records were lost.
 TEST (ClaimFailure, MemoryOutlivesGracefulReplacement)
 {
   Cluster c (short_window_options (60000));
@@ -84,9 +84,9 @@
   EXPECT_EQ (complete_keyed (c, 1, "fresh").status, 200);
 }
 
-// Owners and runners crash within one window. Nobody can tell whether an
-// unseen key ran, so it is "unknown" and does not run; when the window has
-// passed, new keys are served again.
+// Owners and runners crash within one claim window. Nobody can tell whether an
+// unseen key ran, so its outcome is "unknown" and it does not run; after the
+// window, new keys are served again.
 TEST (ClaimFailure, DoubleCrashMakesUnseenKeysUnknown)
 {
   Cluster c (short_window_options (6000));
@@ -116,9 +116,9 @@
   }));
 }
 
-// The owner of some keys dies while the key-value service is down: nobody may
-// take its shards. Its keys are refused, truly not run; the others are served.
-// When the service is back, all are.
+// The owner of some keys is killed while the key-value service is down, so
+// nobody may take over its shards. Its keys are refused as not run and don't
+// run; the others are served. All are served once the service is back.
 TEST (ClaimFailure, OwnerDiesInOutage)
 {
   Cluster c (short_window_options (60000));
@@ -158,10 +158,9 @@
     }
 }
 
-// An entry is cut off from the store and from its peers: it has a list and a
-// store of its own, with an old configuration. Agents that know a newer
-// revision refuse its dispatches after the time a change may take, and the
-// refusal is true.
+// A partitioned entry has a platform list and a store of its own, with an old
+// configuration. Agents that know a newer revision refuse its dispatches after
+// the time that a change may take to reach all entries, without running them.
 TEST (ClaimFailure, EntryWithStaleConfigurationIsRefused)
 {
   Cluster c (ClusterOptions{});
@@ -170,7 +169,8 @@
   kb::Process other_list = c.start_service ("list", "list2");
   std::swap (c.kv, other_kv);
   std::swap (c.list, other_list);
-  // A folder without a base: the other store is empty, nothing was removed.
+  // A copy without .knapweedbay-base, as nothing was removed from the other
+  // store, which is empty.
   std::string copy = c.dir + "/copy";
   std::string command = "mkdir '" + copy + "' && cp '" + c.config_dir
                         + "'/*.json '" + copy + "'";
--- a/test/system/cluster.cc
+++ b/test/system/cluster.cc
@@ -99,7 +99,7 @@
   list = curl_slist_append (list, "Expect:");
   curl_easy_setopt (curl, CURLOPT_URL, url.c_str ());
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  // The test's own certificate is signed by itself.
+  // The test certificate is self-signed.
   curl_easy_setopt (curl, CURLOPT_SSL_VERIFYPEER, 0L);
   curl_easy_setopt (curl, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, method.c_str ());
@@ -134,7 +134,7 @@
   std::vector<char> name (full.begin (), full.end ());
   name.push_back ('\0');
   if (mkdtemp (name.data ()) == nullptr)
-    throw std::runtime_error ("no scratch directory");
+    throw std::runtime_error ("cannot create a temporary directory");
   dir = name.data ();
   config_dir = dir + "/config";
   mkdir (config_dir.c_str (), 0700);
@@ -165,7 +165,7 @@
     {
       std::string remove = "rm -rf '" + dir + "'";
       if (system (remove.c_str ()) != 0)
-        fprintf (stderr, "could not remove %s\n", dir.c_str ());
+        fprintf (stderr, "cannot remove %s\n", dir.c_str ());
     }
 }
 
@@ -196,7 +196,7 @@
     }
   close (out[1]);
   process.pid = pid;
-  // Log lines may stand before the line that names the ports.
+  // Log lines may precede the line with the ports.
   std::string line;
   char c;
   size_t http = std::string::npos;
@@ -216,7 +216,7 @@
     throw std::runtime_error (name + " did not start: " + line);
   process.http_port = atoi (line.c_str () + http + 5);
   process.inner_port = atoi (line.c_str () + inner + 6);
-  // The log and spans follow on standard output; keep the pipe drained.
+  // Logs and spans follow on standard output; keep the pipe drained.
   int fd = out[0];
   std::string span_path = process.log_path;
   std::thread ([fd, span_path] {
@@ -351,7 +351,8 @@
   write_text (config_dir + "/20-adapters.json", a.str ());
 }
 
-/// Run one of the programs. @return its exit code.
+/// Run one of the programs.
+/// @return  Its exit code.
 static int
 run_program (const char *name, const std::vector<std::string> &args,
              std::string *output)
--- a/test/system/cluster.h
+++ b/test/system/cluster.h
@@ -1,6 +1,6 @@
 /// @file cluster.h
-/// Starts the product's real processes and the stand-ins on loopback ports
-/// that the kernel chooses, and ends only what it started.
+/// Test harness: starts the product's daemons and fake dependencies (kbfake)
+/// on loopback ports that the kernel chooses, and stops only what it started.
 #ifndef KB_TEST_SYSTEM_CLUSTER_H
 #define KB_TEST_SYSTEM_CLUSTER_H
 
@@ -15,7 +15,7 @@
 namespace kb
 {
 
-/// A child process that printed its ready line.
+/// A child process that has printed the line with its ports.
 struct Process
 {
   pid_t pid = 0;
@@ -25,10 +25,10 @@
   std::string log_path;
 };
 
-/// Answer of one HTTP call.
+/// Response of one HTTP call.
 struct Answer
 {
-  int status = 0; ///< 0: no whole answer.
+  int status = 0; ///< HTTP status; 0: no response head.
   bool is_complete = false;
   std::string body;
   std::map<std::string, std::string> headers;
@@ -37,12 +37,13 @@
 
 using Headers = std::vector<std::string>;
 
-/// Blocking HTTP call.
+/// Make a blocking HTTP call to the loopback address.
+/// @param headers  Header lines, such as "Name: value".
 Answer http_call (const std::string &method, int port, const std::string &path,
                   const std::string &body = "", const Headers &headers = {},
                   long timeout_ms = 20000, bool is_tls = false);
 
-/// One target: stand-in, agent and their names.
+/// One target: a fake engine or plain service, and its agent.
 struct Target
 {
   std::string name;
@@ -55,6 +56,7 @@
   Process agent;
 };
 
+/// One entry daemon.
 struct EntryNode
 {
   std::string name;
@@ -62,7 +64,7 @@
   Process process;
 };
 
-/// How a cluster is made.
+/// Size and settings of a cluster.
 struct ClusterOptions
 {
   int entries = 2;
@@ -74,12 +76,15 @@
   double load_rate_per_s = 200;
   int load_concurrency = 4;
   bool has_curve = true;
-  std::string extra_entry; ///< More settings, such as "\"max_inflight\":10,".
+  /// Settings to add for each role, such as "\"max_inflight\":10,".
+  std::string extra_entry;
   std::string extra_agent;
   int slots = 4;
   int max_batch = 8;
 };
 
+/// A cluster of entries, agents and fake targets, with a fake key-value
+/// service and platform list.
 class Cluster
 {
 public:
@@ -93,52 +98,73 @@
   Process list;
   std::vector<Target> targets;
   std::vector<EntryNode> entries;
-  std::string dir;        ///< Scratch directory of this cluster.
-  std::string config_dir; ///< Configuration folder.
+  std::string dir;        ///< Temporary directory of this cluster.
+  std::string config_dir; ///< Configuration directory for `knapweedbay apply`.
 
+  /// Start all processes and wait until the cluster is ready.
   void start ();
-  /// Another stand-in: "kv" or "list". The caller ends it.
+  /// Start another fake dependency. The caller stops it.
+  /// @param role  "kv" or "list".
   Process start_service (const std::string &role, const std::string &name);
   void start_entry (EntryNode &entry, int http_port = 0, int inner_port = 0);
   void start_agent (Target &target, int inner_port = 0);
   void start_fake (Target &target, int port = 0);
-  /// Publish the platform list; names in `leaving` and `missing` are marked.
+  /// Publish the platform list of VMs.
+  /// @param leaving  Names to list in the state "leaving".
+  /// @param missing  Names to omit.
   void publish (const std::vector<std::string> &leaving = {},
                 const std::vector<std::string> &missing = {});
+  /// Write the configuration files of the test services and workspaces.
   void write_config ();
-  /// Run the operators' tool. @return its exit code.
+  /// Run the operator CLI.
+  /// @return  Its exit code.
   int cli (const std::vector<std::string> &args,
            std::string *output = nullptr);
+  /// Run `apply` on the configuration directory.
+  /// @return  The exit code.
   int apply (std::string *output = nullptr);
-  /// Have the daemon check a settings file. @return its exit code.
+  /// Run the daemon with --check on a settings file.
+  /// @return  Its exit code.
   int check_settings (const std::string &path, std::string *output);
+  /// Inject faults into a fake process.
   void fault (const Process &process, const std::string &json);
+  /// @return  The counters of a fake process; the caller frees them.
   json_object *stats (const Process &process);
-  /// Runs over all engines (or plain services) of a prompt or body.
+  /// @return  Runs of a prompt or body, summed over all targets.
   int runs_of (const std::string &prompt);
-  /// All runs that one target counted.
+  /// @return  All runs that one fake target counted.
   int runs_at (const Target &target);
+  /// @return  One counter of a fake target; 0: it has none.
   int64_t stat_at (const Target &target, const char *name);
+  /// @return  One counter, summed over all fake targets.
   int64_t stat_sum (const char *name);
-  /// Wait until the condition holds. @return false after the time.
+  /// Wait until the condition holds.
+  /// @return  False when it doesn't hold within the timeout.
   static bool wait_until (const std::function<bool ()> &condition,
                           int timeout_ms = 15000);
+  /// Wait until all daemons are ready and connected, and all shards are owned.
   bool wait_ready ();
+  /// @return  A number of the daemon's status page; -1: it has none.
   int64_t status_int (const Process &process, const char *name);
+  /// @return  A metric of the daemon; 0: it has none.
   int64_t metric (const Process &process, const std::string &name);
 
+  /// Send a signal; after SIGKILL also wait for the process to end.
   static void kill_process (Process &process, int signal);
-  /// Wait for the end. @return its exit code, or -1.
+  /// Wait for the process to end.
+  /// @return  Its exit code; -1: still running; -2: ended by a signal.
   static int wait_exit (Process &process, int timeout_ms = 20000);
 
-  /// A completion. @param key workspace key.
+  /// Request a completion from an entry.
+  /// @param key  Key of the workspace.
   Answer complete (int entry, const std::string &model,
                    const std::string &prompt, const Headers &extra = {},
                    int tokens = 8, bool is_stream = false,
                    const std::string &key = "kavango-key");
   static std::string text_of (const Answer &answer);
+  /// @return  The joined text; " <cut>" is appended if [DONE] is missing.
   static std::string text_of_stream (const Answer &answer);
-  /// The text a right answer has.
+  /// @return  The text of a correct answer.
   static std::string expected_text (const std::string &model,
                                     const std::string &prompt, int tokens);
 
--- a/test/system/outcome_test.cc
+++ b/test/system/outcome_test.cc
@@ -1,5 +1,5 @@
-// Outcomes under failure: targets, engines, entries and callers that are lost
-// before, during and after an answer.
+// Request outcomes when targets, engines or callers fail before, during or
+// after an answer.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -18,7 +18,8 @@
 
 const Headers kNonIdempotent = { "X-Knapweedbay-Idempotent: false" };
 
-/// The target whose stand-in counts a running request.
+/// Wait for a running request.
+/// @return  The engine target that runs one, or NULL after 5 s.
 kb::Target *
 find_running_target (Cluster &c)
 {
@@ -42,6 +43,7 @@
   return found;
 }
 
+/// Send a completion to the first entry on a new thread.
 std::thread
 send_async (Cluster &c, Answer &out, const std::string &prompt,
             const Headers &headers, int tokens, bool is_stream = false)
@@ -53,8 +55,8 @@
 
 } // namespace
 
-// An agent's VM dies while its engine generates. A repeatable request must
-// come back whole from another target; the caller sees nothing but delay.
+// An agent is killed while its engine generates. An idempotent request must be
+// answered completely by another target; the caller only sees the delay.
 TEST (Outcome, AgentKilledIdempotentIsRetried)
 {
   Cluster c (ClusterOptions{});
@@ -70,8 +72,8 @@
              Cluster::expected_text ("a1@1", "retry-me", 300));
 }
 
-// The same with a request that may not be repeated: it may have run, so it is
-// never sent again, and the caller is told that its outcome is unknown.
+// The same with a non-idempotent request: it may have run, so it is never sent
+// again, and its outcome is reported to the caller as unknown.
 TEST (Outcome, AgentKilledNonIdempotentIsUnknown)
 {
   Cluster c (ClusterOptions{});
@@ -87,9 +89,8 @@
   EXPECT_EQ (c.runs_of ("only-once"), 1);
 }
 
-// A target dies in the middle of a stream. The caller has half of the text;
-// it must not be continued with another attempt's text, and must not look
-// whole.
+// A target dies in the middle of a stream. The caller has half of the text: it
+// must not be continued by another attempt, nor look complete.
 TEST (Outcome, PartialStreamIsNotContinued)
 {
   Cluster c (ClusterOptions{});
@@ -106,8 +107,8 @@
   EXPECT_EQ (c.runs_of ("half"), 1);
 }
 
-// An engine cuts its stream without the end mark and closes cleanly. The
-// caller must see a cut stream, not a short answer.
+// An engine closes its stream cleanly, but without the end mark. The caller
+// must see a truncated stream, not a short answer.
 TEST (Outcome, TruncatedEngineStreamIsIncomplete)
 {
   Cluster c (ClusterOptions{});
@@ -120,8 +121,8 @@
   EXPECT_EQ (answer.body.find ("[DONE]"), std::string::npos);
 }
 
-// An engine answers under another adapter's name, as one does that confused
-// its slots. No byte of it may reach the caller as an answer.
+// An engine answers for another adapter, as if it had confused its slots. No
+// byte of the answer may reach the caller.
 TEST (Outcome, WrongModelNeverReachesTheCaller)
 {
   Cluster c (ClusterOptions{});
@@ -136,9 +137,9 @@
   EXPECT_EQ (answer.body.find ("other@1"), std::string::npos);
 }
 
-// An engine accepts a request and falls silent. A request that may not be
-// repeated ends as unknown when the engine's idle time is over, long before
-// its deadline; it ran at most once.
+// An engine accepts a request and sends nothing. A non-idempotent request ends
+// as unknown at the engine's idle timeout, long before its deadline, and runs
+// once.
 TEST (Outcome, HungEngineIsUnknown)
 {
   ClusterOptions o;
@@ -153,9 +154,9 @@
   EXPECT_EQ (c.runs_of ("hung"), 1);
 }
 
-// Engines restart cold: every adapter is gone and running work is cut. The
-// slot tables are wrong until they notice; requests must still end whole and
-// by the adapter they named.
+// Engines restart without their adapters, and running requests break. The slot
+// tables are wrong until they are reconciled; requests must still be answered
+// completely and by the requested adapter.
 TEST (Outcome, ColdEnginesAreReconciled)
 {
   Cluster c (ClusterOptions{});
@@ -178,8 +179,8 @@
   EXPECT_EQ (c.stat_sum ("evicted_in_use"), 0);
 }
 
-// Loads fail at one engine. The request goes to another target and ends
-// whole; it is not run twice.
+// Loads fail at two engines. Requests are retried at another target, answered
+// completely and run only once.
 TEST (Outcome, FailedLoadIsRetriedAtOtherTarget)
 {
   Cluster c (ClusterOptions{});
@@ -195,8 +196,8 @@
     }
 }
 
-// A load takes effect but its answer is lost. The engine holds an adapter
-// the table does not know; a later load must not overfill the engine.
+// A load succeeds but its answer is lost. The engine holds an adapter that the
+// slot table does not know; later loads must not exceed the engine's slots.
 TEST (Outcome, LostLoadAnswerIsReconciled)
 {
   ClusterOptions o;
@@ -245,8 +246,8 @@
   EXPECT_EQ (c.stat_sum ("over_slots"), 0);
 }
 
-// A plain service takes a booking and loses its answer. The booking may not
-// be repeated: the caller is told that the outcome is unknown.
+// A plain service handles a booking, but its answer is lost. The booking must
+// not be repeated, and its outcome is reported to the caller as unknown.
 TEST (Outcome, PlainCallWithLostAnswerRunsOnce)
 {
   Cluster c (ClusterOptions{});
@@ -259,8 +260,8 @@
   EXPECT_EQ (c.runs_of ("booking-1"), 1);
 }
 
-// Nothing can take the work: no engine is left. The refusal must be true
-// (not run) and come at once, with a time to come back, not at the deadline.
+// No agent of an engine is left. The request must be refused at once, not at
+// the deadline, as not run and with a Retry-After header.
 TEST (Outcome, RefusalIsImmediateAndNotRun)
 {
   Cluster c (ClusterOptions{});
@@ -276,8 +277,8 @@
   EXPECT_EQ (c.runs_of ("nobody"), 0);
 }
 
-// A caller hangs up. Repeatable work is stopped at the engine, since nobody
-// waits for it; work that may not be repeated is left to finish.
+// A caller disconnects. An idempotent request is cancelled at the engine, as
+// nobody waits for it; a non-idempotent request finishes.
 TEST (Outcome, DisconnectCancelsOnlyIdempotentRequests)
 {
   Cluster c (ClusterOptions{});
@@ -297,8 +298,8 @@
   EXPECT_EQ (c.stat_sum ("running"), 1);
 }
 
-// Five thousand requests arrive at once. Each gets exactly one answer; every
-// refusal is true, and the daemons' memory stays bounded.
+// Five thousand requests arrive in a burst. Each gets exactly one answer, no
+// refused request has run, and the memory of the entries stays bounded.
 TEST (Outcome, BurstOfFiveThousandRequests)
 {
   ClusterOptions o;
--- a/test/system/path_test.cc
+++ b/test/system/path_test.cc
@@ -1,4 +1,4 @@
-// The whole path through real processes, without faults.
+// Requests through entries, agents and targets without faults.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -102,11 +102,11 @@
   EXPECT_NE (answer.body.find ("more than once"), std::string::npos);
 }
 
-// A crew uploads a batch that is too large on a slow line. The entry answers
-// 413 after the head and ends the connection, while the crew's client is still
-// sending. What arrives after the close must not be answered with a reset: it
-// would discard the 413 before the client reads it, and the batch would be
-// sent again and again.
+// A client uploads a body that is too large over a slow connection. The entry
+// answers 413 after the head and ends the connection while the client is still
+// sending. Data that arrives after the close must not be answered with a TCP
+// reset: it would discard the 413 before the client reads it, and the client
+// would keep sending the body again.
 TEST_F (PathTest, ClientStillSendingReadsRefusal)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
@@ -148,9 +148,9 @@
              std::string::npos);
 }
 
-// A planner's script sends the same upload twice because the first answer was
-// slow to come. The second send must not run it again: it gets the answer of
-// the first. The key is the same; through the other entry as well.
+// A client resends a request with the same key because the first answer was
+// slow. The resend must not run again, but get the first answer, through
+// either entry. The same key with another body is refused.
 TEST_F (PathTest, ResentKeyGetsStoredAnswer)
 {
   kb::Headers key = { "Idempotency-Key: upload-17" };
@@ -168,8 +168,8 @@
   EXPECT_EQ (cluster->runs_of ("another body"), 0);
 }
 
-// Two sends of one key race through both entries. Only one may run; the other
-// is told that it runs, or gets its answer.
+// Two requests with the same key race through both entries. Only one may run;
+// the other is refused with 409 while the first runs, or gets its answer.
 TEST_F (PathTest, RacingSendsRunOnce)
 {
   Answer answers[2];
--- a/test/system/repeat_test.cc
+++ b/test/system/repeat_test.cc
@@ -1,5 +1,5 @@
-// A request that ends each engine that begins to run it, and is sent again and
-// again, through any entry.
+// Quarantine of a request that ends each engine that starts to run it, and is
+// sent repeatedly through any entry.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -14,11 +14,12 @@
 namespace
 {
 
-/// Time for what one entry learns to reach the others.
+/// Time for quarantine records of one entry to reach the others.
 constexpr int kPropagationMs = 1000;
-/// Sends that may still end an engine after the third end has spread.
+/// Further ends allowed once the third end has reached all entries.
 constexpr int kMaxEndsAfterThird = 3;
 
+/// Make the engines end when they run a prompt that contains the text.
 void
 set_fatal_text (Cluster &c, const std::string &text)
 {
@@ -33,7 +34,7 @@
   return c.complete (entry, "a1@1", "fatal prompt", {}, 8, false, key);
 }
 
-/// @return  Whether it is refused without having run, for a long time.
+/// @return  Whether the request was refused with a Retry-After of over 60 s.
 bool
 is_quarantined (const Answer &answer)
 {
@@ -50,9 +51,9 @@
     std::this_thread::sleep_for (std::chrono::milliseconds (200));
 }
 
-// One request, sent again, ends engine after engine, and with each all that
-// runs there. A single send already ends six: it may be repeated, and the
-// entry tries the next engine each time.
+// One request, sent repeatedly, ends engine after engine, together with all
+// that runs there. Without quarantine a single send already ends six, as the
+// request is idempotent and the entry retries it at the next engine.
 TEST (RepeatedEnd, FatalRequestReachesFewEnginesAfterThirdEnd)
 {
   ClusterOptions options;
@@ -73,8 +74,8 @@
   EXPECT_LE (c.stat_sum ("ends") - before, kMaxEndsAfterThird);
 }
 
-// What is held is this request of this workspace: its other requests and the
-// same one of another workspace are served.
+// Only this request of this workspace is quarantined: other requests of the
+// workspace, and the same request of another workspace, are served.
 TEST (RepeatedEnd, OtherRequestsAreNotQuarantined)
 {
   Cluster c (ClusterOptions{});
@@ -89,7 +90,8 @@
   EXPECT_EQ (other.status, 200) << other.body;
 }
 
-// An entry that starts again has learnt nothing by itself.
+// A restarted entry must receive the quarantine records from other processes
+// and refuse the request without ending another engine.
 TEST (RepeatedEnd, QuarantineSurvivesEntryRestart)
 {
   Cluster c (ClusterOptions{});
--- a/test/system/target_leaving_test.cc
+++ b/test/system/target_leaving_test.cc
@@ -1,4 +1,4 @@
-// Targets that say in their answers that they leave, behind agents.
+// Targets behind agents that announce in their answers that they leave.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// New work that comes that much later reaches the target no more.
+/// No new request may reach the target later than this after the notice.
 constexpr int kLeaveBoundMs = 2000;
 
 void
@@ -22,7 +22,8 @@
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
 
-/// Press the services, one of whose targets says that it leaves.
+/// Put load on the services while one target announces that it leaves, and
+/// check that it gets no more requests and that no request fails.
 void
 expect_no_runs_after_bound (Cluster &c, const kb::Target &leaving,
                             Answer (*send) (Cluster &c, int entry))
@@ -67,7 +68,7 @@
                         { "Authorization: Bearer kavango-key" });
 }
 
-// Guards against an agent that does not hear that its engine leaves.
+// Guards against an agent that ignores its engine's leave notice.
 TEST (TargetLeaving, LeavingEngineGetsNoNewRequests)
 {
   ClusterOptions options;
--- a/test/system/target_limit_test.cc
+++ b/test/system/target_limit_test.cc
@@ -1,4 +1,4 @@
-// Targets that state how many requests a second they take, behind agents.
+// Targets behind agents that state a request limit per second.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -13,7 +13,8 @@
 namespace
 {
 
-/// The limit binds from then on, over any window, with this tolerance.
+/// After this time the limit must hold over any window, with the tolerance of
+/// max_runs_in_window.
 constexpr int kSettleMs = 3000;
 constexpr int kMeasureWindowMs = 4000;
 constexpr double kLimitPerS = 5;
@@ -30,7 +31,8 @@
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
 
-/// Press the services, one of whose targets states a limit.
+/// Put load on the services while one target states a limit, and check that it
+/// holds.
 void
 expect_limit_holds (Cluster &c, const kb::Target &limited,
                     void (*send) (Cluster &c, int entry))
@@ -75,7 +77,7 @@
   sleep_for_ms (5);
 }
 
-// Guards against an agent that does not keep its engine's limit.
+// Guards against an agent that exceeds its engine's limit.
 TEST (TargetLimit, EngineLimitIsKept)
 {
   ClusterOptions options;
--- a/test/system/target_pause_test.cc
+++ b/test/system/target_pause_test.cc
@@ -1,4 +1,4 @@
-// Targets that turn requests away and ask for a pause, behind agents.
+// Targets behind agents that refuse requests and request a pause.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -13,9 +13,9 @@
 namespace
 {
 
-/// Of the pause an agent may miss this much.
+/// Time until an agent must have applied the pause.
 constexpr int kReactionMs = 500;
-/// Requests that may come within the rest of it.
+/// Requests that may still arrive during the rest of the pause.
 constexpr int kMaxSendsDuringPause = 2;
 constexpr int kPauseMs = 3000;
 
@@ -25,7 +25,8 @@
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
 
-/// Press the services, one of whose targets turns everything away.
+/// Put load on the services while one target refuses everything, and check
+/// that it gets almost no requests during the pause.
 void
 expect_pause_holds (Cluster &c, const kb::Target &pausing,
                     Answer (*send) (Cluster &c, int entry))
@@ -54,8 +55,8 @@
   is_ended = true;
   for (std::thread &caller : callers)
     caller.join ();
-  // Nothing else fails; whether that may run elsewhere is its service's
-  // matter.
+  // Only refused requests may fail; whether they are retried at another target
+  // depends on the service.
   EXPECT_LE (failed, c.stat_at (pausing, "turned_away"));
 }
 
@@ -75,7 +76,7 @@
                         { "Authorization: Bearer kavango-key" });
 }
 
-// Guards against an agent that goes on sending to an engine which asks for a
+// Guards against an agent that keeps sending to an engine that has requested a
 // pause.
 TEST (TargetPause, EnginePauseIsKept)
 {
