--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -13,9 +13,7 @@
   MAX_BREAK_TO_END_MS = 5000,
 };
 
-/// @return  A hash of the target's current incarnation, constant while it
-/// runs;
-///          not zero.
+/// @return  A non-zero hash, constant within an incarnation of the target.
 static uint64_t
 incarnation_hash (const agt_agent_t *agent)
 {
