--- a/src/coordination/claim_runner.c
+++ b/src/coordination/claim_runner.c
@@ -22,7 +22,7 @@
 }
 
 static void
-run_forget (clm_runner_t *runner, clm_run_t *run)
+run_remove (clm_runner_t *runner, clm_run_t *run)
 {
   run_drop_answer (runner, run);
   kb_map_remove (&runner->by_attempt, run->attempt);
@@ -81,9 +81,9 @@
   if (key != 0)
     {
       uint64_t *newest = &runner->epochs[clm_shard (key)];
-      // A paused owner wakes up and grants from a table that no longer
-      // counts. The epoch was raised here while the new owner rebuilt, so
-      // the old grant dies.
+      // A former owner that was paused may resume and grant from an outdated
+      // table. The new owner's rebuild has raised the epoch here, so such a
+      // grant is refused.
       if (epoch < *newest)
         return CLM_ADMIT_STALE_EPOCH;
       *newest = epoch;
@@ -100,8 +100,8 @@
 }
 
 void
-clm_runner_note (clm_runner_t *runner, uint64_t attempt, clm_run_state_t state,
-                 uint64_t now_ms)
+clm_runner_set_state (clm_runner_t *runner, uint64_t attempt,
+                      clm_run_state_t state, uint64_t now_ms)
 {
   clm_run_t *run = clm_runner_find (runner, attempt);
   if (run == NULL)
@@ -136,8 +136,8 @@
 }
 
 void
-clm_runner_keep_answer (clm_runner_t *runner, uint64_t attempt,
-                        const char *content_type, kb_slice_t answer)
+clm_runner_cache_answer (clm_runner_t *runner, uint64_t attempt,
+                         const char *content_type, kb_slice_t answer)
 {
   clm_run_t *run = clm_runner_find (runner, attempt);
   if (run == NULL || run->key == 0
@@ -212,12 +212,12 @@
         && now_ms - run->changed_ms > runner->window_ms)
       {
         if ((count & 255) == 0)
-          // An array of pointers is meant.
+          // An array of pointers is intended.
           // NOLINTNEXTLINE(bugprone-sizeof-expression)
           old = kb_realloc (old, (count + 256) * sizeof *old);
         old[count++] = run;
       }
   for (uint32_t i = 0; i < count; i++)
-    run_forget (runner, old[i]);
+    run_remove (runner, old[i]);
   free (old);
 }
--- a/src/coordination/sched.c
+++ b/src/coordination/sched.c
@@ -38,7 +38,8 @@
   kb_map_finish (&queue->groups);
 }
 
-/// Adapter zero (no slot needed) is kept under a key of its own.
+/// Adapter zero needs no slot and has a key of its own: the map has no key
+/// zero.
 static uint64_t
 group_key (uint64_t adapter)
 {
@@ -64,11 +65,11 @@
 }
 
 static void
-group_list (sch_queue_t *queue, sch_group_t *group)
+group_activate (sch_queue_t *queue, sch_group_t *group)
 {
-  if (group->is_listed)
+  if (group->is_active)
     return;
-  group->is_listed = true;
+  group->is_active = true;
   group->prev = NULL;
   group->next = queue->active;
   if (queue->active != NULL)
@@ -77,11 +78,11 @@
 }
 
 static void
-group_unlist (sch_queue_t *queue, sch_group_t *group)
+group_deactivate (sch_queue_t *queue, sch_group_t *group)
 {
-  if (!group->is_listed)
+  if (!group->is_active)
     return;
-  group->is_listed = false;
+  group->is_active = false;
   if (group->prev != NULL)
     group->prev->next = group->next;
   else
@@ -90,13 +91,13 @@
     group->next->prev = group->prev;
 }
 
-/// Free a group that holds nothing worth remembering.
+/// Free a group without requests and without a count of failed loads.
 static void
 group_release (sch_queue_t *queue, sch_group_t *group)
 {
   if (group->waiting > 0 || group->running > 0 || group->failed_loads > 0)
     return;
-  group_unlist (queue, group);
+  group_deactivate (queue, group);
   kb_map_remove (&queue->groups, group_key (group->adapter));
   free (group);
 }
@@ -116,7 +117,7 @@
   return &queue->workspaces[workspace % SCH_WORKSPACES];
 }
 
-/// Start-time fair queueing: a workspace's items are spaced by cost over
+/// Start-time fair queueing: the items of a workspace are spaced by cost over
 /// weight, and an idle workspace starts at the present virtual time.
 static double
 item_tag (sch_queue_t *queue, const sch_item_t *item)
@@ -125,11 +126,11 @@
     return (double)item->enqueued_us;
   sch_workspace_t *workspace = workspace_get (queue, item->workspace);
   uint8_t c = item->priority_class;
-  double start = workspace->last_tag[c] > queue->virtual_time[c]
-                     ? workspace->last_tag[c]
+  double start = workspace->finish_tags[c] > queue->virtual_time[c]
+                     ? workspace->finish_tags[c]
                      : queue->virtual_time[c];
   uint32_t weight = item->weight > 0 ? item->weight : 1;
-  workspace->last_tag[c] = start + (double)(item->cost + 1) / weight;
+  workspace->finish_tags[c] = start + (double)(item->cost + 1) / weight;
   return start;
 }
 
@@ -138,7 +139,7 @@
 {
   uint8_t c = item->priority_class;
   sch_item_t *after = group->tails[c];
-  while (after != NULL && after->tag > item->tag)
+  while (after != NULL && after->start_tag > item->start_tag)
     after = after->prev;
   item->prev = after;
   item->next = after != NULL ? after->next : group->heads[c];
@@ -153,7 +154,7 @@
 }
 
 static void
-group_take (sch_group_t *group, sch_item_t *item)
+group_remove_item (sch_group_t *group, sch_item_t *item)
 {
   uint8_t c = item->priority_class;
   if (item->prev != NULL)
@@ -178,36 +179,37 @@
   sch_group_t *group = group_get (queue, item->adapter);
   item->group = group;
   item->is_running = false;
-  item->tag = item_tag (queue, item);
+  item->start_tag = item_tag (queue, item);
   group_insert (group, item);
   group->waiting++;
-  group_list (queue, group);
+  group_activate (queue, group);
   queue->waiting++;
   queue->waiting_by_class[item->priority_class]++;
 }
 
 static void
-queue_take (sch_queue_t *queue, sch_item_t *item)
+queue_remove_item (sch_queue_t *queue, sch_item_t *item)
 {
   sch_group_t *group = item->group;
-  group_take (group, item);
+  group_remove_item (group, item);
   group->waiting--;
   queue->waiting--;
   queue->waiting_by_class[item->priority_class]--;
   if (group->waiting == 0)
-    group_unlist (queue, group);
+    group_deactivate (queue, group);
 }
 
 void
 sch_remove (sch_queue_t *queue, sch_item_t *item)
 {
   sch_group_t *group = item->group;
-  queue_take (queue, item);
+  queue_remove_item (queue, item);
   item->group = NULL;
   group_release (queue, group);
 }
 
-/// @return  The group's best waiting item: lowest class, then lowest tag.
+/// @return  The group's first waiting item: lowest class, then lowest
+///          start_tag.
 static sch_item_t *
 group_head (const sch_group_t *group)
 {
@@ -222,8 +224,8 @@
 {
   if (a->priority_class != b->priority_class)
     return a->priority_class < b->priority_class;
-  if (a->tag != b->tag)
-    return a->tag < b->tag;
+  if (a->start_tag != b->start_tag)
+    return a->start_tag < b->start_tag;
   return a->enqueued_us < b->enqueued_us;
 }
 
@@ -260,8 +262,8 @@
   return slt_find (queue->slots, group->adapter) == NULL;
 }
 
-/// Worth of loading a group now. Class decides first; within a class the
-/// longest wait and the most waiting work are weighed by the site.
+/// Score of loading a group now, within its class: the configured weights
+/// balance the longest wait against the number of waiting requests.
 static double
 group_load_score (const sch_queue_t *queue, const sch_group_t *group,
                   const sch_item_t *head, uint64_t now_us)
@@ -294,7 +296,7 @@
   return oldest;
 }
 
-/// Baseline: only what the oldest request needs.
+/// Baseline: load only what the oldest request needs.
 static sch_action_t
 wanted_load_naive (const sch_queue_t *queue, uint64_t now_us)
 {
@@ -329,27 +331,27 @@
   return action;
 }
 
-/// What an eviction would take work from.
+/// Argument of adapter_is_wanted.
 typedef struct
 {
   const sch_queue_t *queue;
-  uint8_t priority_class; ///< Of the work that wants the slot.
-} wanted_arg_t;
+  uint8_t priority_class; ///< Class of the work that needs the slot.
+} eviction_arg_t;
 
-/// An adapter with waiting work is kept, unless all that work is of a lower
-/// class than the work that wants the slot.
+/// An adapter with waiting work is not evicted, unless all of that work is of
+/// a lower class than the work that needs the slot.
 static bool
 adapter_is_wanted (void *arg, uint64_t key)
 {
-  const wanted_arg_t *wanted = arg;
+  const eviction_arg_t *wanted = arg;
   const sch_group_t *group = group_find (wanted->queue, key);
   if (group == NULL || group->waiting == 0)
     return false;
   return group_head (group)->priority_class <= wanted->priority_class;
 }
 
-/// Class of the best work that waits for a slot's adapter; SCH_CLASSES, worse
-/// than any, when none waits.
+/// @return  Best class of the work that waits for a slot's adapter;
+///          SCH_CLASSES, worse than any, when none waits.
 static uint8_t
 slot_class (const sch_queue_t *queue, const slt_slot_t *slot)
 {
@@ -359,28 +361,28 @@
   return group_head (group)->priority_class;
 }
 
-/// Whether a slot may be drained for a load.
+/// Whether a slot can be drained for a load.
 static bool
-slot_may_drain (const sch_queue_t *queue, const slt_slot_t *slot,
+slot_can_drain (const sch_queue_t *queue, const slt_slot_t *slot,
                 const sch_action_t *load, uint64_t now_us)
 {
-  uint8_t its_class = slot_class (queue, slot);
-  if (its_class < load->priority_class)
+  uint8_t waiting_class = slot_class (queue, slot);
+  if (waiting_class < load->priority_class)
     return false;
-  // Work of a worse class gives way at once; equals share by time.
-  if (its_class > load->priority_class)
+  // Work of a worse class yields at once; equal classes share by time.
+  if (waiting_class > load->priority_class)
     return true;
   return now_us - load->item->enqueued_us >= queue->options.drain_after_us
          && now_us - slot->state_us >= queue->options.drain_after_us;
 }
 
-/// Without a bound, popular adapters that always have work would keep every
-/// slot pinned and a rare adapter's request would wait for ever. One resident
-/// adapter stops taking new work, and its slot comes free when its running
-/// requests end: the one of the worst class, then the one that has had its
-/// slot longest.
+/// Drain one resident adapter: it takes no new work, and its slot becomes free
+/// when its running requests end. Without this, popular adapters that always
+/// have work would keep all slots pinned, and the requests of a rare adapter
+/// would wait forever. The adapter with work of the worst class is chosen,
+/// then the one that has held its slot longest.
 static void
-drain_one (sch_queue_t *queue, const sch_action_t *load, uint64_t now_us)
+start_drain (sch_queue_t *queue, const sch_action_t *load, uint64_t now_us)
 {
   slt_slot_t *best = NULL;
   uint8_t best_class = 0;
@@ -390,17 +392,17 @@
       if (slot->key == 0)
         continue;
       if (slot->is_draining || slot->state != SLT_RESIDENT)
-        return; // Room is already on its way.
-      if (!slot_may_drain (queue, slot, load, now_us))
+        return; // A slot is about to become free.
+      if (!slot_can_drain (queue, slot, load, now_us))
         continue;
-      uint8_t its_class = slot_class (queue, slot);
+      uint8_t waiting_class = slot_class (queue, slot);
       if (best != NULL
-          && (its_class < best_class
-              || (its_class == best_class
+          && (waiting_class < best_class
+              || (waiting_class == best_class
                   && slot->state_us >= best->state_us)))
         continue;
       best = slot;
-      best_class = its_class;
+      best_class = waiting_class;
     }
   if (best == NULL)
     return;
@@ -408,11 +410,11 @@
   queue->has_draining = true;
 }
 
-/// A drained adapter whose slot nobody wants any more goes back to work.
-/// Without this its requests could neither run, since it takes no work, nor
-/// be loaded, since it is resident: they would wait for ever.
+/// Cancel all drains when no load needs a slot. Otherwise the requests of a
+/// drained adapter would wait forever: they cannot run, because it takes no
+/// work, and it cannot be loaded, because it is resident.
 static void
-drain_stop (sch_queue_t *queue)
+cancel_drains (sch_queue_t *queue)
 {
   for (uint32_t i = 0; i < queue->slots->cap; i++)
     queue->slots->slots[i].is_draining = false;
@@ -427,13 +429,13 @@
     return (sch_action_t){ .kind = SCH_IDLE };
   if (slt_has_free (queue->slots))
     return load;
-  wanted_arg_t wanted = { queue, load.priority_class };
+  eviction_arg_t wanted = { queue, load.priority_class };
   slt_slot_t *victim = slt_choose_victim (
       queue->slots, queue->options.is_naive ? NULL : adapter_is_wanted,
       &wanted);
   if (victim == NULL && !queue->options.is_naive)
     {
-      drain_one (queue, &load, now_us);
+      start_drain (queue, &load, now_us);
       return (sch_action_t){ .kind = SCH_IDLE };
     }
   if (victim == NULL)
@@ -461,12 +463,12 @@
 }
 
 sch_action_t
-sch_next (sch_queue_t *queue, uint64_t now_us, bool may_load)
+sch_next_action (sch_queue_t *queue, uint64_t now_us, bool may_load)
 {
   if (queue->options.is_naive)
     return next_naive (queue, now_us, may_load);
   if (queue->has_draining && sch_wanted_load (queue, now_us).kind == SCH_IDLE)
-    drain_stop (queue);
+    cancel_drains (queue);
   if (queue->running < queue->options.max_batch)
     {
       sch_item_t *item = best_runnable (queue);
@@ -479,20 +481,20 @@
 }
 
 void
-sch_note_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
+sch_begin_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
 {
-  queue_take (queue, item);
+  queue_remove_item (queue, item);
   item->is_running = true;
   item->group->running++;
   queue->running++;
-  if (queue->virtual_time[item->priority_class] < item->tag)
-    queue->virtual_time[item->priority_class] = item->tag;
+  if (queue->virtual_time[item->priority_class] < item->start_tag)
+    queue->virtual_time[item->priority_class] = item->start_tag;
   if (item->adapter != 0)
     slt_pin (queue->slots, slt_find (queue->slots, item->adapter), now_us);
 }
 
 void
-sch_note_end (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
+sch_end_run (sch_queue_t *queue, sch_item_t *item, uint64_t now_us)
 {
   sch_group_t *group = item->group;
   assert (item->is_running);
@@ -506,15 +508,15 @@
 }
 
 void
-sch_note_load_begin (sch_queue_t *queue, uint64_t adapter, uint64_t now_us)
+sch_begin_load (sch_queue_t *queue, uint64_t adapter, uint64_t now_us)
 {
   slt_begin_load (queue->slots, adapter, now_us);
   queue->loading++;
 }
 
 void
-sch_note_load_end (sch_queue_t *queue, uint64_t adapter, bool is_loaded,
-                   uint64_t now_us)
+sch_end_load (sch_queue_t *queue, uint64_t adapter, bool is_loaded,
+              uint64_t now_us)
 {
   slt_end_load (queue->slots, adapter, is_loaded, now_us);
   if (queue->loading > 0)
@@ -561,14 +563,14 @@
 }
 
 sch_item_t *
-sch_first_of (const sch_queue_t *queue, uint64_t adapter)
+sch_first_waiting (const sch_queue_t *queue, uint64_t adapter)
 {
   const sch_group_t *group = group_find (queue, adapter);
   return group == NULL ? NULL : group_head (group);
 }
 
 sch_item_t *
-sch_first_late (const sch_queue_t *queue, uint64_t now_us)
+sch_first_expired (const sch_queue_t *queue, uint64_t now_us)
 {
   for (sch_group_t *g = queue->active; g != NULL; g = g->next)
     for (int c = 0; c < SCH_CLASSES; c++)
--- a/src/daemon/entry_quarantine.c
+++ b/src/daemon/entry_quarantine.c
@@ -1,7 +1,7 @@
 /// @file entry_quarantine.c
-/// Requests under which targets ended (coordination/quarantine.h), as agents
-/// tell of them. Each agent knows the ends of its own target, and tells all
-/// entries; together they are what an entry judges by.
+/// Quarantine of requests during which targets ended
+/// (coordination/quarantine.h). Each agent reports the ends of its own target
+/// to all entries; an entry decides by the merged reports.
 #include "daemon/entry_defs.h"
 #include "relay/fingerprint.h"
 #include "transport/log.h"
@@ -16,7 +16,7 @@
                           .method = kb_slice_str (r->method),
                           .path = kb_slice_str (r->path),
                           .body = kb_buf_slice (&r->body) };
-  r->fingerprint = fpr_of (&parts);
+  r->fingerprint = fpr_compute (&parts);
   return r->fingerprint;
 }
 
@@ -29,17 +29,16 @@
 }
 
 void
-ent_quarantine_take (ent_entry_t *entry, kb_slice_t words)
+ent_quarantine_merge (ent_entry_t *entry, kb_slice_t records)
 {
-  if (qrt_take (&entry->quarantine, words, tmr_now_ms (), NULL))
+  if (qrt_merge (&entry->quarantine, records, tmr_now_ms (), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
-  log_write (LOG_WARN, "entry",
-             "A word about requests that end targets is ignored.");
+  log_write (LOG_WARN, "entry", "Ignored a malformed quarantine report.");
 }
 
 void
-ent_quarantine_note_served (ent_request_t *r)
+ent_quarantine_mark_served (ent_request_t *r)
 {
-  qrt_note_served (&r->entry->quarantine, fingerprint_of (r), tmr_now_ms ());
+  qrt_mark_served (&r->entry->quarantine, fingerprint_of (r), tmr_now_ms ());
 }
--- a/src/gateway/gateway_access.c
+++ b/src/gateway/gateway_access.c
@@ -1,6 +1,6 @@
 /// @file gateway_access.c
-/// Who is asking: the key that a request shows, and the workspace that holds
-/// it (coordination/access.h).
+/// Authentication of callers: the key of a request, and the workspace that it
+/// belongs to (coordination/access.h).
 #include <stdio.h>
 
 #include "coordination/access.h"
@@ -22,12 +22,14 @@
   [ACC_STALE] = { HTTP_UNAVAILABLE, "keys_stale" },
 };
 
-/// How fresh the configuration is at this moment. The loop's time may be from
-/// before the process was stopped.
+/// @return  How current the configuration is. It uses the boot clock, since
+///          the event loop's time may date from before a suspension of the
+///          process.
 static acc_freshness_t
 freshness_of (const gtw_gateway_t *gateway)
 {
-  uint64_t known_ms = gateway->source->vtable->known_boot_ms (gateway->source);
+  uint64_t known_ms
+      = gateway->source->vtable->last_read_boot_ms (gateway->source);
   uint64_t now_ms = tmr_boot_ms ();
   uint64_t bound_ms = (uint64_t)gateway->host.settings.revoke_bound_ms;
   return (acc_freshness_t){ .age_ms = known_ms == 0       ? UINT64_MAX
@@ -45,11 +47,11 @@
     return;
   char key[SCT_TEXT_BYTES] = "";
   if (digest != NULL)
-    sct_text (digest, key);
+    sct_format (digest, key);
   log_text (&line, "id", r->attempt_id);
   log_text (&line, "reason", refusal->reason);
   log_text (&line, "key", key);
-  log_int (&line, "key_fields", r->said.key_count);
+  log_int (&line, "key_fields", r->parsed_head.key_count);
   log_text (&line, "route", r->route);
   log_int (&line, "revision", (int64_t)r->revision);
   log_int (&line, "age_ms", (int64_t)freshness->age_ms);
@@ -57,28 +59,28 @@
 }
 
 static void
-take_workspace (gtw_request_t *r, const wsp_workspace_t *workspace)
+apply_workspace (gtw_request_t *r, const wsp_workspace_t *workspace)
 {
   snprintf (r->workspace, sizeof r->workspace, "%s", workspace->name);
   if (workspace->has_priority)
     r->priority = workspace->priority;
-  gtw_quota_charge (r, workspace);
+  gtw_quota_prepare_workspace_charge (r, workspace);
 }
 
 gtw_refusal_t
-gtw_access_judge (gtw_request_t *r, const svc_route_t *route)
+gtw_access_check (gtw_request_t *r, const svc_route_t *route)
 {
   const svc_config_t *config = r->gateway->config;
   uint8_t digest[WSP_DIGEST_BYTES];
-  bool has_key = r->said.key.len_bytes > 0;
+  bool has_key = r->parsed_head.key.len_bytes > 0;
   if (has_key)
-    sct_digest (r->said.key, digest);
-  acc_request_t request = { .key_count = r->said.key_count,
+    sct_digest_key (r->parsed_head.key, digest);
+  acc_request_t request = { .key_count = r->parsed_head.key_count,
                             .digest = has_key ? digest : NULL,
                             .is_route_public = route->is_public };
   acc_freshness_t freshness = freshness_of (r->gateway);
-  acc_verdict_t verdict
-      = acc_judge (&config->workspaces, &request, &freshness);
+  acc_result_t verdict
+      = acc_authorize (&config->workspaces, &request, &freshness);
   const gtw_refusal_t *refusal = &refusals[verdict.outcome];
   if (refusal->http_status != 0)
     {
@@ -86,6 +88,6 @@
       log_refusal (r, refusal, request.digest, &freshness);
     }
   else if (verdict.workspace != NULL)
-    take_workspace (r, verdict.workspace);
+    apply_workspace (r, verdict.workspace);
   return *refusal;
 }
--- a/src/gateway/gateway_budget.c
+++ b/src/gateway/gateway_budget.c
@@ -1,5 +1,5 @@
 /// @file gateway_budget.c
-/// The retry budgets, one a service.
+/// Retry budgets, one per service.
 #include "gateway/gateway_defs.h"
 
 static bud_budget_t *
@@ -26,14 +26,14 @@
 }
 
 void
-gtw_budget_note_first (gtw_gateway_t *gateway, const char *service)
+gtw_budget_record_first (gtw_gateway_t *gateway, const char *service)
 {
-  bud_note_first (budget_of (gateway, service), gtw_now_ms (gateway));
+  bud_record_request (budget_of (gateway, service), gtw_now_ms (gateway));
 }
 
 bool
-gtw_budget_take (gtw_gateway_t *gateway, const char *service)
+gtw_budget_take_retry (gtw_gateway_t *gateway, const char *service)
 {
-  return bud_take_repeat (budget_of (gateway, service), gateway->gateway_count,
-                          gtw_now_ms (gateway));
+  return bud_take_retry (budget_of (gateway, service), gateway->gateway_count,
+                         gtw_now_ms (gateway));
 }
--- /dev/null
+++ b/src/gateway/gateway_records.c
@@ -0,0 +1,164 @@
+/// @file gateway_records.c
+/// Records, in the platform's store, of requests under which targets ended.
+/// Daemons exchange this state with each other (gateway_quarantine.c); the
+/// records cover the loss of all daemons at once, and gateways that share no
+/// sidecar.
+#include <stdio.h>
+#include <stdlib.h>
+
+#include "gateway/gateway_defs.h"
+#include "relay/fingerprint.h"
+#include "transport/log.h"
+#include "transport/metrics.h"
+
+enum
+{
+  /// Exponential backoff after a failed write: the store may be unavailable
+  /// for minutes, while the records wait in memory.
+  MIN_RETRY_PAUSE_MS = 500,
+  MAX_RETRY_PAUSE_MS = 8000,
+  RECORD_FORMAT = 1,
+};
+
+#define KEY_PREFIX "ends/"
+
+/// Value of a record in the store.
+typedef struct
+{
+  uint64_t format;   ///< RECORD_FORMAT.
+  uint64_t ended_ms; ///< Unix time of the last end of a target.
+  qrt_record_t entry;
+} record_t;
+
+static void write_next (gtw_record_writer_t *writer);
+
+static void
+on_retry_timer (void *arg)
+{
+  write_next (arg);
+}
+
+void
+gtw_records_init (gtw_gateway_t *gateway)
+{
+  gateway->record_writer.gateway = gateway;
+}
+
+static void
+on_record_done (void *arg, bool is_stored)
+{
+  gtw_record_writer_t *writer = arg;
+  uint64_t fingerprint = writer->writing_fingerprint;
+  writer->writing_fingerprint = 0;
+  if (is_stored)
+    {
+      writer->retry_pause_ms = 0;
+      write_next (writer);
+      return;
+    }
+  MET_INC ("knapweedbay_records_failed_total", "");
+  writer->retry_pause_ms = writer->retry_pause_ms == 0
+                               ? MIN_RETRY_PAUSE_MS
+                               : 2 * writer->retry_pause_ms;
+  if (writer->retry_pause_ms > MAX_RETRY_PAUSE_MS)
+    writer->retry_pause_ms = MAX_RETRY_PAUSE_MS;
+  gtw_records_enqueue (writer->gateway, fingerprint);
+  tmr_after (&writer->gateway->host.timers, &writer->timer,
+             writer->retry_pause_ms, on_retry_timer, writer);
+}
+
+/// @return  False: the quarantine has no entry of the request any more.
+static bool
+make_record (const gtw_gateway_t *gateway, uint64_t fingerprint, record_t *out)
+{
+  kb_buf_t packed = { 0 };
+  qrt_pack_one (&gateway->quarantine, fingerprint, gtw_now_ms (gateway),
+                &packed);
+  bool is_known = packed.len_bytes == sizeof out->entry;
+  if (is_known)
+    {
+      memcpy (&out->entry, packed.ptr, sizeof out->entry);
+      out->format = RECORD_FORMAT;
+      out->ended_ms = tmr_wall_ms () - out->entry.age_ms;
+    }
+  kb_buf_finish (&packed);
+  return is_known;
+}
+
+/// Write the oldest queued record; one at a time.
+static void
+write_next (gtw_record_writer_t *writer)
+{
+  gtw_gateway_t *gateway = writer->gateway;
+  record_t value;
+  while (writer->writing_fingerprint == 0 && writer->queue_count > 0)
+    {
+      uint64_t fingerprint = writer->queue[0];
+      writer->queue_count--;
+      memmove (&writer->queue[0], &writer->queue[1],
+               writer->queue_count * sizeof writer->queue[0]);
+      if (!make_record (gateway, fingerprint, &value))
+        continue;
+      char digits[FPR_TEXT_BYTES];
+      fpr_format (fingerprint, digits);
+      char key[sizeof KEY_PREFIX + FPR_TEXT_BYTES];
+      snprintf (key, sizeof key, KEY_PREFIX "%s", digits);
+      src_record_t record
+          = { .key = kb_slice_str (key),
+              .value = { (const char *)&value, sizeof value } };
+      writer->writing_fingerprint = fingerprint;
+      MET_INC ("knapweedbay_records_written_total", "");
+      gateway->source->vtable->store_record (
+          gateway->source, &record,
+          qrt_remaining_ms (&gateway->quarantine, fingerprint,
+                            gtw_now_ms (gateway)),
+          on_record_done, writer);
+    }
+}
+
+void
+gtw_records_enqueue (gtw_gateway_t *gateway, uint64_t fingerprint)
+{
+  gtw_record_writer_t *writer = &gateway->record_writer;
+  for (uint32_t i = 0; i < writer->queue_count; i++)
+    if (writer->queue[i] == fingerprint)
+      return;
+  // When the queue is full, the oldest record is dropped; the daemons still
+  // exchange its state.
+  if (writer->queue_count == GTW_MAX_QUEUED_RECORDS)
+    memmove (&writer->queue[0], &writer->queue[1],
+             --writer->queue_count * sizeof writer->queue[0]);
+  writer->queue[writer->queue_count++] = fingerprint;
+  if (writer->retry_pause_ms == 0)
+    write_next (writer);
+}
+
+void
+gtw_records_receive (gtw_gateway_t *gateway, const src_record_t *stored)
+{
+  kb_slice_t prefix = kb_slice_str (KEY_PREFIX);
+  if (stored->key.len_bytes < prefix.len_bytes
+      || memcmp (stored->key.ptr, prefix.ptr, prefix.len_bytes) != 0)
+    return;
+  record_t record = { 0 };
+  bool is_good = stored->value.len_bytes == sizeof record;
+  if (is_good)
+    memcpy (&record, stored->value.ptr, sizeof record);
+  uint64_t wall_ms = tmr_wall_ms ();
+  record.entry.age_ms
+      = wall_ms > record.ended_ms ? wall_ms - record.ended_ms : 0;
+  kb_slice_t entry = { (const char *)&record.entry, sizeof record.entry };
+  is_good
+      = is_good && record.format == RECORD_FORMAT
+        && qrt_merge (&gateway->quarantine, entry, gtw_now_ms (gateway), NULL);
+  if (is_good)
+    return;
+  MET_INC ("knapweedbay_entries_ignored_total", "reason=\"record\"");
+  log_event_t line;
+  if (!log_begin (&line, LOG_WARN, "store", "entry_ignored"))
+    return;
+  log_str (&line, "key", stored->key);
+  log_text (&line, "reason",
+            "not a valid record of requests that end targets");
+  log_end (&line);
+}
--- a/src/relay/fingerprint.c
+++ b/src/relay/fingerprint.c
@@ -4,8 +4,8 @@
 #include <openssl/evp.h>
 #include <stdio.h>
 
-/// Each part goes in with its length, so that bytes can not move from one
-/// part to the next.
+/// Hash a part with its length, so that moving bytes from one part to the next
+/// changes the digest.
 static void
 add_part (EVP_MD_CTX *digest, kb_slice_t part)
 {
@@ -17,7 +17,7 @@
 }
 
 uint64_t
-fpr_of (const fpr_request_t *request)
+fpr_compute (const fpr_request_t *request)
 {
   EVP_MD_CTX *digest = EVP_MD_CTX_new ();
   assert (digest != NULL);
@@ -38,7 +38,7 @@
 }
 
 void
-fpr_text (uint64_t fingerprint, char out[FPR_TEXT_BYTES])
+fpr_format (uint64_t fingerprint, char out[FPR_TEXT_BYTES])
 {
   snprintf (out, FPR_TEXT_BYTES, "%016llx", (unsigned long long)fingerprint);
 }
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -1,5 +1,5 @@
 /// @file sidecar_engine.c
-/// The engine beside a sidecar: its reports, orders to it, and its model.
+/// Handles the engine beside a sidecar: its reports, orders, and its model.
 #include <stdio.h>
 
 #include "sidecar/sidecar_defs.h"
@@ -8,123 +8,127 @@
 
 enum
 {
-  /// Reports are free on the engine's own VM. While an adapter is on its way
-  /// its arrival is what requests wait for.
-  POLL_COMING_MS = 25,
+  /// Reports cost nothing on the engine's own VM. While an adapter is loading,
+  /// requests wait for it, so reports are frequent.
+  POLL_LOADING_MS = 25,
   POLL_BUSY_MS = 150,
   POLL_IDLE_MS = 300,
-  /// Reports missed in a row until the engine counts as down.
-  REPORT_FAILURES = 2,
-  /// Models fetched from the weight store by all engines together stay far
-  /// below its ceiling when each waits this long between two tries.
+  /// Consecutive failed reports until the engine counts as down.
+  MAX_REPORT_FAILURES = 2,
+  /// Keeps the model fetches of all engines together far below the rate limit
+  /// of the weight store.
   MODEL_RETRY_MS = 5000,
-  MODEL_RETRY_AT_HAND_MS = 1000,
+  MODEL_RETRY_CACHED_MS = 1000,
   IDENTIFY_RETRY_MS = 1000,
-  /// While requests wait, prompts that are read make room for more.
-  PACE_MS = 10,
+  /// While requests wait, progress of the prefill makes room for more.
+  QUEUE_RETRY_MS = 10,
 };
 
-static void order_done (void *arg, egn_order_end_t end);
+static void order_done (void *arg, egn_order_outcome_t outcome);
 
 static const char *
-order_end_name (egn_order_end_t end)
+order_outcome_name (egn_order_outcome_t outcome)
 {
   static const char *const names[]
       = { "accepted", "holds", "conflict", "refused", "not_sent", "unknown" };
-  return names[end];
+  return names[outcome];
 }
 
 static void
 log_order (const scr_sidecar_t *s, const adm_adapter_t *adapter,
-           egn_order_end_t end)
+           egn_order_outcome_t outcome)
 {
   log_event_t line;
-  if (!log_begin (&line, end <= EGN_ORDER_HOLDS ? LOG_DEBUG : LOG_WARN,
+  if (!log_begin (&line, outcome <= EGN_ORDER_SATISFIED ? LOG_DEBUG : LOG_WARN,
                   "sidecar", "order"))
     return;
   log_text (&line, "operation",
-            s->order_kind == ADM_DO_UNLOAD ? "unload" : "load");
+            s->order_kind == ADM_ACTION_UNLOAD ? "unload" : "load");
   log_text (&line, "adapter", adapter == NULL ? "" : adapter->name);
   log_int (&line, "seq", (int64_t)s->seq);
-  log_text (&line, "outcome", order_end_name (end));
+  log_text (&line, "outcome", order_outcome_name (outcome));
   log_end (&line);
 }
 
-/// @return  Hash of the engine's id, or zero before it is known.
+/// @return  Hash of the engine's id; zero before it is known.
 static uint64_t
 engine_hash (const scr_sidecar_t *s)
 {
-  return s->who.id[0] == '\0' ? 0 : scr_name_id (kb_slice_str (s->who.id));
+  return s->engine_incarnation.id[0] == '\0'
+             ? 0
+             : scr_name_id (kb_slice_str (s->engine_incarnation.id));
 }
 
-/// Learn how long answers take. An order whose answer is lost holds all later
-/// ones back until its timeout: with 400 ms always and a third of the answers
-/// lost, an engine brought one adapter a second instead of three.
+/// Update the order timeout. An order whose answer is lost blocks all later
+/// ones until its timeout: with a fixed 400 ms and a third of the answers
+/// lost, an engine loaded one adapter a second instead of three.
 static void
-note_order_time (scr_sidecar_t *s, egn_order_end_t end)
+record_order_time (scr_sidecar_t *s, egn_order_outcome_t outcome)
 {
-  if (end == EGN_ORDER_UNKNOWN)
+  if (outcome == EGN_ORDER_UNKNOWN)
     rto_unanswered (&s->order_timeout);
-  else if (end != EGN_ORDER_NOT_SENT)
+  else if (outcome != EGN_ORDER_NOT_SENT)
     rto_answered (&s->order_timeout, scr_now_ms (s) - s->ordered_ms);
 }
 
-/// Give an order; one at a time.
+/// Send an order; only one may be pending.
 static void
-give_order (scr_sidecar_t *s, egn_order_t *order)
+send_order (scr_sidecar_t *s, egn_order_t *order)
 {
   order->expected_seq = s->seq;
-  order->instance = s->who.id;
+  order->instance = s->engine_incarnation.id;
   order->timeout_ms = rto_ms (&s->order_timeout);
   s->ordered_ms = scr_now_ms (s);
-  s->is_calling = true;
+  s->is_engine_call_pending = true;
   s->engine->vtable->order (s->engine, order, order_done, s);
 }
 
 static void
-order_done (void *arg, egn_order_end_t end)
+order_done (void *arg, egn_order_outcome_t outcome)
 {
   scr_sidecar_t *s = arg;
-  s->is_calling = false;
-  note_order_time (s, end);
+  s->is_engine_call_pending = false;
+  record_order_time (s, outcome);
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, s->order_adapter);
-  log_order (s, adapter, end);
-  bool is_fetch = s->order_kind == ADM_DO_LOAD && s->order_adapter != 0;
-  if (end == EGN_ORDER_UNKNOWN && is_fetch)
-    lto_note (&s->late_orders, engine_hash (s), s->seq, s->ordered_ms);
-  bool is_done = end == EGN_ORDER_ACCEPTED || end == EGN_ORDER_HOLDS;
+  log_order (s, adapter, outcome);
+  bool is_fetch = s->order_kind == ADM_ACTION_LOAD && s->order_adapter != 0;
+  if (outcome == EGN_ORDER_UNKNOWN && is_fetch)
+    lto_record (&s->late_orders, engine_hash (s), s->seq, s->ordered_ms);
+  bool is_done
+      = outcome == EGN_ORDER_ACCEPTED || outcome == EGN_ORDER_SATISFIED;
   if (is_done)
     s->seq++;
-  bool is_unload = s->order_kind == ADM_DO_UNLOAD;
-  // An unload that is only accepted keeps its room until the last run with it
-  // ends, which the report tells. An engine that is ordered to hold more than
-  // it has room for crashes.
-  bool is_pending = !is_done || (is_unload && end == EGN_ORDER_ACCEPTED);
-  // The report that follows tells whether an order without an answer was
-  // accepted; if not, it is given again at once.
-  if (end == EGN_ORDER_UNKNOWN)
+  bool is_unload = s->order_kind == ADM_ACTION_UNLOAD;
+  // An accepted unload frees its slot only after the last run with the adapter
+  // has ended, as shown by the report. An engine that is ordered to hold more
+  // adapters than it has room for crashes.
+  bool is_pending = !is_done || (is_unload && outcome == EGN_ORDER_ACCEPTED);
+  // The next report shows whether an order without an answer was accepted; if
+  // not, it is sent again at once.
+  if (outcome == EGN_ORDER_UNKNOWN)
     adapter = NULL;
   if (adapter != NULL && is_pending)
-    adm_order_pending (adapter, scr_now_ms (s));
+    adm_delay_order (adapter, scr_now_ms (s));
   else if (adapter != NULL && is_unload)
-    adm_unload_done (&s->table, adapter);
+    adm_record_unloaded (&s->table, adapter);
   else if (adapter != NULL)
-    adm_load_begun (&s->table, adapter, scr_now_ms (s));
+    adm_record_load_started (&s->table, adapter, scr_now_ms (s));
   if (is_done)
     {
       scr_state_changed (s);
-      scr_pump (s);
+      scr_process_queue (s);
     }
-  // The report tells what holds: whether an order without an answer was
-  // accepted shows in the count of orders.
-  if (!s->is_calling)
-    tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_COMING_MS : 0,
-               scr_poll, s);
+  // The count of orders in the report shows whether an order without an answer
+  // was accepted.
+  if (!s->is_engine_call_pending)
+    tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_LOADING_MS : 0,
+               scr_poll_engine, s);
 }
 
-/// Order the engine to fetch or drop an adapter.
+/// Order the engine to load or unload an adapter.
 static void
-order_adapter (scr_sidecar_t *s, adm_kind_t kind, const adm_adapter_t *adapter)
+order_adapter (scr_sidecar_t *s, adm_action_kind_t kind,
+               const adm_adapter_t *adapter)
 {
   char model[EGN_KEY_BYTES];
   snprintf (model, sizeof model, "%s", adapter->name);
@@ -132,61 +136,64 @@
   if (slash == NULL)
     return;
   *slash = '\0';
-  egn_order_t order = { .is_load = kind == ADM_DO_LOAD,
-                        .model = model,
-                        .adapter = slash + 1,
-                        .version = kind == ADM_DO_LOAD ? adapter->wanted : 0 };
+  egn_order_t order
+      = { .is_load = kind == ADM_ACTION_LOAD,
+          .model = model,
+          .adapter = slash + 1,
+          .version = kind == ADM_ACTION_LOAD ? adapter->min_version : 0 };
   s->order_kind = kind;
   s->order_adapter = adapter->key;
-  if (kind == ADM_DO_LOAD)
+  if (kind == ADM_ACTION_LOAD)
     MET_INC ("knapweedbay_orders_total", "operation=\"load\"");
   else
     MET_INC ("knapweedbay_orders_total", "operation=\"unload\"");
-  give_order (s, &order);
+  send_order (s, &order);
 }
 
 static void
-pump_again (void *arg)
+process_queue_on_timer (void *arg)
 {
-  scr_pump (arg);
+  scr_process_queue (arg);
 }
 
-/// Do whatever can be done now: grant, scr_decline, order.
+/// Grant and decline places and order the engine, as far as possible now.
 void
-scr_pump (scr_sidecar_t *s)
+scr_process_queue (scr_sidecar_t *s)
 {
-  s->table.reserved = lto_reserved (&s->late_orders, engine_hash (s), s->seq,
-                                    scr_now_ms (s));
+  s->table.reserved_adapter_slots = lto_reserved (
+      &s->late_orders, engine_hash (s), s->seq, scr_now_ms (s));
   for (;;)
     {
-      // Without the configuration the places for adapters are not known; an
-      // engine that is ordered to hold more than it can crashes.
-      bool may_order = !s->is_calling && s->has_report && !s->is_engine_busy
-                       && !s->host.is_stopping && s->config != NULL;
-      adm_action_t action = adm_next (&s->table, may_order, scr_now_ms (s));
+      // Without the configuration the adapter slots are unknown; an engine
+      // that is ordered to hold more adapters than it has room for crashes.
+      bool may_order = !s->is_engine_call_pending && s->has_report
+                       && !s->is_engine_busy && !s->host.is_stopping
+                       && s->config != NULL;
+      adm_action_t action
+          = adm_next_action (&s->table, may_order, scr_now_ms (s));
       switch (action.kind)
         {
-        case ADM_DO_NOTHING:
+        case ADM_ACTION_NONE:
           if (s->table.waiting > 0)
-            tmr_after (&s->host.timers, &s->pace_timer, PACE_MS, pump_again,
-                       s);
+            tmr_after (&s->host.timers, &s->queue_timer, QUEUE_RETRY_MS,
+                       process_queue_on_timer, s);
           return;
-        case ADM_DO_GRANT:
-          scr_grant (s, action.ask);
+        case ADM_ACTION_GRANT:
+          scr_grant (s, action.request);
           scr_state_changed (s);
           break;
-        case ADM_DO_DECLINE:
+        case ADM_ACTION_DECLINE:
           {
             const scr_gateway_t *gateway
-                = scr_gateway_find (s, action.ask->owner);
+                = scr_gateway_find (s, action.request->owner);
             if (gateway != NULL)
-              scr_decline (s, kb_slice_str (gateway->name), action.ask->id,
+              scr_decline (s, kb_slice_str (gateway->name), action.request->id,
                            action.reason, action.retry_after_ms);
-            adm_ask_remove (&s->table, action.ask);
+            adm_request_remove (&s->table, action.request);
             break;
           }
-        case ADM_DO_LOAD:
-        case ADM_DO_UNLOAD:
+        case ADM_ACTION_LOAD:
+        case ADM_ACTION_UNLOAD:
           order_adapter (s, action.kind, action.adapter);
           return;
         }
@@ -194,48 +201,49 @@
 }
 
 static bool
-is_at_hand (const egn_report_t *report, const char *model)
+is_model_cached (const egn_report_t *report, const char *model)
 {
-  for (uint32_t i = 0; i < report->at_hand_count; i++)
-    if (strcmp (report->at_hand[i], model) == 0)
+  for (uint32_t i = 0; i < report->cached_model_count; i++)
+    if (strcmp (report->cached_models[i], model) == 0)
       return true;
   return false;
 }
 
-/// The model that the engine is to hold: the configuration's, or, before one
-/// is known, the only one whose weights the engine still has. After a loss of
-/// all power the configuration arrives here last, behind the store, the list
-/// of targets and a gateway: 2.0 s after the start on a day whose store was
-/// down as well, of which the engine spent none on its model.
-/// @return  NULL when it is not known.
+/// The model that the engine is to hold: the configured one or, before a
+/// configuration arrived, the only one whose weights the engine still has.
+/// After a power loss the configuration arrives last, after the store, the
+/// list of targets and a gateway are up: 2.0 s after the start when the store
+/// was down as well. Without this rule the engine idled during that time.
+/// @return  NULL if it is not known.
 static const char *
 wanted_model (const scr_sidecar_t *s, const egn_report_t *report)
 {
   const svc_service_t *service = scr_own_service (s);
   if (service != NULL)
     return service->model_count > 0 ? service->models[0].name : NULL;
-  bool is_alone = s->config == NULL && report->at_hand_count == 1;
-  return is_alone ? report->at_hand[0] : NULL;
+  bool is_only_cached = s->config == NULL && report->cached_model_count == 1;
+  return is_only_cached ? report->cached_models[0] : NULL;
 }
 
-/// An engine restarts without its model; only this process can bring it back.
+/// An engine restarts without its model; only the sidecar makes it load one.
 static void
 order_model (scr_sidecar_t *s, const egn_report_t *report)
 {
   const char *model = wanted_model (s, report);
-  if (model == NULL || report->is_busy || report->is_leaving || s->is_calling)
+  if (model == NULL || report->is_busy || report->is_leaving
+      || s->is_engine_call_pending)
     return;
-  uint64_t pause_ms
-      = is_at_hand (report, model) ? MODEL_RETRY_AT_HAND_MS : MODEL_RETRY_MS;
+  uint64_t pause_ms = is_model_cached (report, model) ? MODEL_RETRY_CACHED_MS
+                                                      : MODEL_RETRY_MS;
   uint64_t now_ms = scr_now_ms (s);
   if (s->model_ordered_ms > 0 && now_ms - s->model_ordered_ms < pause_ms)
     return;
   s->model_ordered_ms = now_ms;
-  s->order_kind = ADM_DO_LOAD;
+  s->order_kind = ADM_ACTION_LOAD;
   s->order_adapter = 0;
   egn_order_t order = { .is_load = true, .model = model };
   MET_INC ("knapweedbay_orders_total", "operation=\"load_model\"");
-  give_order (s, &order);
+  send_order (s, &order);
 }
 
 static void
@@ -245,28 +253,30 @@
   s->is_identifying = false;
   if (instance.len_bytes == 0)
     return;
-  kb_slice_copy (instance, s->who.id, sizeof s->who.id);
+  kb_slice_copy (instance, s->engine_incarnation.id,
+                 sizeof s->engine_incarnation.id);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "engine_identified"))
     {
-      log_text (&line, "instance", s->who.id);
+      log_text (&line, "instance", s->engine_incarnation.id);
       log_end (&line);
     }
   scr_state_changed (s);
 }
 
-/// Requests and orders name the incarnation that they are for. The list tells
-/// it a second or more after a restart; the engine itself at once.
+/// Requests and orders carry the incarnation that they address. After a
+/// restart the engine reports it at once, the list of targets a second or more
+/// later.
 static void
 identify_engine (scr_sidecar_t *s)
 {
   uint64_t now_ms = scr_now_ms (s);
-  if (s->who.id[0] != '\0' || s->is_identifying
-      || (s->identified_ms > 0
-          && now_ms - s->identified_ms < IDENTIFY_RETRY_MS))
+  if (s->engine_incarnation.id[0] != '\0' || s->is_identifying
+      || (s->identify_sent_ms > 0
+          && now_ms - s->identify_sent_ms < IDENTIFY_RETRY_MS))
     return;
   s->is_identifying = true;
-  s->identified_ms = now_ms;
+  s->identify_sent_ms = now_ms;
   s->engine->vtable->identify (s->engine, identity_done, s);
 }
 
@@ -276,61 +286,61 @@
   log_event_t line;
   if (log_begin (&line, LOG_WARN, "sidecar", "engine_restarted"))
     {
-      log_text (&line, "instance", s->who.id);
+      log_text (&line, "instance", s->engine_incarnation.id);
       log_int (&line, "granted", s->table.granted);
       log_end (&line);
     }
   s->model_ordered_ms = 0;
-  s->who = (inc_t){ 0 };
-  s->identified_ms = 0;
+  s->engine_incarnation = (inc_t){ 0 };
+  s->identify_sent_ms = 0;
   lto_restarted (&s->late_orders);
-  adm_engine_restarted (&s->table);
-  bkp_limit_t none = { .at_ms = tmr_boot_ms () };
-  bkp_meter_told (&s->table.meter, &none, scr_now_ms (s));
+  adm_handle_engine_restart (&s->table);
+  bkp_limit_t no_limit = { .at_ms = tmr_boot_ms () };
+  bkp_meter_merge (&s->table.meter, &no_limit, scr_now_ms (s));
   scr_state_changed (s);
 }
 
-/// A restart clears the count of orders and everything that was held. The
-/// birth tells it also when the engine is as far again as it was. A report is
-/// the engine's own and fresh, so that any other birth is a restart here, also
-/// an earlier one, of a clock that was stepped back; a report without a birth
-/// is about the incarnation that is known.
+/// A restart resets the count of orders and unloads everything. The birth time
+/// shows it even after the count has reached its old value. Reports come
+/// directly from the engine and are fresh, so any other birth time means a
+/// restart, also an earlier one from a clock that was stepped back. A report
+/// without a birth time is about the known incarnation.
 static bool
 is_restarted (const scr_sidecar_t *s, const egn_report_t *report)
 {
   if (!s->has_report)
     return false;
-  bool is_reborn = report->born_ms > 0 && s->who.born_ms > 0
-                   && report->born_ms != s->who.born_ms;
-  return is_reborn || report->seq < s->seq
+  bool has_new_birth = report->born_ms > 0 && s->engine_incarnation.born_ms > 0
+                       && report->born_ms != s->engine_incarnation.born_ms;
+  return has_new_birth || report->seq < s->seq
          || (s->is_model_held && report->model_count == 0);
 }
 
 static void
-take_report (scr_sidecar_t *s, const egn_report_t *report)
+apply_report (scr_sidecar_t *s, const egn_report_t *report)
 {
   if (is_restarted (s, report))
     engine_restarted (s);
   if (report->born_ms > 0)
-    s->who.born_ms = report->born_ms;
+    s->engine_incarnation.born_ms = report->born_ms;
   s->has_report = true;
   s->report_failures = 0;
   s->seq = report->seq;
   s->is_engine_busy = report->is_busy;
   s->is_model_held = report->model_count > 0;
-  uint32_t held = s->table.held;
-  uint32_t coming = s->table.coming;
+  uint32_t held = s->table.adapters_held;
+  uint32_t coming = s->table.adapters_loading;
   adm_report_begin (&s->table);
   for (uint32_t i = 0; i < report->adapter_count; i++)
     {
       const egn_adapter_t *a = &report->adapters[i];
       adm_report_adapter (&s->table, a->key, kb_slice_str (a->name),
-                          a->version, a->is_coming, scr_now_ms (s));
+                          a->version, a->is_loading, scr_now_ms (s));
       adm_adapter_t *adapter = kb_map_get (&s->table.adapters, a->key);
-      adm_adapter_want (adapter, ver_newest (&s->versions, a->key));
+      adm_adapter_require_version (adapter, ver_newest (&s->versions, a->key));
     }
   adm_report_end (&s->table);
-  if (held != s->table.held || coming != s->table.coming)
+  if (held != s->table.adapters_held || coming != s->table.adapters_loading)
     scr_state_changed (s);
   if (s->is_model_held)
     identify_engine (s);
@@ -345,12 +355,12 @@
 report_done (void *arg, kb_status_t status, const egn_report_t *report)
 {
   scr_sidecar_t *s = arg;
-  s->is_calling = false;
+  s->is_engine_call_pending = false;
   if (status == KB_OK)
-    take_report (s, report);
-  else if (++s->report_failures >= REPORT_FAILURES)
+    apply_report (s, report);
+  else if (++s->report_failures >= MAX_REPORT_FAILURES)
     {
-      // A crashed engine comes back as another incarnation.
+      // A crashed engine restarts as another incarnation.
       if (s->has_report)
         engine_restarted (s);
       s->has_report = false;
@@ -358,22 +368,22 @@
     }
   if (status == KB_OK && !s->is_model_held)
     order_model (s, report);
-  scr_pump (s);
-  if (s->is_calling)
+  scr_process_queue (s);
+  if (s->is_engine_call_pending)
     return;
-  uint64_t pause_ms = s->table.coming > 0 ? POLL_COMING_MS
+  uint64_t pause_ms = s->table.adapters_loading > 0 ? POLL_LOADING_MS
                       : s->table.granted > 0 || s->table.waiting > 0
                           ? POLL_BUSY_MS
                           : POLL_IDLE_MS;
-  tmr_after (&s->host.timers, &s->poll_timer, pause_ms, scr_poll, s);
+  tmr_after (&s->host.timers, &s->poll_timer, pause_ms, scr_poll_engine, s);
 }
 
 void
-scr_poll (void *arg)
+scr_poll_engine (void *arg)
 {
   scr_sidecar_t *s = arg;
-  if (s->is_calling)
+  if (s->is_engine_call_pending)
     return;
-  s->is_calling = true;
+  s->is_engine_call_pending = true;
   s->engine->vtable->report (s->engine, report_done, s);
 }
--- a/test/model/quota_model_test.cc
+++ b/test/model/quota_model_test.cc
@@ -1,7 +1,7 @@
-// The quota of a workspace over all gateways, over seeded schedules of faults:
-// gateways that restart, freeze with credit and are cut, lenders that die,
-// come back and are heard by some only, words that are lost, late and come
-// twice, limits that fall.
+// Quota of a workspace over all gateways, under seeded schedules of faults:
+// gateways that restart, freeze while they hold credit or are cut off; lenders
+// that fail, return or are reachable for some gateways only; messages that are
+// lost, late or duplicated; limits that are lowered.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -21,12 +21,12 @@
 enum
 {
   SCHEDULES = 300,
-  /// Planted faults must be found within so many.
+  /// A planted fault must be found within this many.
   PLANTED_SCHEDULES = 300,
 };
 
-/// Far beyond its quota, so that any credit too much is spent: all the time,
-/// or after a time in which gateways had demand in turn.
+/// Demand far beyond the quota, so that any excess credit is spent: either all
+/// the time, or after a phase in which the gateways have demand in turn.
 QuotaOptions
 pressed (uint64_t seed)
 {
@@ -44,17 +44,17 @@
 }
 
 std::string
-story_of (const QuotaOptions &o)
+describe (const QuotaOptions &o)
 {
-  std::string story = "seed " + std::to_string (o.seed) + "\n";
+  std::string text = "seed " + std::to_string (o.seed) + "\n";
   for (const QuotaEvent &e : o.events)
-    story += std::to_string (e.at_ms) + " " + name_of (e.fault) + " for "
-             + std::to_string (e.for_ms) + " at " + std::to_string (e.which)
-             + "\n";
-  return story;
+    text += std::to_string (e.at_ms) + " " + name_of (e.fault) + " for "
+            + std::to_string (e.for_ms) + " at " + std::to_string (e.which)
+            + "\n";
+  return text;
 }
 
-TEST (QuotaModel, NoWindowHoldsMoreThanTheQuotaAllows)
+TEST (QuotaModel, UseInAnyWindowStaysWithinTheQuota)
 {
   const char *range = getenv ("KB_MODEL_SCHEDULES");
   uint64_t schedules = SCHEDULES;
@@ -66,16 +66,15 @@
       QuotaOptions o = pressed (seed);
       QuotaOutcome out = play_quota (o);
       worst = std::max (worst, out.worst_window);
-      ASSERT_EQ (out.broken, "") << story_of (o);
-      // It is a quota, not a ban.
-      ASSERT_GT (out.admitted, 0.3 * out.ideal) << story_of (o);
+      ASSERT_EQ (out.broken, "") << describe (o);
+      // A quota that admits next to nothing would pass the check above.
+      ASSERT_GT (out.admitted, 0.3 * out.ideal) << describe (o);
     }
   printf ("worst window %.3f of what is allowed\n", worst);
 }
 
-/// What lies within the quota is let in while nothing is disturbed, and most
-/// of it under faults.
-TEST (QuotaModel, WhatLiesWithinTheQuotaIsLetIn)
+/// Without faults demand within the quota is admitted.
+TEST (QuotaModel, DemandWithinTheQuotaIsAdmitted)
 {
   for (uint32_t gateways : { 1u, 20u, 70u })
     for (double load : { 0.2, 0.55, 0.9 })
@@ -88,8 +87,8 @@
       }
 }
 
-/// Each kind of fault, for half of the time.
-TEST (QuotaModel, MostOfWhatLiesWithinTheQuotaIsLetInUnderFaults)
+/// Each kind of fault, active for half of the time.
+TEST (QuotaModel, MostDemandWithinTheQuotaIsAdmittedUnderFaults)
 {
   for (int fault = 0; fault < (int)QuotaFault::FAULTS; fault++)
     {
@@ -105,13 +104,13 @@
           QuotaOutcome out = play_quota (o);
           admitted += out.admitted;
           ideal += out.ideal;
-          EXPECT_EQ (out.broken, "") << story_of (o);
+          EXPECT_EQ (out.broken, "") << describe (o);
         }
       EXPECT_GE (admitted, 0.95 * ideal) << name_of ((QuotaFault)fault);
     }
 }
 
-/// A small workspace, whose largest requests are beyond its burst.
+/// A small workspace, whose largest requests exceed its burst.
 TEST (QuotaModel, ASmallWorkspaceIsServed)
 {
   QuotaOptions o;
@@ -122,7 +121,7 @@
   EXPECT_EQ (out.broken, "");
 }
 
-/// A quota in requests.
+/// A quota that counts requests instead of tokens.
 TEST (QuotaModel, AQuotaMayCountRequests)
 {
   QuotaOptions o;
@@ -137,20 +136,20 @@
   EXPECT_EQ (play_quota (o).broken, "");
 }
 
-/// What a plain target takes a second, from callers that want far more.
+/// A request limit of a plain target, with demand far beyond it.
 QuotaOptions
 limited_target (double per_s, uint64_t seed)
 {
   QuotaOptions o = pressed (seed);
   o.limit = { per_s, 0 };
   o.tolerance = bkp_limit_tolerance;
-  o.keeps_to_reach = true;
+  o.is_capped_by_reach = true;
   // Each request counts one.
   o.mean_request = 0.25;
   return o;
 }
 
-TEST (QuotaModel, ATargetGetsNoMoreThanItTakesWhateverFails)
+TEST (QuotaModel, ATargetLimitHoldsUnderFaults)
 {
   for (double per_s : { 0.1, 4.0, 40.0 })
     {
@@ -160,14 +159,14 @@
           QuotaOutcome out = play_quota (limited_target (per_s, seed));
           worst = std::max (worst, out.worst_window);
           ASSERT_EQ (out.broken, "")
-              << per_s << " " << story_of (limited_target (per_s, seed));
+              << per_s << " " << describe (limited_target (per_s, seed));
         }
       printf ("%.1f a second: worst window %.3f of what is allowed\n", per_s,
               worst);
     }
 }
 
-TEST (QuotaModel, ATargetGetsMostOfWhatItTakes)
+TEST (QuotaModel, MostOfATargetsLimitIsUsed)
 {
   for (auto [gateways, part] :
        { std::pair (1u, 0.85), { 8u, 0.85 }, { 70u, 0.7 } })
@@ -201,32 +200,31 @@
   ADD_FAILURE () << "no schedule shows it";
 }
 
-// A gateway that was stopped wakes and spends what it was lent before.
-TEST (QuotaModel, FindsCreditThatNeverLapses)
+// A gateway that was suspended resumes and spends credit from before.
+TEST (QuotaModel, FindsCreditThatNeverExpires)
 {
   expect_found (QuotaPlanted::CREDIT_NEVER_LAPSES, 24);
 }
 
-// A lender that restarts, or takes another one's place, lends a whole burst
-// anew.
-TEST (QuotaModel, FindsALenderThatIsToldNothing)
+// A lender that restarts or replaces another one lends a whole burst again.
+TEST (QuotaModel, FindsALenderWithoutEarlierLedgers)
 {
   expect_found (QuotaPlanted::NOTHING_IS_TOLD);
 }
 
-// Gateways that do not hear the lender are lent the whole quota by another.
+// Gateways that do not reach the lender get the whole quota from another one.
 TEST (QuotaModel, FindsASecondLenderThatLendsAll)
 {
   expect_found (QuotaPlanted::SECOND_LENDS_ALL);
 }
 
-// A grant that comes twice is spent twice.
+// A duplicated grant is spent twice.
 TEST (QuotaModel, FindsAGrantThatCountsTwice)
 {
   expect_found (QuotaPlanted::GRANT_COUNTS_TWICE);
 }
 
-// Gateways and lenders that start at one moment lend a whole burst anew.
+// Gateways and lenders that restart together lend a whole burst again.
 TEST (QuotaModel, FindsAStartThatAssumesNothing)
 {
   expect_found (QuotaPlanted::START_ASSUMES_NOTHING);
--- a/test/relay/leaving_failure_test.cc
+++ b/test/relay/leaving_failure_test.cc
@@ -1,4 +1,5 @@
-// Targets that say in their answers that they leave, while the list does not.
+// Targets that state in their answers that they leave, while the list does
+// not.
 #include <gtest/gtest.h>
 
 #include "load.h"
@@ -10,11 +11,11 @@
 
 using std::chrono::milliseconds;
 
-/// What callers send that much later than a gateway passed on such an answer
-/// reaches the target from that gateway no more.
-constexpr int kBoundMs = 2000;
-/// By then each gateway under load has passed one on.
-constexpr int kHeardMs = 500;
+/// This long after a gateway has passed on such an answer, requests that
+/// callers send no longer reach the target through that gateway.
+constexpr int kDrainBoundMs = 2000;
+/// By then each gateway under load has passed on such an answer.
+constexpr int kReactionMs = 500;
 
 Call
 stream (const std::string &id)
@@ -28,7 +29,7 @@
   return plain_call (id);
 }
 
-/// The store is silent, and a target says that it leaves.
+/// The store is silent, and a target states that it leaves.
 void
 expect_nothing_after_bound (Site &site, Target &leaving,
                             Call (*call_of) (const std::string &))
@@ -39,30 +40,31 @@
   site.store.set_mode (Store::SILENT);
   site.far_store.set_mode (Store::SILENT);
   leaving.says_leaving = true;
-  Moment bound
-      = std::chrono::steady_clock::now () + milliseconds (kHeardMs + kBoundMs);
-  std::this_thread::sleep_for (milliseconds (kHeardMs + kBoundMs + 1500));
+  Moment bound = std::chrono::steady_clock::now ()
+                 + milliseconds (kReactionMs + kDrainBoundMs);
+  std::this_thread::sleep_for (
+      milliseconds (kReactionMs + kDrainBoundMs + 1500));
   Load::Counts counts = load.stop ();
   EXPECT_EQ (most_in (arrivals_at (leaving), bound, 1500), 0);
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
-// Guards against leaving that only the list tells.
-TEST (Leaving, AnEngineThatSaysSoGetsNothingNew)
+// Guards against leaving that takes effect only through the list.
+TEST (Leaving, EngineThatStatesItGetsNoNewRequests)
 {
   Site site (2, 0, 2);
   expect_nothing_after_bound (site, *site.engines[0].target, stream);
 }
 
-// Guards against the same at a plain target, which has no agent.
-TEST (Leaving, APlainTargetThatSaysSoGetsNothingNew)
+// Guards against the same at a plain target, which has no sidecar.
+TEST (Leaving, PlainTargetThatStatesItGetsNoNewRequests)
 {
   Site site (1, 2, 2);
   expect_nothing_after_bound (site, *site.plain[0], plain);
 }
 
-// Guards against leaving that outlives the life that said so.
-TEST (Leaving, EndsWithTheBirthThatSaidSo)
+// Guards against leaving that outlives the incarnation that stated it.
+TEST (Leaving, EndsWithTheIncarnationThatStatedIt)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -77,8 +79,8 @@
       3000));
 }
 
-// Guards against an entry of the list that takes leaving back.
-TEST (Leaving, IsNotTakenBackByTheList)
+// Guards against an entry of the list that reverts leaving.
+TEST (Leaving, IsNotRevertedByTheList)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -96,8 +98,8 @@
   EXPECT_EQ (site.plain[0]->runs (), 1);
 }
 
-// Guards against retries and resumed streams that go to a target which leaves.
-TEST (Leaving, RetriesAndResumedStreamsGoElsewhere)
+// Guards against retries and resumed streams that go to a leaving target.
+TEST (Leaving, RetriesAndResumedStreamsAvoidTheTarget)
 {
   Site site (3, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
--- a/test/relay/limit_failure_test.cc
+++ b/test/relay/limit_failure_test.cc
@@ -12,12 +12,12 @@
 
 using std::chrono::milliseconds;
 
-/// The limit binds from then on, over any window, with this tolerance.
-constexpr int kBindsAfterMs = 3000;
+/// From then on the limit holds over any window, with this tolerance.
+constexpr int kEnforcedAfterMs = 3000;
 constexpr int kWindowMs = 4000;
 
 int
-allowed (double per_s)
+max_allowed (double per_s)
 {
   return (int)(1.5 * per_s * kWindowMs / 1000) + 5;
 }
@@ -34,7 +34,7 @@
   return plain_call (id);
 }
 
-/// Press a site, one of whose targets states a limit.
+/// Load a site in which one target states a limit.
 void
 expect_limit_holds (Site &site, Target &limited,
                     Call (*call_of) (const std::string &), double per_s)
@@ -43,36 +43,38 @@
   Load load (&site, call_of, 4, 10);
   std::this_thread::sleep_for (milliseconds (1000));
   limited.limit_per_s = per_s;
-  Moment binds
-      = std::chrono::steady_clock::now () + milliseconds (kBindsAfterMs);
-  std::this_thread::sleep_for (milliseconds (kBindsAfterMs + 2 * kWindowMs));
+  Moment enforced_from
+      = std::chrono::steady_clock::now () + milliseconds (kEnforcedAfterMs);
+  std::this_thread::sleep_for (
+      milliseconds (kEnforcedAfterMs + 2 * kWindowMs));
   Load::Counts counts = load.stop ();
-  int most = most_in (arrivals_at (limited), binds, kWindowMs);
-  printf ("%d of %d in %d ms\n", most, allowed (per_s), kWindowMs);
-  EXPECT_LE (most, allowed (per_s));
-  // It is used, and the other targets serve what it does not take.
+  int most = most_in (arrivals_at (limited), enforced_from, kWindowMs);
+  printf ("%d of %d in %d ms\n", most, max_allowed (per_s), kWindowMs);
+  EXPECT_LE (most, max_allowed (per_s));
+  // At least half of the limit is used, and other targets serve the rest.
   EXPECT_GE (most, (int)(per_s * kWindowMs / 1000 / 2));
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
-// Guards against a limit of an engine that each gateway, or none, keeps.
-TEST (Limit, AnEngineGetsWhatItTakesFromAllGateways)
+// Guards against an engine's limit that is enforced by each gateway on its
+// own, or by none.
+TEST (Limit, EngineLimitHoldsOverAllGateways)
 {
   Site site (3, 0, 3);
   expect_limit_holds (site, *site.engines[0].target, stream, 5);
 }
 
-// Guards against the same at a plain target, which has no agent.
-TEST (Limit, APlainTargetGetsWhatItTakesFromAllGateways)
+// Guards against the same at a plain target, which has no sidecar.
+TEST (Limit, PlainTargetLimitHoldsOverAllGateways)
 {
   Site site (2, 3, 3);
   expect_limit_holds (site, *site.plain[0], plain, 5);
 }
 
-/// One after the other: the agent beside the limited engine, agents that lend
-/// permits, gateways, the store.
+/// Fail daemons one after the other: the sidecars, among them the one beside
+/// the limited engine and those that lend permits, the gateways, the store.
 void
-let_daemons_fail (Site &site)
+fail_daemons (Site &site)
 {
   for (Engine &engine : site.engines)
     {
@@ -92,7 +94,7 @@
   site.store.set_mode (Store::WELL);
 }
 
-// Guards against a limit that is forgotten with the daemons that know it.
+// Guards against a limit that is lost with the daemons that know it.
 TEST (Limit, HoldsWhileDaemonsFail)
 {
   constexpr double per_s = 5;
@@ -102,20 +104,21 @@
   Load calls (&site, plain, 4, 10);
   site.engines[0].target->limit_per_s = per_s;
   site.plain[0]->limit_per_s = per_s;
-  Moment binds
-      = std::chrono::steady_clock::now () + milliseconds (kBindsAfterMs);
-  std::this_thread::sleep_for (milliseconds (kBindsAfterMs));
-  let_daemons_fail (site);
+  Moment enforced_from
+      = std::chrono::steady_clock::now () + milliseconds (kEnforcedAfterMs);
+  std::this_thread::sleep_for (milliseconds (kEnforcedAfterMs));
+  fail_daemons (site);
   streams.stop ();
   calls.stop ();
-  EXPECT_LE (most_in (arrivals_at (*site.engines[0].target), binds, kWindowMs),
-             allowed (per_s));
-  EXPECT_LE (most_in (arrivals_at (*site.plain[0]), binds, kWindowMs),
-             allowed (per_s));
+  EXPECT_LE (most_in (arrivals_at (*site.engines[0].target), enforced_from,
+                      kWindowMs),
+             max_allowed (per_s));
+  EXPECT_LE (most_in (arrivals_at (*site.plain[0]), enforced_from, kWindowMs),
+             max_allowed (per_s));
 }
 
-// Guards against a limit that outlives what the target says.
-TEST (Limit, IsOverWhenTheTargetStatesNone)
+// Guards against a limit that stays after the target has withdrawn it.
+TEST (Limit, EndsWhenTheTargetStatesNone)
 {
   Site site (2, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -134,9 +137,9 @@
   EXPECT_GT (most_in (arrivals_at (*site.plain[0]), lifted, 1000), 20);
 }
 
-// Guards against callers that wait, or learn no time, where no target takes
-// more.
-TEST (Limit, WhatNoTargetTakesIsRefusedAtOnceWithATime)
+// Guards against callers that wait, or get no retry-after time, when all
+// targets are at their limits.
+TEST (Limit, ExcessIsRefusedAtOnceWithRetryAfter)
 {
   Site site (2, 2, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -153,13 +156,13 @@
       EXPECT_GT (counts.refused, counts.answered);
       EXPECT_EQ (counts.untimed, 0);
       EXPECT_EQ (counts.other, 0);
-      // An engine's objective is 800 ms, a plain target's 150 ms.
+      // The objective is 800 ms at engines, 150 ms at plain targets.
       EXPECT_LE (counts.longest_refused_ms, call_of == stream ? 1000 : 400);
     }
 }
 
-// Guards against fields without meaning that change what is believed.
-TEST (Limit, AFieldWithoutMeaningIsToldAndChangesNothing)
+// Guards against a malformed field that changes the known limit.
+TEST (Limit, MalformedFieldIsLoggedAndIgnored)
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
--- a/test/system/cluster.cc
+++ b/test/system/cluster.cc
@@ -87,11 +87,11 @@
 Answer
 http_call (const std::string &method, int port, const std::string &path,
            const std::string &body, const Headers &headers, long timeout_ms,
-           bool tls)
+           bool is_tls)
 {
   Answer answer;
   CURL *curl = curl_easy_init ();
-  std::string url = std::string (tls ? "https" : "http")
+  std::string url = std::string (is_tls ? "https" : "http")
                     + "://127.0.0.1:" + std::to_string (port) + path;
   curl_slist *list = nullptr;
   for (const auto &header : headers)
@@ -99,7 +99,7 @@
   list = curl_slist_append (list, "Expect:");
   curl_easy_setopt (curl, CURLOPT_URL, url.c_str ());
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  // The test's own certificate is signed by itself.
+  // The test certificate is self-signed.
   curl_easy_setopt (curl, CURLOPT_SSL_VERIFYPEER, 0L);
   curl_easy_setopt (curl, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, method.c_str ());
@@ -114,7 +114,7 @@
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, &answer.body);
   curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, collect_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, &answer.headers);
-  answer.whole = curl_easy_perform (curl) == CURLE_OK;
+  answer.is_complete = curl_easy_perform (curl) == CURLE_OK;
   long status = 0;
   curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &status);
   curl_easy_getinfo (curl, CURLINFO_TOTAL_TIME, &answer.seconds);
@@ -134,7 +134,7 @@
   std::vector<char> name (full.begin (), full.end ());
   name.push_back ('\0');
   if (mkdtemp (name.data ()) == nullptr)
-    throw std::runtime_error ("no scratch directory");
+    throw std::runtime_error ("cannot create a temporary directory");
   dir = name.data ();
   config_dir = dir + "/config";
   mkdir (config_dir.c_str (), 0700);
@@ -165,7 +165,7 @@
     {
       std::string remove = "rm -rf '" + dir + "'";
       if (system (remove.c_str ()) != 0)
-        fprintf (stderr, "could not remove %s\n", dir.c_str ());
+        fprintf (stderr, "cannot remove %s\n", dir.c_str ());
     }
 }
 
@@ -196,7 +196,7 @@
     }
   close (out[1]);
   process.pid = pid;
-  // Log lines may stand before the line that names the ports.
+  // Log lines may precede the line with the ports.
   std::string line;
   char c;
   size_t http = std::string::npos;
@@ -216,7 +216,7 @@
     throw std::runtime_error (name + " did not start: " + line);
   process.http_port = atoi (line.c_str () + http + 5);
   process.inner_port = atoi (line.c_str () + inner + 6);
-  // The log and spans follow on standard output; keep the pipe drained.
+  // Logs and spans follow on standard output; keep the pipe drained.
   int fd = out[0];
   std::string span_path = process.log_path;
   std::thread ([fd, span_path] {
@@ -259,7 +259,7 @@
     << ",\"load_concurrency\":" << options.load_concurrency
     << ",\"inner_port\":" << inner_port << ",\"operator_key\":\""
     << kOperatorKey << "\"," << options.extra_agent;
-  if (options.curve)
+  if (options.has_curve)
     s << "\"curve_public_key\":\"" << curve_keys_[0]
       << "\",\"curve_secret_key\":\"" << curve_keys_[1]
       << "\",\"curve_agent_key\":\"" << curve_keys_[0]
@@ -282,7 +282,7 @@
     << ",\"load_concurrency\":" << options.load_concurrency
     << ",\"list_poll_ms\":200,\"operator_key\":\"" << kOperatorKey << "\","
     << options.extra_entry;
-  if (options.curve)
+  if (options.has_curve)
     s << "\"curve_public_key\":\"" << curve_keys_[2]
       << "\",\"curve_secret_key\":\"" << curve_keys_[3]
       << "\",\"curve_agent_key\":\"" << curve_keys_[0]
@@ -351,7 +351,8 @@
   write_text (config_dir + "/20-adapters.json", a.str ());
 }
 
-/// Run one of the programs. @return its exit code.
+/// Run one of the programs.
+/// @return  Its exit code.
 static int
 run_program (const char *name, const std::vector<std::string> &args,
              std::string *output)
@@ -614,14 +615,14 @@
 Answer
 Cluster::complete (int entry, const std::string &model,
                    const std::string &prompt, const Headers &extra, int tokens,
-                   bool stream, const std::string &key)
+                   bool is_stream, const std::string &key)
 {
   Headers headers = extra;
   headers.push_back ("Authorization: Bearer " + key);
   headers.push_back ("Content-Type: application/json");
   std::string body = "{\"model\":\"" + model + "\",\"prompt\":\"" + prompt
                      + "\",\"max_tokens\":" + std::to_string (tokens)
-                     + (stream ? ",\"stream\":true}" : "}");
+                     + (is_stream ? ",\"stream\":true}" : "}");
   return http_call ("POST", entries[(size_t)entry].process.http_port,
                     "/v1/completions", body, headers, 60000);
 }
--- a/test/system/edge_test.cc
+++ b/test/system/edge_test.cc
@@ -1,4 +1,5 @@
-// Edges: TLS, traces, limits, strangers, slow senders, the drain limit.
+// TLS, traces, limits, unauthenticated and malformed peers, slow senders,
+// drain limit.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <openssl/pem.h>
@@ -22,7 +23,7 @@
 namespace
 {
 
-/// A self-signed certificate for the test.
+/// Write a self-signed certificate and its key.
 void
 make_certificate (const std::string &cert_path, const std::string &key_path)
 {
@@ -48,7 +49,7 @@
 }
 
 int
-connect_to (int port)
+connect_to_port (int port)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in addr = {};
@@ -70,7 +71,7 @@
 
 } // namespace
 
-// Callers speak TLS to one entry; the other stays plain.
+// One entry serves TLS and refuses plain HTTP.
 TEST (Edge, TlsForCallers)
 {
   Cluster c (ClusterOptions{});
@@ -101,8 +102,8 @@
              0);
 }
 
-// One request leaves a span for each hop, all of the caller's trace.
-TEST (Edge, SpansOfEveryHop)
+// A request exports a span for each hop, all with the caller's trace id.
+TEST (Edge, SpansForEveryHop)
 {
   ClusterOptions o;
   o.extra_entry = "\"trace_stdout\":true,";
@@ -115,7 +116,7 @@
                     { "traceparent: 00-" + trace + "-00f067aa0ba902b7-01" });
   ASSERT_EQ (answer.status, 200);
   EXPECT_NE (answer.headers["traceparent"].find (trace), std::string::npos);
-  std::set<std::string> wanted
+  std::set<std::string> expected_spans
       = { "entry.receive", "entry.route", "agent.queue", "adapter.load",
           "engine.run" };
   EXPECT_TRUE (Cluster::wait_until (
@@ -127,18 +128,18 @@
         std::string line;
         std::set<std::string> found;
         while (std::getline (lines, line))
-          for (auto &name : wanted)
+          for (auto &name : expected_spans)
             if (line.find (trace) != std::string::npos
                 && line.find ("\"name\":\"" + name + "\"")
                        != std::string::npos)
               found.insert (name);
-        return found == wanted;
+        return found == expected_spans;
       },
       3000));
 }
 
-// A workspace exceeds its limits: it is told so (429, not run) with a time to
-// come back, and another workspace is not touched.
+// A workspace exceeds its rate: it gets 429, outcome not_run and a Retry-After
+// header, and another workspace isn't affected.
 TEST (Edge, WorkspaceLimits)
 {
   Cluster c (ClusterOptions{});
@@ -150,24 +151,24 @@
   ASSERT_EQ (c.apply (), 0);
   ASSERT_TRUE (Cluster::wait_until (
       [&] { return c.status_int (c.entries[0].process, "revision") == 2; }));
-  int limited = 0;
+  int limited_count = 0;
   for (int i = 0; i < 5; i++)
     {
       Answer answer
           = c.complete (0, "a1@1", "r", {}, 2, false, "reseller-key");
       if (answer.status != 429)
         continue;
-      limited++;
+      limited_count++;
       EXPECT_EQ (answer.headers["x-knapweedbay-outcome"], "not_run");
       EXPECT_NE (answer.headers["retry-after"], "");
     }
-  EXPECT_GE (limited, 3);
+  EXPECT_GE (limited_count, 3);
   EXPECT_EQ (c.complete (0, "a1@1", "r").status, 200);
 }
 
-// A stranger with its own CURVE key, and one that sends garbage, reach the
-// inner port. Both are counted, nothing crashes, and work goes on.
-TEST (Edge, StrangersOnTheInnerPort)
+// A client with an unknown CURVE key and one that sends garbage connect to the
+// inner port. They are counted, nothing crashes, and requests are served.
+TEST (Edge, UnauthenticatedPeersOnInnerPort)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -189,7 +190,7 @@
       = "tcp://127.0.0.1:" + std::to_string (t.agent.inner_port);
   zmq_connect (socket, address.c_str ());
   zmq_send (socket, "hello", 5, ZMQ_DONTWAIT);
-  int fd = connect_to (t.agent.inner_port);
+  int fd = connect_to_port (t.agent.inner_port);
   std::string garbage (300, '\xff');
   EXPECT_GT (write (fd, garbage.data (), garbage.size ()), 0);
   EXPECT_TRUE (Cluster::wait_until ([&] {
@@ -203,12 +204,12 @@
                200);
 }
 
-// A known peer sends messages that are cut, of a newer version or not a
-// message at all. They are counted and dropped; the connection goes on.
+// A peer sends messages that are truncated, of a newer version or not a
+// message at all. They are counted and dropped, and requests are served.
 TEST (Edge, MalformedInnerMessages)
 {
   ClusterOptions o;
-  o.curve = false;
+  o.has_curve = false;
   Cluster c (o);
   c.start ();
   kb::Target &t = c.targets[0];
@@ -239,31 +240,31 @@
   EXPECT_EQ (c.complete (0, "a1@1", "x").status, 200);
 }
 
-// A caller sends half a body and falls silent. Its connection is closed by
-// the read timeout; it holds nothing else up.
+// A caller sends part of a body and nothing more. The read timeout closes its
+// connection; other requests aren't delayed.
 TEST (Edge, SlowSenderIsClosed)
 {
   ClusterOptions o;
   o.extra_entry = "\"request_read_timeout_ms\":400,";
   Cluster c (o);
   c.start ();
-  int fd = connect_to (c.entries[0].process.http_port);
-  std::string half = "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"
-                     "content-length: 1000\r\n\r\n{\"model\"";
-  ASSERT_GT (write (fd, half.data (), half.size ()), 0);
-  timeval patience = { 5, 0 };
-  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+  int fd = connect_to_port (c.entries[0].process.http_port);
+  std::string partial_request = "POST /v1/completions HTTP/1.1\r\nhost: x\r\n"
+                                "content-length: 1000\r\n\r\n{\"model\"";
+  ASSERT_GT (write (fd, partial_request.data (), partial_request.size ()), 0);
+  timeval read_timeout = { 5, 0 };
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &read_timeout, sizeof read_timeout);
   char buffer[256];
-  ssize_t got;
-  while ((got = read (fd, buffer, sizeof buffer)) > 0)
+  ssize_t received;
+  while ((received = read (fd, buffer, sizeof buffer)) > 0)
     ;
-  EXPECT_EQ (got, 0) << "the connection was not closed";
+  EXPECT_EQ (received, 0) << "the connection was not closed";
   close (fd);
   EXPECT_EQ (c.complete (0, "a1@1", "x").status, 200);
 }
 
-// A drain meets a request that does not end. At the limit the daemon stops,
-// says so in its log and by its exit code.
+// A request doesn't end during a drain. At the drain limit the daemon stops
+// and reports this in its log and by its exit code.
 TEST (Edge, DrainLimitIsReported)
 {
   ClusterOptions o;
@@ -285,7 +286,8 @@
   t.join ();
 }
 
-// The tool drains a daemon, and refuses without the operator's key.
+// The tool shows the status of a daemon and drains it; with a wrong operator
+// key it fails.
 TEST (Edge, ToolDrainsAndShowsStatus)
 {
   Cluster c (ClusterOptions{});
--- a/test/system/member_test.cc
+++ b/test/system/member_test.cc
@@ -1,4 +1,4 @@
-// Membership: drains, lagging lists, fencing, lost entries and claim owners.
+// Membership: drains, stale lists, fencing, loss of entries and claim owners.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -15,7 +15,7 @@
 {
 
 ClusterOptions
-fast_gone ()
+short_timeout_options ()
 {
   ClusterOptions o;
   o.extra_entry = "\"vm_gone_after_ms\":1000,\"silence_ms\":800,";
@@ -23,7 +23,7 @@
 }
 
 int64_t
-total_runs (Cluster &c, const kb::Target &t)
+total_run_count (Cluster &c, const kb::Target &t)
 {
   json_object *doc = c.stats (t.fake);
   json_object *map = nullptr;
@@ -41,16 +41,17 @@
 }
 
 int64_t
-shards (Cluster &c, int entry)
+owned_shards (Cluster &c, int entry)
 {
   return c.status_int (c.entries[(size_t)entry].process, "shards_owned");
 }
 
 } // namespace
 
-// An operator replaces a VM: its agent gets SIGTERM while it streams. The
-// stream must not be cut, new work must go elsewhere, and the agent exits 0.
-TEST (Membership, GracefulAgentCutsNothing)
+// An agent gets SIGTERM while it streams, as when an operator replaces its VM.
+// The streams must finish, new requests must go elsewhere, and the agent must
+// exit with 0.
+TEST (Membership, DrainingAgentFinishesStreams)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -65,11 +66,11 @@
   kb::Target &leaving = c.targets[0];
   Cluster::kill_process (leaving.agent, SIGTERM);
   std::this_thread::sleep_for (std::chrono::milliseconds (100));
-  int64_t before = total_runs (c, leaving);
+  int64_t before = total_run_count (c, leaving);
   for (int i = 0; i < 20; i++)
     EXPECT_EQ (c.complete (i % 2, "a" + std::to_string (i) + "@1", "n").status,
                200);
-  EXPECT_EQ (total_runs (c, leaving), before);
+  EXPECT_EQ (total_run_count (c, leaving), before);
   for (auto &t : threads)
     t.join ();
   for (int i = 0; i < 6; i++)
@@ -79,9 +80,9 @@
   EXPECT_EQ (Cluster::wait_exit (leaving.agent), 0);
 }
 
-// An entry gets SIGTERM in the middle of requests: they finish, its claim
-// shards go to the other entry, and it exits 0.
-TEST (Membership, GracefulEntryHandsOver)
+// An entry gets SIGTERM during requests: they finish, its claim shards go to
+// the other entry, and it exits with 0.
+TEST (Membership, DrainingEntryHandsOverShards)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -95,33 +96,34 @@
   t.join ();
   EXPECT_EQ (running.status, 200) << running.body;
   EXPECT_EQ (Cluster::wait_exit (c.entries[0].process), 0);
-  EXPECT_TRUE (Cluster::wait_until ([&] { return shards (c, 1) == 64; }));
+  EXPECT_TRUE (
+      Cluster::wait_until ([&] { return owned_shards (c, 1) == 64; }));
   Answer again
       = c.complete (1, "a1@1", "kept", { "Idempotency-Key: handover" });
   EXPECT_EQ (again.status, 200) << again.body;
   EXPECT_EQ (c.runs_of ("kept"), 1);
 }
 
-// The list calls a target leaving while its agent knows nothing of it. Two
-// seconds after the notice it must get no new work.
+// The list marks a target as leaving; its agent doesn't know. Two seconds
+// later the target must get no new requests.
 TEST (Membership, ListedLeavingGetsNoNewWork)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   c.publish ({ c.targets[0].name });
   std::this_thread::sleep_for (std::chrono::milliseconds (2000));
-  int64_t before = total_runs (c, c.targets[0]);
+  int64_t before = total_run_count (c, c.targets[0]);
   for (int i = 0; i < 24; i++)
     EXPECT_EQ (c.complete (i % 2, "a" + std::to_string (i) + "@1", "x").status,
                200);
-  EXPECT_EQ (total_runs (c, c.targets[0]), before);
+  EXPECT_EQ (total_run_count (c, c.targets[0]), before);
 }
 
-// The list loses a target that answers. Its own word is newer than the list:
-// it goes on serving.
-TEST (Membership, MissingButAnsweringIsUsed)
+// The list lacks targets that respond. Their own report is newer than the
+// list, so they must still be used.
+TEST (Membership, UnlistedButRespondingTargetIsUsed)
 {
-  Cluster c (fast_gone ());
+  Cluster c (short_timeout_options ());
   c.start ();
   std::vector<std::string> missing;
   for (auto &t : c.targets)
@@ -131,8 +133,8 @@
   EXPECT_EQ (c.complete (0, "a1@1", "still").status, 200);
 }
 
-// The list shows a target that is dead. Requests must not wait for it.
-TEST (Membership, ListedButDeadIsAvoided)
+// The list still has a target that is dead. Requests must not wait for it.
+TEST (Membership, ListedButDeadTargetIsAvoided)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -146,11 +148,11 @@
     }
 }
 
-// A whole failure domain goes at once, with its entry and targets. The other
-// domains carry on; repeatable work is not lost.
+// A whole failure domain fails at once, with its entry and targets. The other
+// domain keeps serving; no repeatable request is lost.
 TEST (Membership, FailureDomainLost)
 {
-  ClusterOptions o = fast_gone ();
+  ClusterOptions o = short_timeout_options ();
   o.domains = { "hafnarhus", "grandi" };
   Cluster c (o);
   c.start ();
@@ -175,8 +177,8 @@
     EXPECT_EQ (answers[(size_t)i].status, 200) << answers[(size_t)i].body;
 }
 
-/// Pause the agent of a target, start its successor, wake the old one, and
-/// wait for it to leave.
+/// Pause the agent of a target, start its successor, resume the old one and
+/// wait for it to exit.
 static void
 replace_paused_agent (Cluster &c, kb::Target &t)
 {
@@ -186,26 +188,26 @@
   ASSERT_TRUE (Cluster::wait_until (
       [&] { return c.status_int (t.agent, "registered") == 1; }));
   c.publish ();
-  // The old one stands still for longer than its pause limit.
+  // The old agent is paused for longer than its pause limit.
   std::this_thread::sleep_for (std::chrono::milliseconds (2500));
   Cluster::kill_process (old, SIGCONT);
   EXPECT_EQ (Cluster::wait_exit (old), 0);
   EXPECT_EQ (c.stat_sum ("stale_orders"), 0);
 }
 
-// Another owner gave the engine a newer number while this agent still
-// believes that the target is its own. The engine refuses its next order; the
-// agent must leave, and the request must be served elsewhere.
-TEST (Membership, RefusedOrderMakesTheAgentLeave)
+// Another owner used a newer fencing number at the engine while the agent
+// still considers itself the owner. The engine refuses the agent's next order;
+// the agent must exit, and the request must be served elsewhere.
+TEST (Membership, AgentLeavesAfterRefusedOrder)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   kb::Target &t = c.targets[0];
-  Answer taken
+  Answer takeover
       = kb::http_call ("POST", t.fake.http_port, "/v1/load_lora_adapter",
                        "{\"lora_name\":\"other@1\",\"lora_path\":\"x\"}",
                        { "x-fencing-number: 9999999999999999" });
-  ASSERT_EQ (taken.status, 200);
+  ASSERT_EQ (takeover.status, 200);
   for (int i = 0; i < 16; i++)
     EXPECT_EQ (c.complete (i % 2, "a" + std::to_string (i) + "@1", "x").status,
                200);
@@ -213,8 +215,8 @@
   EXPECT_GE (c.stat_sum ("stale_orders"), 1);
 }
 
-// A paused agent wakes after its successor took the target over. The engine
-// checks fencing numbers; the old agent must not get as far as an order.
+// A paused agent resumes after its successor took over the target. The engine
+// checks fencing numbers; the old agent must not send an order.
 TEST (Membership, PausedAgentIsFencedByTheEngine)
 {
   Cluster c (ClusterOptions{});
@@ -223,8 +225,8 @@
   EXPECT_EQ (c.complete (0, "a1@1", "after").status, 200);
 }
 
-// The same with an engine that ignores the number: the old agent must find
-// out by itself before it orders anything.
+// The same with an engine that ignores fencing numbers: the old agent must
+// detect by itself that it was replaced, before it sends an order.
 TEST (Membership, PausedAgentLeavesBeforeOrders)
 {
   Cluster c (ClusterOptions{});
@@ -233,19 +235,20 @@
   replace_paused_agent (c, c.targets[0]);
 }
 
-// The entry that owns a key's shard is killed while the key runs. The caller
-// re-sends through the other entry, which takes the shard over and rebuilds
-// it from the runners: the key must not run again, and its answer is found.
-TEST (Membership, KilledOwnerKeyIsNotRunAgain)
+// The entry that owns a key's shard is killed while the key's request runs.
+// The caller re-sends through the other entry, which takes over the shard and
+// rebuilds it from the runners: the request must not run again, and its stored
+// answer must be returned.
+TEST (Membership, KeyIsNotRunAgainAfterOwnerIsKilled)
 {
-  Cluster c (fast_gone ());
+  Cluster c (short_timeout_options ());
   c.start ();
   std::vector<std::thread> threads;
-  std::vector<Answer> first (8);
+  std::vector<Answer> first_answers (8);
   for (int i = 0; i < 8; i++)
     threads.emplace_back ([&, i] {
       std::string id = "own" + std::to_string (i);
-      first[(size_t)i]
+      first_answers[(size_t)i]
           = c.complete (0, "a1@1", id, { "Idempotency-Key: " + id }, 250);
     });
   std::this_thread::sleep_for (std::chrono::milliseconds (300));
@@ -253,7 +256,8 @@
   c.publish ({}, { "entry0" });
   for (auto &t : threads)
     t.join ();
-  EXPECT_TRUE (Cluster::wait_until ([&] { return shards (c, 1) == 64; }));
+  EXPECT_TRUE (
+      Cluster::wait_until ([&] { return owned_shards (c, 1) == 64; }));
   for (int i = 0; i < 8; i++)
     {
       std::string id = "own" + std::to_string (i);
@@ -267,15 +271,17 @@
     }
 }
 
-// An owner is paused, another entry takes its shards over, and the old one
-// wakes with its former table. Nothing may run on its grants.
-TEST (Membership, WokenOwnerGrantsNothing)
+// A claim owner is paused, another entry takes over its shards, and the old
+// owner resumes with its stale records. No request may run twice on its
+// grants.
+TEST (Membership, ResumedOwnerGrantsNothing)
 {
-  Cluster c (fast_gone ());
+  Cluster c (short_timeout_options ());
   c.start ();
   Cluster::kill_process (c.entries[0].process, SIGSTOP);
   c.publish ({}, { "entry0" });
-  ASSERT_TRUE (Cluster::wait_until ([&] { return shards (c, 1) == 64; }));
+  ASSERT_TRUE (
+      Cluster::wait_until ([&] { return owned_shards (c, 1) == 64; }));
   std::vector<std::string> ids;
   for (int i = 0; i < 12; i++)
     ids.push_back ("woken" + std::to_string (i));
@@ -292,8 +298,8 @@
     }
 }
 
-// Keyed work goes on through an outage of the key-value service: owners keep
-// their shards by consent, not by a lease that could lapse.
+// Requests with a key are served during an outage of the key-value store:
+// ownership of shards doesn't depend on a lease that could expire.
 TEST (Membership, KeyedWorkThroughOutage)
 {
   Cluster c (ClusterOptions{});
@@ -312,8 +318,9 @@
     }
 }
 
-// An agent restarts in an outage: it cannot register, so it takes all work
-// but keyed work, and that goes elsewhere.
+// An agent restarts during an outage of the key-value store and can't
+// register. It must serve requests without a key and refuse those with one
+// until the store is back.
 TEST (Membership, AgentStartsInOutage)
 {
   ClusterOptions o;
--- a/test/system/outcome_test.cc
+++ b/test/system/outcome_test.cc
@@ -1,5 +1,5 @@
-// Outcomes under failure: targets, engines, entries and callers that are lost
-// before, during and after an answer.
+// Request outcomes when targets, engines or callers fail before, during or
+// after an answer.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -16,11 +16,12 @@
 namespace
 {
 
-const Headers kOnce = { "X-Knapweedbay-Idempotent: false" };
+const Headers kNonIdempotent = { "X-Knapweedbay-Idempotent: false" };
 
-/// The target whose stand-in counts a running request.
+/// Wait for a running request.
+/// @return  The engine target that runs one, or NULL after 5 s.
 kb::Target *
-target_running (Cluster &c)
+find_running_target (Cluster &c)
 {
   kb::Target *found = nullptr;
   Cluster::wait_until (
@@ -42,26 +43,27 @@
   return found;
 }
 
+/// Send a completion to the first entry on a new thread.
 std::thread
-send (Cluster &c, Answer &out, const std::string &prompt,
-      const Headers &headers, int tokens, bool stream = false)
+send_async (Cluster &c, Answer &out, const std::string &prompt,
+            const Headers &headers, int tokens, bool is_stream = false)
 {
-  return std::thread ([&c, &out, prompt, headers, tokens, stream] {
-    out = c.complete (0, "a1@1", prompt, headers, tokens, stream);
+  return std::thread ([&c, &out, prompt, headers, tokens, is_stream] {
+    out = c.complete (0, "a1@1", prompt, headers, tokens, is_stream);
   });
 }
 
 } // namespace
 
-// An agent's VM dies while its engine generates. A repeatable request must
-// come back whole from another target; the caller sees nothing but delay.
+// An agent is killed while its engine generates. An idempotent request must be
+// answered completely by another target; the caller only sees the delay.
 TEST (Outcome, AgentKilledIdempotentIsRetried)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   Answer answer;
-  std::thread t = send (c, answer, "retry-me", {}, 300);
-  kb::Target *target = target_running (c);
+  std::thread t = send_async (c, answer, "retry-me", {}, 300);
+  kb::Target *target = find_running_target (c);
   ASSERT_NE (target, nullptr);
   Cluster::kill_process (target->agent, SIGKILL);
   t.join ();
@@ -70,15 +72,15 @@
              Cluster::expected_text ("a1@1", "retry-me", 300));
 }
 
-// The same with a request that may not be repeated: it may have run, so it is
-// never sent again, and the caller is told that its outcome is unknown.
+// The same with a non-idempotent request: it may have run, so it is never sent
+// again, and its outcome is reported to the caller as unknown.
 TEST (Outcome, AgentKilledNonIdempotentIsUnknown)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   Answer answer;
-  std::thread t = send (c, answer, "only-once", kOnce, 300);
-  kb::Target *target = target_running (c);
+  std::thread t = send_async (c, answer, "only-once", kNonIdempotent, 300);
+  kb::Target *target = find_running_target (c);
   ASSERT_NE (target, nullptr);
   Cluster::kill_process (target->agent, SIGKILL);
   t.join ();
@@ -87,28 +89,27 @@
   EXPECT_EQ (c.runs_of ("only-once"), 1);
 }
 
-// A target dies in the middle of a stream. The caller has half of the text;
-// it must not be continued with another attempt's text, and must not look
-// whole.
-TEST (Outcome, HalfStreamIsCutNotJoined)
+// A target dies in the middle of a stream. The caller has half of the text: it
+// must not be continued by another attempt, nor look complete.
+TEST (Outcome, PartialStreamIsNotContinued)
 {
   Cluster c (ClusterOptions{});
   c.start ();
   Answer answer;
-  std::thread t = send (c, answer, "half", {}, 400, true);
-  kb::Target *target = target_running (c);
+  std::thread t = send_async (c, answer, "half", {}, 400, true);
+  kb::Target *target = find_running_target (c);
   ASSERT_NE (target, nullptr);
   std::this_thread::sleep_for (std::chrono::milliseconds (100));
   Cluster::kill_process (target->agent, SIGKILL);
   t.join ();
-  EXPECT_FALSE (answer.whole);
+  EXPECT_FALSE (answer.is_complete);
   EXPECT_EQ (answer.body.find ("[DONE]"), std::string::npos);
   EXPECT_EQ (c.runs_of ("half"), 1);
 }
 
-// An engine cuts its stream without the end mark and closes cleanly. The
-// caller must see a cut stream, not a short answer.
-TEST (Outcome, EngineCutStreamIsNotWhole)
+// An engine closes its stream cleanly, but without the end mark. The caller
+// must see a truncated stream, not a short answer.
+TEST (Outcome, TruncatedEngineStreamIsIncomplete)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -116,12 +117,12 @@
     if (!t.is_plain)
       c.fault (t.fake, "{\"cut_after\":3}");
   Answer answer = c.complete (0, "a1@1", "cut", {}, 10, true);
-  EXPECT_FALSE (answer.whole);
+  EXPECT_FALSE (answer.is_complete);
   EXPECT_EQ (answer.body.find ("[DONE]"), std::string::npos);
 }
 
-// An engine answers under another adapter's name, as one does that confused
-// its slots. No byte of it may reach the caller as an answer.
+// An engine answers for another adapter, as if it had confused its slots. No
+// byte of the answer may reach the caller.
 TEST (Outcome, WrongModelNeverReachesTheCaller)
 {
   Cluster c (ClusterOptions{});
@@ -136,9 +137,9 @@
   EXPECT_EQ (answer.body.find ("other@1"), std::string::npos);
 }
 
-// An engine accepts a request and falls silent. A request that may not be
-// repeated ends as unknown when the engine's idle time is over, long before
-// its deadline; it ran at most once.
+// An engine accepts a request and sends nothing. A non-idempotent request ends
+// as unknown at the engine's idle timeout, long before its deadline, and runs
+// once.
 TEST (Outcome, HungEngineIsUnknown)
 {
   ClusterOptions o;
@@ -148,14 +149,14 @@
   for (auto &t : c.targets)
     if (!t.is_plain)
       c.fault (t.fake, "{\"hung\":true}");
-  Answer answer = c.complete (0, "a1@1", "hung", kOnce, 4);
+  Answer answer = c.complete (0, "a1@1", "hung", kNonIdempotent, 4);
   EXPECT_EQ (answer.status, 504) << answer.body;
   EXPECT_EQ (c.runs_of ("hung"), 1);
 }
 
-// Engines restart cold: every adapter is gone and running work is cut. The
-// slot tables are wrong until they notice; requests must still end whole and
-// by the adapter they named.
+// Engines restart without their adapters, and running requests break. The slot
+// tables are wrong until they are reconciled; requests must still be answered
+// completely and by the requested adapter.
 TEST (Outcome, ColdEnginesAreReconciled)
 {
   Cluster c (ClusterOptions{});
@@ -178,9 +179,9 @@
   EXPECT_EQ (c.stat_sum ("evicted_in_use"), 0);
 }
 
-// Loads fail at one engine. The request goes to another target and ends
-// whole; it is not run twice.
-TEST (Outcome, FailedLoadsGoElsewhere)
+// Loads fail at two engines. Requests are retried at another target, answered
+// completely and run only once.
+TEST (Outcome, FailedLoadIsRetriedAtOtherTarget)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -195,8 +196,8 @@
     }
 }
 
-// A load takes effect but its answer is lost. The engine holds an adapter
-// the table does not know; a later load must not overfill the engine.
+// A load succeeds but its answer is lost. The engine holds an adapter that the
+// slot table does not know; later loads must not exceed the engine's slots.
 TEST (Outcome, LostLoadAnswerIsReconciled)
 {
   ClusterOptions o;
@@ -245,8 +246,8 @@
   EXPECT_EQ (c.stat_sum ("over_slots"), 0);
 }
 
-// A plain service takes a booking and loses its answer. The booking may not
-// be repeated: the caller is told that the outcome is unknown.
+// A plain service handles a booking, but its answer is lost. The booking must
+// not be repeated, and its outcome is reported to the caller as unknown.
 TEST (Outcome, PlainCallWithLostAnswerRunsOnce)
 {
   Cluster c (ClusterOptions{});
@@ -259,9 +260,9 @@
   EXPECT_EQ (c.runs_of ("booking-1"), 1);
 }
 
-// Nothing can take the work: no engine is left. The refusal must be true
-// (not run) and come at once, with a time to come back, not at the deadline.
-TEST (Outcome, RefusalIsImmediateAndTrue)
+// No agent of an engine is left. The request must be refused at once, not at
+// the deadline, as not run and with a Retry-After header.
+TEST (Outcome, RefusalIsImmediateAndNotRun)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -276,9 +277,9 @@
   EXPECT_EQ (c.runs_of ("nobody"), 0);
 }
 
-// A caller hangs up. Repeatable work is stopped at the engine, since nobody
-// waits for it; work that may not be repeated is left to finish.
-TEST (Outcome, HangupCancelsOnlyRepeatableWork)
+// A caller disconnects. An idempotent request is cancelled at the engine, as
+// nobody waits for it; a non-idempotent request finishes.
+TEST (Outcome, DisconnectCancelsOnlyIdempotentRequests)
 {
   Cluster c (ClusterOptions{});
   c.start ();
@@ -290,16 +291,16 @@
   EXPECT_TRUE (
       Cluster::wait_until ([&] { return c.stat_sum ("running") == 0; }, 2500));
   Headers once = auth;
-  once.push_back (kOnce[0]);
+  once.push_back (kNonIdempotent[0]);
   kb::http_call ("POST", c.entries[0].process.http_port, "/v1/completions",
                  body, once, 400);
   std::this_thread::sleep_for (std::chrono::milliseconds (1200));
   EXPECT_EQ (c.stat_sum ("running"), 1);
 }
 
-// Five thousand requests arrive at once. Each gets exactly one answer; every
-// refusal is true, and the daemons' memory stays bounded.
-TEST (Outcome, BurstOfFiveThousand)
+// Five thousand requests arrive in a burst. Each gets exactly one answer, no
+// refused request has run, and the memory of the entries stays bounded.
+TEST (Outcome, BurstOfFiveThousandRequests)
 {
   ClusterOptions o;
   o.extra_agent = "\"queue_limit\":300,";
--- a/test/system/path_test.cc
+++ b/test/system/path_test.cc
@@ -1,4 +1,4 @@
-// The whole path through real processes, without faults.
+// Requests through entries, agents and targets without faults.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -32,7 +32,7 @@
 };
 Cluster *PathTest::cluster;
 
-TEST_F (PathTest, WholeAnswerFromNamedVersion)
+TEST_F (PathTest, CompleteAnswerFromRequestedVersion)
 {
   Answer answer = cluster->complete (0, "a1@2", "hello");
   ASSERT_EQ (answer.status, 200) << answer.body;
@@ -53,7 +53,7 @@
 {
   Answer answer = cluster->complete (0, "a3@1", "streamed", {}, 12, true);
   ASSERT_EQ (answer.status, 200) << answer.body;
-  EXPECT_TRUE (answer.whole);
+  EXPECT_TRUE (answer.is_complete);
   EXPECT_EQ (Cluster::text_of_stream (answer),
              Cluster::expected_text ("a3@1", "streamed", 12));
 }
@@ -68,7 +68,7 @@
   EXPECT_EQ (cluster->runs_of ("cell-7"), 1);
 }
 
-TEST_F (PathTest, UnknownNamesAreNamed)
+TEST_F (PathTest, UnknownNamesAreReported)
 {
   Answer answer = cluster->complete (0, "nobody@1", "x");
   EXPECT_EQ (answer.status, 404);
@@ -83,7 +83,7 @@
   EXPECT_EQ (answer.headers["x-knapweedbay-outcome"], "not_run");
 }
 
-TEST_F (PathTest, BadBodiesAreRefused)
+TEST_F (PathTest, InvalidBodiesAreRefused)
 {
   int port = cluster->entries[0].process.http_port;
   kb::Headers auth = { "Authorization: Bearer kavango-key" };
@@ -102,12 +102,12 @@
   EXPECT_NE (answer.body.find ("more than once"), std::string::npos);
 }
 
-// A crew uploads a batch that is too large on a slow line. The entry answers
-// 413 after the head and ends the connection, while the crew's client is still
-// sending. What arrives after the close must not be answered with a reset: it
-// would discard the 413 before the client reads it, and the batch would be
-// sent again and again.
-TEST_F (PathTest, ACallerThatIsStillSendingReadsItsRefusal)
+// A client uploads a body that is too large over a slow connection. The entry
+// answers 413 after the head and ends the connection while the client is still
+// sending. Data that arrives after the close must not be answered with a TCP
+// reset: it would discard the 413 before the client reads it, and the client
+// would keep sending the body again.
+TEST_F (PathTest, ClientStillSendingReadsRefusal)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = {};
@@ -135,7 +135,7 @@
   close (fd);
 }
 
-TEST_F (PathTest, PagesOfEveryDaemon)
+TEST_F (PathTest, DaemonPagesRespond)
 {
   int port = cluster->entries[0].process.http_port;
   EXPECT_EQ (kb::http_call ("GET", port, "/healthz").status, 200);
@@ -148,10 +148,10 @@
              std::string::npos);
 }
 
-// A planner's script sends the same upload twice because the first answer was
-// slow to come. The second send must not run it again: it gets the answer of
-// the first. The key is the same; through the other entry as well.
-TEST_F (PathTest, ResentKeyGetsKeptAnswer)
+// A client resends a request with the same key because the first answer was
+// slow. The resend must not run again, but get the first answer, through
+// either entry. The same key with another body is refused.
+TEST_F (PathTest, ResentKeyGetsStoredAnswer)
 {
   kb::Headers key = { "Idempotency-Key: upload-17" };
   Answer first = cluster->complete (0, "a4@1", "upload-17", key);
@@ -168,8 +168,8 @@
   EXPECT_EQ (cluster->runs_of ("another body"), 0);
 }
 
-// Two sends of one key race through both entries. Only one may run; the other
-// is told that it runs, or gets its answer.
+// Two requests with the same key race through both entries. Only one may run;
+// the other is refused with 409 while the first runs, or gets its answer.
 TEST_F (PathTest, RacingSendsRunOnce)
 {
   Answer answers[2];
--- a/test/system/target_pause_test.cc
+++ b/test/system/target_pause_test.cc
@@ -1,4 +1,4 @@
-// Targets that turn requests away and ask for a pause, behind agents.
+// Targets behind agents that refuse requests and request a pause.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -13,19 +13,20 @@
 namespace
 {
 
-/// Of the pause an agent may miss this much.
-constexpr int kHeardMs = 500;
-/// Requests that may come within the rest of it.
-constexpr int kWithinPause = 2;
+/// Time until an agent must have applied the pause.
+constexpr int kReactionMs = 500;
+/// Requests that may still arrive during the rest of the pause.
+constexpr int kMaxSendsDuringPause = 2;
 constexpr int kPauseMs = 3000;
 
 void
-pause_ms (int ms)
+sleep_for_ms (int ms)
 {
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
 
-/// Press the services, one of whose targets turns everything away.
+/// Put load on the services while one target refuses everything, and check
+/// that it gets almost no requests during the pause.
 void
 expect_pause_holds (Cluster &c, const kb::Target &pausing,
                     Answer (*send) (Cluster &c, int entry))
@@ -38,23 +39,24 @@
       while (!is_ended)
         {
           failed += send (c, i % 2).status != 200;
-          pause_ms (5);
+          sleep_for_ms (5);
         }
     });
-  pause_ms (1500);
+  sleep_for_ms (1500);
   EXPECT_GT (c.runs_at (pausing), 0);
   c.fault (pausing.fake, "{\"pause_s\":3}");
   ASSERT_TRUE (Cluster::wait_until (
       [&] { return c.stat_at (pausing, "turned_away") > 0; }));
-  pause_ms (kHeardMs);
+  sleep_for_ms (kReactionMs);
   int64_t before = c.stat_at (pausing, "turned_away");
-  pause_ms (kPauseMs - 2 * kHeardMs);
-  EXPECT_LE (c.stat_at (pausing, "turned_away") - before, kWithinPause);
+  sleep_for_ms (kPauseMs - 2 * kReactionMs);
+  EXPECT_LE (c.stat_at (pausing, "turned_away") - before,
+             kMaxSendsDuringPause);
   is_ended = true;
   for (std::thread &caller : callers)
     caller.join ();
-  // Nothing else fails; whether that may run elsewhere is its service's
-  // matter.
+  // Only refused requests may fail; whether they are retried at another target
+  // depends on the service.
   EXPECT_LE (failed, c.stat_at (pausing, "turned_away"));
 }
 
@@ -74,9 +76,9 @@
                         { "Authorization: Bearer kavango-key" });
 }
 
-// Guards against an agent that goes on sending to an engine which asks for a
+// Guards against an agent that keeps sending to an engine that has requested a
 // pause.
-TEST (TargetPause, AnEngineThatAsksForOneIsLeftAlone)
+TEST (TargetPause, EnginePauseIsKept)
 {
   ClusterOptions options;
   options.engines = 2;
@@ -86,7 +88,7 @@
 }
 
 // Guards against the same at a plain target.
-TEST (TargetPause, APlainTargetThatAsksForOneIsLeftAlone)
+TEST (TargetPause, PlainTargetPauseIsKept)
 {
   ClusterOptions options;
   options.engines = 1;
--- a/test/unit/place_test.cc
+++ b/test/unit/place_test.cc
@@ -14,13 +14,13 @@
 namespace
 {
 
-plc_view_t
-view (uint64_t key, plc_holding_t holding = PLC_ABSENT)
+plc_candidate_t
+candidate (uint64_t key, plc_holding_t holding = PLC_ABSENT)
 {
-  plc_view_t v = {};
+  plc_candidate_t v = {};
   v.key = key;
   v.is_usable = true;
-  v.is_near = true;
+  v.is_same_domain = true;
   v.holding = holding;
   v.slots = 32;
   v.load_wait_ms = 250;
@@ -36,133 +36,133 @@
     plc_costs_default (&costs);
   }
   int32_t
-  choose (const std::vector<plc_view_t> &views, uint64_t adapter = 99,
-          uint32_t prompt_tokens = 800)
+  choose (const std::vector<plc_candidate_t> &candidates,
+          uint64_t adapter = 99, uint32_t prompt_tokens = 800)
   {
     plc_request_t request = {};
     request.adapter = adapter;
     request.prompt_tokens = prompt_tokens;
-    return plc_choose (&costs, views.data (), (uint32_t)views.size (),
-                       &request);
+    return plc_choose (&costs, candidates.data (),
+                       (uint32_t)candidates.size (), &request);
   }
   plc_costs_t costs;
 };
 
 TEST_F (PlaceTest, NothingUsable)
 {
-  plc_view_t v = view (1);
+  plc_candidate_t v = candidate (1);
   v.is_usable = false;
   EXPECT_EQ (choose ({ v }), PLC_NONE);
   EXPECT_EQ (choose ({}), PLC_NONE);
 }
 
-TEST_F (PlaceTest, ATargetThatTakesNoMoreNowComesLater)
+TEST_F (PlaceTest, ARateLimitedTargetIsChosenLast)
 {
-  plc_view_t limited = view (1, PLC_HELD);
+  plc_candidate_t limited = candidate (1, PLC_HELD);
   limited.start_wait_ms = 400;
-  EXPECT_EQ (choose ({ limited, view (2, PLC_HELD) }), 1);
+  EXPECT_EQ (choose ({ limited, candidate (2, PLC_HELD) }), 1);
   EXPECT_EQ (choose ({ limited }), 0);
 }
 
-TEST_F (PlaceTest, PrefersTheHolder)
+TEST_F (PlaceTest, PrefersATargetThatHoldsTheAdapter)
 {
-  EXPECT_EQ (choose ({ view (1), view (2, PLC_HELD), view (3) }), 1);
+  EXPECT_EQ (
+      choose ({ candidate (1), candidate (2, PLC_HELD), candidate (3) }), 1);
 }
 
-TEST_F (PlaceTest, AColdAdapterAlwaysGoesToItsHome)
+TEST_F (PlaceTest, AnAbsentAdapterAlwaysGoesToItsHome)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 9; key++)
-    views.push_back (view (key));
-  int32_t home = choose (views);
-  views[(size_t)home].busy = 3;
-  EXPECT_EQ (choose (views), home);
+    candidates.push_back (candidate (key));
+  int32_t home = choose (candidates);
+  candidates[(size_t)home].busy_slots = 3;
+  EXPECT_EQ (choose (candidates), home);
 }
 
-TEST_F (PlaceTest, AnOverloadedHolderIsRelieved)
+TEST_F (PlaceTest, AnOverloadedHolderIsAvoided)
 {
-  plc_view_t holder = view (1, PLC_HELD);
+  plc_candidate_t holder = candidate (1, PLC_HELD);
   holder.backlog_ms = 2000;
-  EXPECT_EQ (choose ({ holder, view (2) }), 1);
+  EXPECT_EQ (choose ({ holder, candidate (2) }), 1);
 }
 
 TEST_F (PlaceTest, AFailingTargetIsAvoidedWhileOthersAreFree)
 {
-  plc_view_t grey = view (1, PLC_NOT_NEEDED);
-  grey.failures = 0.4;
-  plc_view_t busy = view (2, PLC_NOT_NEEDED);
-  busy.busy = 8;
-  EXPECT_EQ (choose ({ grey, busy }), 1);
+  plc_candidate_t failing = candidate (1, PLC_NOT_NEEDED);
+  failing.failure_rate = 0.4;
+  plc_candidate_t busy = candidate (2, PLC_NOT_NEEDED);
+  busy.busy_slots = 8;
+  EXPECT_EQ (choose ({ failing, busy }), 1);
 }
 
-// Two callers ask for the same rare adapter through different gateways. It is
-// asked for at an engine that is busy with other fetches; the second gateway
-// saw it nowhere, had it fetched at an idle engine as well, and the fetches of
-// both took turns at the weight store.
-TEST_F (PlaceTest, AnAwaitedAdapterIsNotFetchedTwice)
+// Two gateways request the same rare adapter. It is pending at an engine that
+// is busy with other loads. If the second gateway has it loaded at an idle
+// engine as well, both fetches use the weight store.
+TEST_F (PlaceTest, APendingAdapterIsNotFetchedTwice)
 {
-  plc_view_t awaited = view (1, PLC_AWAITED);
-  awaited.load_wait_ms = 500;
-  EXPECT_EQ (choose ({ awaited, view (2), view (3) }), 0);
-  awaited.load_wait_ms = 2000;
-  EXPECT_NE (choose ({ awaited, view (2), view (3) }), 0);
+  plc_candidate_t pending = candidate (1, PLC_PENDING);
+  pending.load_wait_ms = 500;
+  EXPECT_EQ (choose ({ pending, candidate (2), candidate (3) }), 0);
+  pending.load_wait_ms = 2000;
+  EXPECT_NE (choose ({ pending, candidate (2), candidate (3) }), 0);
 }
 
-// A rare adapter was dropped at its engine, which can load it again from its
-// own memory in 25 ms. Its home by weight is another engine, as the engines
-// were others when it came first, and would fetch it from the weight store.
-TEST_F (PlaceTest, AnAdapterGoesBackToTheEngineThatHeldIt)
+// An engine that unloaded a rare adapter reloads it from host memory in 25 ms.
+// The adapter's home by rendezvous weight is another engine, because the set
+// of engines was different then, and would have to fetch it from the weight
+// store.
+TEST_F (PlaceTest, PrefersTheEngineThatHeldTheAdapterBefore)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 9; key++)
-    views.push_back (view (key));
-  size_t home = (size_t)choose (views);
+    candidates.push_back (candidate (key));
+  size_t home = (size_t)choose (candidates);
   size_t other = home == 0 ? 1 : 0;
-  views[other].holding = PLC_WARM;
-  views[other].load_wait_ms = 1000;
-  EXPECT_EQ (choose (views), (int32_t)other);
+  candidates[other].holding = PLC_WARM;
+  candidates[other].load_wait_ms = 1000;
+  EXPECT_EQ (choose (candidates), (int32_t)other);
 }
 
-// One caller sends a very long prompt, and a dozen streams of the same engine
-// stand still while it is read.
+// A very long prompt pauses all streams of its engine while it is read; here a
+// dozen.
 TEST_F (PlaceTest, ALongPromptGoesWhereFewStreamsRun)
 {
-  plc_view_t holder = view (1, PLC_HELD);
-  holder.busy = 12;
+  plc_candidate_t holder = candidate (1, PLC_HELD);
+  holder.busy_slots = 12;
   holder.tokens_per_ms = 38;
-  plc_view_t quiet = view (2);
-  quiet.tokens_per_ms = 38;
-  EXPECT_EQ (choose ({ holder, quiet }, 99, 800), 0);
-  EXPECT_EQ (choose ({ holder, quiet }, 99, 7000), 1);
+  plc_candidate_t idle = candidate (2);
+  idle.tokens_per_ms = 38;
+  EXPECT_EQ (choose ({ holder, idle }, 99, 800), 0);
+  EXPECT_EQ (choose ({ holder, idle }, 99, 7000), 1);
 }
 
 TEST_F (PlaceTest, NearTargetsWinWhenEqual)
 {
-  plc_view_t far = view (1, PLC_NOT_NEEDED);
-  far.is_near = false;
-  EXPECT_EQ (choose ({ far, view (2, PLC_NOT_NEEDED) }), 1);
+  plc_candidate_t far = candidate (1, PLC_NOT_NEEDED);
+  far.is_same_domain = false;
+  EXPECT_EQ (choose ({ far, candidate (2, PLC_NOT_NEEDED) }), 1);
 }
 
-// A target that is lost makes every request go twice, the targets that are
-// left get twice the work, and fail as well: repeats must stay a small part.
-// Sixty-eight gateways know the same of eight equal holders until the next
-// word, and each chooses the cheapest one: without a spread it is the same for
-// all of them.
-TEST_F (PlaceTest, EqualHoldersAreDrawnApart)
+// Sixty-eight gateways act on the same reports of eight equal holders. Without
+// a random spread, all choose the same one until the next report.
+TEST_F (PlaceTest, EqualHoldersShareTheRequests)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 8; key++)
-    views.push_back (view (key, PLC_HELD));
-  for (double unseen : { 0.0, 10.0 })
+    candidates.push_back (candidate (key, PLC_HELD));
+  for (double unreported_requests : { 0.0, 10.0 })
     {
-      std::vector<int> chosen (views.size ());
-      for (uint64_t draw = 1; draw <= 68; draw++)
+      std::vector<int> chosen (candidates.size ());
+      for (uint64_t random_draw = 1; random_draw <= 68; random_draw++)
         {
-          plc_request_t request = { 99, 800, draw, unseen };
-          chosen[(size_t)plc_choose (&costs, views.data (), 8, &request)]++;
+          plc_request_t request
+              = { 99, 800, random_draw, unreported_requests };
+          chosen[(size_t)plc_choose (&costs, candidates.data (), 8,
+                                     &request)]++;
         }
       int most = *std::max_element (chosen.begin (), chosen.end ());
-      if (unseen > 0)
+      if (unreported_requests > 0)
         EXPECT_LE (most, 3 * 68 / 8);
       else
         EXPECT_EQ (most, 68);
@@ -172,31 +172,33 @@
 TEST (Unseen, GrowsWithLoadAndAge)
 {
   plc_load_t load = { 8, 68, 120, 400 };
-  double unseen = plc_unseen (&load);
-  EXPECT_NEAR (unseen, 4 * 8 * 67 * 0.4 / 120, 1e-9);
-  load.word_ms = 100;
-  EXPECT_NEAR (plc_unseen (&load), unseen / 4, 1e-9);
-  load.gateways = 1;
-  EXPECT_EQ (plc_unseen (&load), 0) << "its own requests are seen";
+  double unreported_requests = plc_unreported_requests (&load);
+  EXPECT_NEAR (unreported_requests, 4 * 8 * 67 * 0.4 / 120, 1e-9);
+  load.report_interval_ms = 100;
+  EXPECT_NEAR (plc_unreported_requests (&load), unreported_requests / 4, 1e-9);
+  load.gateway_count = 1;
+  EXPECT_EQ (plc_unreported_requests (&load), 0)
+      << "its own requests are seen";
 }
 
-// An adapter that is nowhere must be fetched once, also when many gateways
-// want it at the same moment.
+// An adapter that no engine holds must be fetched once, also when many
+// gateways need it at the same time.
 TEST_F (PlaceTest, GatewaysAgreeWhereAnAdapterIsFetched)
 {
-  std::vector<plc_view_t> views;
+  std::vector<plc_candidate_t> candidates;
   for (uint64_t key = 1; key <= 40; key++)
-    views.push_back (view (key));
+    candidates.push_back (candidate (key));
   plc_request_t request = { 99, 800, 1, 10 };
-  int32_t first = plc_choose (&costs, views.data (), 40, &request);
-  for (request.draw = 2; request.draw <= 68; request.draw++)
-    EXPECT_EQ (plc_choose (&costs, views.data (), 40, &request), first);
+  int32_t first = plc_choose (&costs, candidates.data (), 40, &request);
+  for (request.random_draw = 2; request.random_draw <= 68;
+       request.random_draw++)
+    EXPECT_EQ (plc_choose (&costs, candidates.data (), 40, &request), first);
 }
 
-// An adapter in demand is held by a few engines with twelve slots. Engines
-// say their load every 400 ms, and between two words each gateway knows the
-// same. Callers then queued at one engine until they were late, though half of
-// the places of the others were free.
+// A few engines with twelve slots hold an adapter in demand. They report their
+// load every 400 ms, and between two reports all gateways know the same.
+// Without a spread, requests queue at one engine until they are late, though
+// half of the places of the others are free.
 class StaleLoad : public PlaceTest
 {
 protected:
@@ -206,10 +208,10 @@
     ENGINES = 16,
     SLOTS = 12,
     RUN_MS = 1300,
-    WORD_MS = 400,
-    AIM_MS = 800,
-    /// Three quarters of what the engines can do.
-    PER_S = ENGINES * SLOTS * 1000 / RUN_MS * 3 / 4,
+    REPORT_INTERVAL_MS = 400,
+    OBJECTIVE_MS = 800,
+    /// Three quarters of the engines' capacity.
+    REQUESTS_PER_S = ENGINES * SLOTS * 1000 / RUN_MS * 3 / 4,
     SECONDS = 60,
   };
 
@@ -217,69 +219,72 @@
   double
   late_share (bool is_spread)
   {
-    plc_load_t load = { (double)PER_S / GATEWAYS, GATEWAYS, ENGINES, WORD_MS };
-    double unseen = is_spread ? plc_unseen (&load) : 0;
-    std::vector<plc_view_t> views;
+    plc_load_t load = { (double)REQUESTS_PER_S / GATEWAYS, GATEWAYS, ENGINES,
+                        REPORT_INTERVAL_MS };
+    double unreported_requests
+        = is_spread ? plc_unreported_requests (&load) : 0;
+    std::vector<plc_candidate_t> candidates;
     for (uint64_t key = 1; key <= ENGINES; key++)
       {
-        plc_view_t v = view (key, PLC_HELD);
+        plc_candidate_t v = candidate (key, PLC_HELD);
         v.slots = SLOTS;
-        v.held_for_ms = RUN_MS;
-        views.push_back (v);
+        v.mean_hold_ms = RUN_MS;
+        candidates.push_back (v);
       }
-    // When each place of each engine is free again.
+    // Time at which each place of each engine is free.
     std::vector<std::vector<double>> free_ms (ENGINES,
                                               std::vector<double> (SLOTS, 0));
     std::vector<std::vector<double>> starts (ENGINES);
     std::mt19937 random (1);
-    std::exponential_distribution<double> gap (PER_S / 1000.0);
+    std::exponential_distribution<double> gap (REQUESTS_PER_S / 1000.0);
     std::uniform_real_distribution<double> run (0.4, 1.6);
     double now_ms = 0;
-    double word_ms = 0;
+    double next_report_ms = 0;
     int late = 0;
     int count = 0;
     while (now_ms < SECONDS * 1000)
       {
         now_ms += gap (random);
-        if (now_ms >= word_ms)
+        if (now_ms >= next_report_ms)
           {
-            word_ms = now_ms + WORD_MS;
-            tell (&views, free_ms, starts, now_ms);
+            next_report_ms = now_ms + REPORT_INTERVAL_MS;
+            update_candidates (&candidates, free_ms, starts, now_ms);
           }
-        plc_request_t request = { 99, 200, random (), unseen };
-        auto at
-            = (size_t)plc_choose (&costs, views.data (), ENGINES, &request);
+        plc_request_t request = { 99, 200, random (), unreported_requests };
+        auto at = (size_t)plc_choose (&costs, candidates.data (), ENGINES,
+                                      &request);
         auto place
             = std::min_element (free_ms[at].begin (), free_ms[at].end ());
         double start_ms = std::max (now_ms, *place);
         *place = start_ms + RUN_MS * run (random);
         starts[at].push_back (start_ms);
         count++;
-        late += start_ms - now_ms > AIM_MS;
+        late += start_ms - now_ms > OBJECTIVE_MS;
       }
     return (double)late / count;
   }
 
 private:
   static void
-  tell (std::vector<plc_view_t> *views,
-        const std::vector<std::vector<double>> &free_ms,
-        const std::vector<std::vector<double>> &starts, double now_ms)
+  update_candidates (std::vector<plc_candidate_t> *candidates,
+                     const std::vector<std::vector<double>> &free_ms,
+                     const std::vector<std::vector<double>> &starts,
+                     double now_ms)
   {
-    for (size_t i = 0; i < views->size (); i++)
+    for (size_t i = 0; i < candidates->size (); i++)
       {
-        plc_view_t &v = (*views)[i];
-        v.busy = 0;
+        plc_candidate_t &v = (*candidates)[i];
+        v.busy_slots = 0;
         v.waiting = 0;
         for (double ms : free_ms[i])
-          v.busy += ms > now_ms;
+          v.busy_slots += ms > now_ms;
         for (double ms : starts[i])
           v.waiting += ms > now_ms;
       }
   }
 };
 
-TEST_F (StaleLoad, FewAreLateThoughLoadIsKnownLate)
+TEST_F (StaleLoad, FewAreLateWithStaleLoadReports)
 {
   double without = late_share (false);
   double with = late_share (true);
@@ -288,6 +293,8 @@
   EXPECT_LT (with, without / 10);
 }
 
+// The loss of a target repeats every request sent to it. Unless repeats stay a
+// small part, the remaining targets get twice the load and fail as well.
 TEST (Budget, RepeatsStayBelowRatioAndSlack)
 {
   bud_options_t options = {};
@@ -299,8 +306,8 @@
   uint32_t taken = 0;
   for (int i = 0; i < 1000; i++)
     {
-      bud_note_first (&budget, (uint64_t)i);
-      taken += bud_take_repeat (&budget, 2, (uint64_t)i);
+      bud_record_request (&budget, (uint64_t)i);
+      taken += bud_take_retry (&budget, 2, (uint64_t)i);
     }
   EXPECT_GT (taken, 50u);
   EXPECT_LE (taken, 210u);
@@ -314,9 +321,9 @@
   bud_budget_t budget;
   bud_budget_init (&budget, &options);
   for (int i = 0; i < 10; i++)
-    bud_note_first (&budget, 0);
-  EXPECT_TRUE (bud_take_repeat (&budget, 1, 100));
-  EXPECT_FALSE (bud_take_repeat (&budget, 1, 5000));
+    bud_record_request (&budget, 0);
+  EXPECT_TRUE (bud_take_retry (&budget, 1, 100));
+  EXPECT_FALSE (bud_take_retry (&budget, 1, 5000));
 }
 
 TEST (Budget, GatewaysShareTheSlack)
@@ -326,7 +333,7 @@
   options.window_ms = 1000;
   bud_budget_t budget;
   bud_budget_init (&budget, &options);
-  EXPECT_GT (bud_left (&budget, 1, 0), bud_left (&budget, 10, 0));
+  EXPECT_GT (bud_remaining (&budget, 1, 0), bud_remaining (&budget, 10, 0));
 }
 
 } // namespace
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -63,7 +63,7 @@
   for (int i = 0; i < 10; i++)
     {
       uint16_t t = rt_choose (table, 1, 42, nullptr, 0, now, 1);
-      rt_note_end (table, t, 42, true, 3000, now);
+      rt_record_end (table, t, 42, true, 3000, now);
       now += 600;
     }
   auto *adapter
@@ -72,14 +72,14 @@
   for (int i = 0; i < 60; i++)
     {
       uint16_t t = rt_choose (table, 1, 42, nullptr, 0, now, 1);
-      rt_note_end (table, t, 42, true, 10, now);
+      rt_record_end (table, t, 42, true, 10, now);
       now += 600;
     }
   EXPECT_EQ (adapter->width, 1);
 }
 
-// A failure domain is lost. The ranks of an adapter alternate over domains,
-// so its second rank stands in another one.
+// The ranks of an adapter alternate over failure domains, so that its second
+// rank survives the loss of the first one's domain.
 TEST_F (RouteTest, RanksAlternateOverDomains)
 {
   add_targets (12, 4);
@@ -107,7 +107,8 @@
   EXPECT_EQ (rt_choose (table, 2, 42, nullptr, 0, 1, 1), RT_NONE);
 }
 
-// Losing one target must move only the adapters that it was first for.
+// The loss of one target must move only the adapters that had it as first
+// rank.
 TEST_F (RouteTest, MembershipChangeMovesLittle)
 {
   add_targets (20, 4);
@@ -129,8 +130,8 @@
   EXPECT_NEAR (moved, 100, 40);
 }
 
-// Differential: the first rank is the target with the highest weight among
-// those that are up, found by asking with every other one excluded.
+// Differential test: the choice is the highest of the ranks whose target is
+// up.
 TEST_F (RouteTest, ChoiceIsTheBestUsableRank)
 {
   add_targets (15, 3);
@@ -156,46 +157,46 @@
   auto *gate = new gat_gate_t;
   gat_options_t options = { 2, 1, 5000000 };
   gat_gate_init (gate, &options, 0);
-  gat_ask (gate, 1, 1, 4, 50, 0);
-  gat_ask (gate, 2, 1, 0, 1, 0);
-  const gat_wish_t *wish = gat_next (gate, 1);
-  ASSERT_NE (wish, nullptr);
-  EXPECT_EQ (wish->agent, 2u); // The better class, though less waits.
-  EXPECT_EQ (gat_next (gate, 2), nullptr);
-  gat_done (gate, 2, 1);
-  EXPECT_EQ (gat_next (gate, 3), nullptr); // The rate.
+  gat_request_load (gate, 1, 1, 4, 50, 0);
+  gat_request_load (gate, 2, 1, 0, 1, 0);
+  const gat_request_t *request = gat_grant_next (gate, 1);
+  ASSERT_NE (request, nullptr);
+  EXPECT_EQ (request->agent, 2u); // Better class, though fewer requests wait.
+  EXPECT_EQ (gat_grant_next (gate, 2), nullptr);
+  gat_end_load (gate, 2, 1);
+  EXPECT_EQ (gat_grant_next (gate, 3), nullptr); // Limited by the rate.
   EXPECT_GT (gat_wait_us (gate, 3), 400000u);
-  wish = gat_next (gate, 600000);
-  ASSERT_NE (wish, nullptr);
-  gat_ask (gate, 3, 1, 4, 1, 600000);
-  // Agent 1 dies with its grant: the hold limit frees the gate.
-  EXPECT_EQ (gat_next (gate, 2000000), nullptr);
-  wish = gat_next (gate, 6000000);
-  ASSERT_NE (wish, nullptr);
-  EXPECT_EQ (wish->agent, 3u);
-  gat_drop_agent (gate, 3);
+  request = gat_grant_next (gate, 600000);
+  ASSERT_NE (request, nullptr);
+  gat_request_load (gate, 3, 1, 4, 1, 600000);
+  // Agent 1 dies with its grant: the maximum hold time frees the gate.
+  EXPECT_EQ (gat_grant_next (gate, 2000000), nullptr);
+  request = gat_grant_next (gate, 6000000);
+  ASSERT_NE (request, nullptr);
+  EXPECT_EQ (request->agent, 3u);
+  gat_remove_agent (gate, 3);
   EXPECT_EQ (gate->granted, 0u);
   delete gate;
 }
 
-TEST (Member, ListAndOwnWord)
+TEST (Member, ListedAndReportedState)
 {
   mem_options_t options = { 1000, 5000 };
   mem_vm_t vm = {};
-  mem_vm_note_listed (&vm, MEM_LISTED_LIVE, 1);
+  mem_vm_set_listed (&vm, MEM_LISTED_LIVE, 1);
   EXPECT_EQ (mem_vm_state (&vm, &options, 1), MEM_DOWN);
-  EXPECT_TRUE (mem_vm_note_hello (&vm, 9, MEM_SAYS_LIVE, 10));
-  EXPECT_FALSE (mem_vm_note_hello (&vm, 9, MEM_SAYS_LIVE, 10));
+  EXPECT_TRUE (mem_vm_record_hello (&vm, 9, MEM_REPORTED_LIVE, 10));
+  EXPECT_FALSE (mem_vm_record_hello (&vm, 9, MEM_REPORTED_LIVE, 10));
   EXPECT_EQ (mem_vm_state (&vm, &options, 20), MEM_UP);
-  mem_vm_note_listed (&vm, MEM_LISTED_LEAVING, 20);
+  mem_vm_set_listed (&vm, MEM_LISTED_LEAVING, 20);
   EXPECT_EQ (mem_vm_state (&vm, &options, 20), MEM_LEAVING);
-  mem_vm_note_listed (&vm, MEM_LISTED_ABSENT, 30);
-  EXPECT_EQ (mem_vm_state (&vm, &options, 9000), MEM_UP); // It answers.
+  mem_vm_set_listed (&vm, MEM_LISTED_ABSENT, 30);
+  EXPECT_EQ (mem_vm_state (&vm, &options, 9000), MEM_UP); // It still answers.
   vm.pinged_ms = 9000;
   EXPECT_EQ (mem_vm_state (&vm, &options, 10500), MEM_GONE);
-  mem_vm_note_heard (&vm, MEM_SAYS_LEAVING, 10600);
+  mem_vm_record_message (&vm, MEM_REPORTED_LEAVING, 10600);
   EXPECT_EQ (mem_vm_state (&vm, &options, 10600), MEM_LEAVING);
-  mem_vm_note_disconnect (&vm);
+  mem_vm_record_disconnect (&vm);
   EXPECT_EQ (mem_vm_state (&vm, &options, 10700), MEM_DOWN);
 }
 
