--- a/test/fuzz/fuzz_platform.c
+++ b/test/fuzz/fuzz_platform.c
@@ -11,12 +11,12 @@
 
 /// An entry under any key: the first line is its id.
 static void
-decode_keyed (kb_slice_t text, size_t most)
+decode_target_with_id (kb_slice_t text, size_t max_id_bytes)
 {
   char id[256];
   const char *end = memchr (text.ptr, '\n', text.len_bytes);
   size_t len = end == NULL ? 0 : (size_t)(end - text.ptr);
-  if (end == NULL || len > most)
+  if (end == NULL || len > max_id_bytes)
     return;
   kb_slice_copy ((kb_slice_t){ text.ptr, (uint32_t)len }, id, sizeof id);
   kb_slice_t document = { end + 1, (uint32_t)(text.len_bytes - len - 1) };
@@ -32,9 +32,9 @@
 {
   enum
   {
-    KINDS = 4,
-    KEYED = 0x80,
-    KEY_BYTES = 200,
+    DOCUMENT_KINDS = 4,
+    HAS_ID = 0x80,
+    MAX_ID_BYTES = 200,
   };
   if (size == 0)
     return 0;
@@ -43,12 +43,12 @@
   src_target_t target;
   doc_version_t version;
   static egn_report_t report;
-  if (data[0] >= KEYED)
+  if (data[0] >= HAS_ID)
     {
-      decode_keyed (text, KEY_BYTES);
+      decode_target_with_id (text, MAX_ID_BYTES);
       return 0;
     }
-  switch (data[0] % KINDS)
+  switch (data[0] % DOCUMENT_KINDS)
     {
     case 0:
       svc_config_free (doc_decode_platform_config (text, &error));
--- a/test/unit/document_test.cc
+++ b/test/unit/document_test.cc
@@ -59,7 +59,7 @@
   EXPECT_EQ (settings.max_batch, 16);
 }
 
-TEST (Settings, ErrorsNamePlaceAndReason)
+TEST (Settings, ErrorsReportLocationAndReason)
 {
   EXPECT_EQ (settings_error ("{\n\"role\":,}").substr (0, 9), "s.json:2:");
   EXPECT_EQ (settings_error (agent_with (",\"slotz\":3")),
@@ -95,7 +95,7 @@
   kb_buf_finish (&out);
 }
 
-TEST (Json, DoubledKeysOnlyWithinOneObject)
+TEST (Json, DuplicateKeysAreRejectedWithinOneObject)
 {
   json_object *doc;
   kb_error_t error = {};
@@ -190,7 +190,7 @@
   cfg_config_finish (&config);
 }
 
-TEST (Config, RulesSetTheClass)
+TEST (Config, RulesSetPriorityClass)
 {
   cfg_config_t config = {};
   std::string key (64, '0');
@@ -286,7 +286,7 @@
   EXPECT_EQ (oai_answer_check (slice ("{\"model\":"), "a@1"), KB_EINVAL);
 }
 
-TEST (Message, EveryTypeSurvivesTheCodec)
+TEST (Message, EveryTypeRoundTrips)
 {
   for (int type = MSG_HELLO; type < MSG_TYPE_END; type++)
     {
@@ -313,7 +313,7 @@
     }
 }
 
-TEST (Message, DispatchFieldsArrive)
+TEST (Message, DispatchFieldsRoundTrip)
 {
   msg_t msg = {};
   msg.type = MSG_DISPATCH;
@@ -352,7 +352,7 @@
 }
 
 // Differential: the map against the standard one on random operations.
-TEST (Map, SameAsStandardMap)
+TEST (Map, MatchesStandardMap)
 {
   std::mt19937_64 rng (11);
   kb_map_t map;
--- a/test/unit/platform_test.cc
+++ b/test/unit/platform_test.cc
@@ -36,7 +36,7 @@
  "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":4194304,
   "HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}})";
 
-TEST (Document, ConfigurationIsTyped)
+TEST (Document, ConfigurationIsDecoded)
 {
   kb_error_t error = {};
   svc_config_t *config = doc_decode_platform_config (slice (kConfig), &error);
@@ -65,7 +65,7 @@
   svc_config_free (config);
 }
 
-TEST (Document, ABadConfigurationNamesPlaceAndReason)
+TEST (Document, BadConfigurationReportsLocationAndReason)
 {
   kb_error_t error = {};
   EXPECT_EQ (doc_decode_platform_config (slice ("{\"Version\":1"), &error),
@@ -83,7 +83,7 @@
 // The store hands out a document with members of another type or out of range.
 // The process that reads it must keep the last good one, not end, and neither
 // put a default in the place of what the operator meant.
-TEST (Document, MembersOfAnotherTypeAreNoReasonToEnd)
+TEST (Document, MembersOfWrongTypeAreRejected)
 {
   const std::vector<std::pair<std::string, std::string>> bad = {
     { "\"Routes\":[", "\"Routes\":{},\"x\":[" },
@@ -130,7 +130,7 @@
              KB_OK);
 }
 
-TEST (Document, TargetsAndVersions)
+TEST (Document, TargetsAndVersionsAreDecoded)
 {
   kb_error_t error = {};
   src_target_t target;
@@ -163,7 +163,7 @@
 // Another writer puts an entry beside those of the targets. It names no target
 // to use, and says why; taken for one, it would send requests to an address
 // that nobody of the fleet serves.
-TEST (Document, EntriesOfOtherWritersNameNoTarget)
+TEST (Document, EntriesOfOtherWritersAreRejected)
 {
   const std::vector<std::pair<std::string, std::string>> bad = {
     { "\"Service\":\"s1\",", "" },
@@ -229,7 +229,7 @@
 }
 
 // A birth may be absent: the entry is about the incarnation that is known.
-TEST (Document, AnEntryWithoutABirthNamesATarget)
+TEST (Document, EntryWithoutBirthTimeIsAccepted)
 {
   kb_error_t error = {};
   src_target_t target;
@@ -241,7 +241,7 @@
   EXPECT_EQ (target.who.born_ms, 0u);
 }
 
-TEST (Report, ABirthThatIsNoWholeNumberIsNotSaid)
+TEST (Report, InvalidBirthTimeIsTreatedAsAbsent)
 {
   auto report = std::make_unique<egn_report_t> ();
   kb_error_t error = {};
@@ -260,7 +260,7 @@
     }
 }
 
-TEST (Report, ListsWhatIsHeldAndComing)
+TEST (Report, ListsLoadedAndLoadingAdapters)
 {
   kb_error_t error = {};
   auto report = std::make_unique<egn_report_t> ();
@@ -329,7 +329,7 @@
     kb_buf_finish (&conn.head.bytes);
   }
   std::string
-  written_request (const rly_forward_t &forward)
+  forwarded_request (const rly_forward_t &forward)
   {
     kb_buf_t out = {};
     plt_dialect.write_request (&conn, &forward, &out);
@@ -358,32 +358,38 @@
                         "X-Kept: 2\r\n"
                         "Content-Length: 3\r\n";
 
-TEST_F (DialectTest, RequestIsTyped)
+TEST_F (DialectTest, RequestIsParsed)
 {
   parse (kRequest);
-  rly_request_t said;
+  rly_request_t parsed_request;
   kb_error_t error = {};
-  ASSERT_EQ (plt_dialect.read_request (&conn.head, &said, &error), KB_OK);
-  EXPECT_EQ (std::string (said.attempt_id.ptr, said.attempt_id.len_bytes),
+  ASSERT_EQ (plt_dialect.read_request (&conn.head, &parsed_request, &error),
+             KB_OK);
+  EXPECT_EQ (std::string (parsed_request.attempt_id.ptr,
+                          parsed_request.attempt_id.len_bytes),
              "9c41");
-  EXPECT_EQ (std::string (said.model.ptr, said.model.len_bytes), "m");
-  EXPECT_EQ (std::string (said.adapter.ptr, said.adapter.len_bytes), "a7");
-  EXPECT_EQ (said.prompt_tokens, 1460u);
-  EXPECT_EQ (said.output_tokens, 80u);
-  EXPECT_EQ (said.deadline_ms, 12000u);
-  EXPECT_FALSE (said.is_resume);
+  EXPECT_EQ (
+      std::string (parsed_request.model.ptr, parsed_request.model.len_bytes),
+      "m");
+  EXPECT_EQ (std::string (parsed_request.adapter.ptr,
+                          parsed_request.adapter.len_bytes),
+             "a7");
+  EXPECT_EQ (parsed_request.prompt_tokens, 1460u);
+  EXPECT_EQ (parsed_request.output_tokens, 80u);
+  EXPECT_EQ (parsed_request.deadline_ms, 12000u);
+  EXPECT_FALSE (parsed_request.is_resume);
 }
 
 // A caller names memory of another caller's run, or pins memory for itself:
 // only the system may set these fields, so none of them reaches a target.
-TEST_F (DialectTest, SystemFieldsOfACallerAreDropped)
+TEST_F (DialectTest, SystemFieldsFromCallersAreDropped)
 {
   parse (kRequest);
   rly_forward_t forward = {};
   forward.deadline_ms = 500;
   forward.priority = -1;
   forward.body_bytes = 3;
-  std::string text = written_request (forward);
+  std::string text = forwarded_request (forward);
   for (const char *name :
        { "Hold", "Pin-Ms", "Kv-Backup", "Kv-From", "Expect-Instance",
          "Request-Priority", "X-Odd", "Connection", "12000" })
@@ -407,27 +413,29 @@
   forward.priority = 2;
   forward.is_resume = true;
   forward.resume_after = 17;
-  std::string text = written_request (forward);
+  std::string text = forwarded_request (forward);
   EXPECT_NE (text.find ("Expect-Instance: i-7\r\n"), std::string::npos);
   EXPECT_NE (text.find ("Expect-Version: 4\r\n"), std::string::npos);
   EXPECT_NE (text.find ("Request-Priority: 2\r\n"), std::string::npos);
   EXPECT_NE (text.find ("Last-Event-Id: 17\r\n"), std::string::npos);
 }
 
-TEST_F (DialectTest, MalformedFieldsAreRefused)
+TEST_F (DialectTest, MalformedFieldsAreRejected)
 {
-  rly_request_t said;
+  rly_request_t parsed_request;
   kb_error_t error = {};
   parse ("GET / HTTP/1.1\r\nHost: a\r\n");
-  EXPECT_NE (plt_dialect.read_request (&conn.head, &said, &error), KB_OK);
+  EXPECT_NE (plt_dialect.read_request (&conn.head, &parsed_request, &error),
+             KB_OK);
   kb_buf_finish (&conn.head.bytes);
   parse ("GET / HTTP/1.1\r\nX-Knapweedbay-Attempt-Id: 1\r\n"
          "X-Knapweedbay-Deadline-Ms: 1e3\r\n");
-  EXPECT_NE (plt_dialect.read_request (&conn.head, &said, &error), KB_OK);
+  EXPECT_NE (plt_dialect.read_request (&conn.head, &parsed_request, &error),
+             KB_OK);
   EXPECT_NE (std::string (error.message).find ("Deadline"), std::string::npos);
 }
 
-TEST_F (DialectTest, AnswersAreTyped)
+TEST_F (DialectTest, AnswersAreParsed)
 {
   parse ("HTTP/1.1 503 X\r\nX-Knapweedbay-Not-Executed: 1\r\n"
          "Retry-After: 0.25\r\n",
@@ -447,7 +455,7 @@
   EXPECT_FALSE (answer.is_not_run);
 }
 
-TEST_F (DialectTest, ALimitIsADecimalNumberThatStandsThereOnce)
+TEST_F (DialectTest, LimitMustBeOneDecimalNumber)
 {
   auto read = [this] (const std::string &fields) {
     kb_buf_finish (&conn.head.bytes);
@@ -482,7 +490,7 @@
   EXPECT_FALSE (read ("Server-Limit: 4\r\nServer-Limit: 9\r\n").states_limit);
 }
 
-TEST_F (DialectTest, LeavingIsSaidByOne)
+TEST_F (DialectTest, LeavingFieldMustBeZeroOrOne)
 {
   auto read = [this] (const std::string &value) {
     kb_buf_finish (&conn.head.bytes);
@@ -505,7 +513,7 @@
     }
 }
 
-TEST_F (DialectTest, APauseIsInSeconds)
+TEST_F (DialectTest, RetryAfterIsInSeconds)
 {
   auto read = [this] (const std::string &value) {
     kb_buf_finish (&conn.head.bytes);
@@ -527,7 +535,7 @@
     }
 }
 
-TEST_F (DialectTest, AmbiguousLengthsAreNotProper)
+TEST_F (DialectTest, AmbiguousFramingIsRejected)
 {
   parse ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
          "Transfer-Encoding: chunked\r\n");
@@ -548,12 +556,12 @@
 
 // Each entry of a large fleet read the list as often as a small site needs it,
 // although its bound for leaving targets is longer. The longer pause must
-// leave room for what else delays the word.
-TEST (Directory, TheListIsReadAsOftenAsTheBoundNeeds)
+// leave room for what else delays the test_case.
+TEST (Directory, ReadPauseFollowsLeaveBound)
 {
-  EXPECT_EQ (dir_target_pause_ms (2000), 700u);
-  EXPECT_EQ (dir_target_pause_ms (3000), 1050u);
-  EXPECT_EQ (dir_target_pause_ms (60000), 1200u);
+  EXPECT_EQ (dir_read_pause_ms (2000), 700u);
+  EXPECT_EQ (dir_read_pause_ms (3000), 1050u);
+  EXPECT_EQ (dir_read_pause_ms (60000), 1200u);
 }
 
 class DirectoryTest : public ::testing::Test
@@ -570,15 +578,16 @@
     dir_directory_init (&directory, &pool, &address, 2000);
     events.on_target = [] (void *owner, const src_target_t *target) {
       ((DirectoryTest *)owner)
-          ->told.push_back (std::string ("+") + target->who.id);
+          ->reported_events.push_back (std::string ("+") + target->who.id);
     };
     events.on_target_gone = [] (void *owner, kb_slice_t id) {
       ((DirectoryTest *)owner)
-          ->told.push_back ("-" + std::string (id.ptr, id.len_bytes));
+          ->reported_events.push_back ("-"
+                                       + std::string (id.ptr, id.len_bytes));
     };
     events.on_record = [] (void *owner, const src_record_t *record) {
       ((DirectoryTest *)owner)
-          ->told.push_back (
+          ->reported_events.push_back (
               std::string (record->key.ptr, record->key.len_bytes) + "="
               + std::string (record->value.ptr, record->value.len_bytes));
     };
@@ -597,7 +606,7 @@
     EXPECT_EQ (uv_loop_close (&loop), 0);
   }
   void
-  change (const char *id, bool is_gone)
+  add_change (const char *id, bool is_gone)
   {
     sto_item_t item = {};
     snprintf (item.key, sizeof item.key, "servers/%s", id);
@@ -610,7 +619,7 @@
     items.push_back (item);
   }
   void
-  entry (const char *id, const char *text)
+  add_entry (const char *id, const char *text)
   {
     sto_item_t item = {};
     snprintf (item.key, sizeof item.key, "servers/%s", id);
@@ -618,20 +627,20 @@
     items.push_back (item);
   }
   void
-  take ()
+  apply_batch ()
   {
     sto_result_t changes = {};
     changes.items = items.data ();
     changes.item_count = (uint32_t)items.size ();
-    dir_take_target_changes (&directory, &changes);
+    dir_apply_target_changes (&directory, &changes);
   }
   void
-  begin_batch ()
+  clear_batch ()
   {
     for (auto &item : items)
       kb_buf_finish (&item.value);
     items.clear ();
-    told.clear ();
+    reported_events.clear ();
   }
   uv_loop_t loop;
   tmr_service_t timers;
@@ -639,62 +648,63 @@
   dir_directory_t directory;
   src_events_t events = {};
   std::vector<sto_item_t> items;
-  std::vector<std::string> told;
+  std::vector<std::string> reported_events;
 };
 
 // A target that restarts twice within one pause of the list comes and goes in
 // one batch of changes. When removals were taken before entries it stayed
 // listed for good, and requests went to an address that another service used.
-TEST_F (DirectoryTest, ATargetThatCameAndWentInOneBatchIsGone)
+TEST_F (DirectoryTest, TargetAddedAndRemovedInOneBatchIsGone)
 {
-  change ("i-1", false);
-  change ("i-1", true);
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "+i-1", "-i-1" }));
+  add_change ("i-1", false);
+  add_change ("i-1", true);
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1", "-i-1" }));
 }
 
-TEST_F (DirectoryTest, ATargetThatWentAndCameInOneBatchIsListed)
+TEST_F (DirectoryTest, TargetRemovedAndAddedInOneBatchIsListed)
 {
-  change ("i-1", false);
-  take ();
+  add_change ("i-1", false);
+  apply_batch ();
   items[0].is_gone = true;
-  change ("i-1", false);
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "+i-1", "+i-1" }));
+  add_change ("i-1", false);
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1", "+i-1" }));
 }
 
 // Words of a peer that are about another store, come from the future, say
 // again what is known, or contradict themselves. Each would hide changes or
 // bring old ones back; belief stays as it was and the store is read next.
-TEST_F (DirectoryTest, BadWordsOfAPeerChangeNothing)
+TEST_F (DirectoryTest, InvalidPeerChangesAreRejected)
 {
-  struct Word
+  struct InvalidChanges
   {
     uint64_t revision;
     uint64_t as_of;
     const char *key;
   };
-  const Word words[] = {
+  const InvalidChanges invalid_changes[] = {
     { 11, 2000000, "servers/i-1" }, // From the future.
     { 10, 20, "servers/i-1" },      // Known before.
     { 21, 20, "servers/i-1" },      // Beyond what it claims to know.
     { 11, 20, "" },
   };
-  for (const Word &word : words)
+  for (const InvalidChanges &test_case : invalid_changes)
     {
       flw_follower_t &f = directory.follower;
       flw_init (&f, 700, uv_now (&loop));
       f.readers[FLW_BATCH].as_of = 10;
       f.readers[FLW_BATCH].is_reading = true;
-      src_change_t change = { word.revision, kb_slice_str (word.key),
+      src_change_t change = { test_case.revision, kb_slice_str (test_case.key),
                               kb_slice_str (kEntry), false };
       src_changes_t changes = {};
-      changes.as_of = word.as_of;
+      changes.as_of = test_case.as_of;
       changes.began_ms = uv_now (&loop);
       changes.changes = &change;
       changes.change_count = 1;
       directory.source.vtable->on_changes (&directory.source, &changes);
-      EXPECT_TRUE (told.empty ()) << word.key << word.revision;
+      EXPECT_TRUE (reported_events.empty ())
+          << test_case.key << test_case.revision;
       EXPECT_EQ (f.readers[FLW_BATCH].as_of, 10u);
       EXPECT_TRUE (f.is_store_due);
       directory.source.vtable->stop (&directory.source);
@@ -703,7 +713,7 @@
 
 // What the system keeps at the store comes with the changes of the list; what
 // others write there, and what has lapsed, is nothing of it.
-TEST_F (DirectoryTest, RecordsOfTheSystemAreTold)
+TEST_F (DirectoryTest, SystemRecordsAreReported)
 {
   flw_follower_t &f = directory.follower;
   flw_init (&f, 700, uv_now (&loop));
@@ -720,80 +730,80 @@
   changes.changes = list;
   changes.change_count = 3;
   directory.source.vtable->on_changes (&directory.source, &changes);
-  EXPECT_EQ (told, (std::vector<std::string>{ "ends/1=v" }));
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "ends/1=v" }));
 }
 
 // Several targets are taken away at once, and their bound for leaving is
 // short. The time for which they are kept must fit in it, with the pause
 // before it.
-TEST_F (DirectoryTest, ManyThatVanishTogetherGoWithinTheirBound)
+TEST_F (DirectoryTest, MassRemovalStaysWithinLeaveBound)
 {
   EXPECT_EQ (ros_mass_return_ms (3000), 800u);
   EXPECT_EQ (ros_mass_return_ms (2000), 800u);
   for (uint64_t bound_ms : { 500, 1000, 1500, 2000 })
-    EXPECT_LE (ros_mass_return_ms (bound_ms) + dir_target_pause_ms (bound_ms),
+    EXPECT_LE (ros_mass_return_ms (bound_ms) + dir_read_pause_ms (bound_ms),
                bound_ms * 3 / 4);
 }
 
 // One entry of a batch comes from another writer. The good ones beside it, on
 // the same page, hold.
-TEST_F (DirectoryTest, ABadEntryLeavesThoseBesideIt)
-{
-  change ("i-1", false);
-  entry ("i-2", "{\"Service\":");
-  entry ("i-3", "");
-  entry ("i 4", "{}");
-  change ("i-5", false);
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "+i-1", "+i-5" }));
+TEST_F (DirectoryTest, InvalidEntryDoesNotAffectOthers)
+{
+  add_change ("i-1", false);
+  add_entry ("i-2", "{\"Service\":");
+  add_entry ("i-3", "");
+  add_entry ("i 4", "{}");
+  add_change ("i-5", false);
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1", "+i-5" }));
 }
 
 // A bad entry replaces the good one of a target: the id names no target until
 // a good one comes. A value that can not be decoded is no reason to keep the
 // old one either.
-TEST_F (DirectoryTest, ABadEntryReplacesAGoodOneUntilItIsBack)
-{
-  change ("i-1", false);
-  take ();
-  begin_batch ();
-  entry ("i-1", "{\"Service\":7}");
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "-i-1" }));
-  begin_batch ();
-  change ("i-1", false);
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "+i-1" }));
-  begin_batch ();
-  entry ("i-1", "");
+TEST_F (DirectoryTest, InvalidEntryRemovesTargetUntilValidEntry)
+{
+  add_change ("i-1", false);
+  apply_batch ();
+  clear_batch ();
+  add_entry ("i-1", "{\"Service\":7}");
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "-i-1" }));
+  clear_batch ();
+  add_change ("i-1", false);
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1" }));
+  clear_batch ();
+  add_entry ("i-1", "");
   items.back ().is_unreadable = true;
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "-i-1" }));
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "-i-1" }));
 }
 
-// A target that told its birth tells it always: an entry without one in its
-// place is another writer's.
-TEST_F (DirectoryTest, AnEntryThatLostItsBirthNamesNoTarget)
-{
-  entry ("i-1", kEntry);
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "+i-1" }));
-  begin_batch ();
-  change ("i-1", false);
-  take ();
-  EXPECT_EQ (told, (std::vector<std::string>{ "-i-1" }));
+// A target that reported_events its birth tells it always: an entry without
+// one in its place is another writer's.
+TEST_F (DirectoryTest, EntryWithoutKnownBirthTimeRemovesTarget)
+{
+  add_entry ("i-1", kEntry);
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1" }));
+  clear_batch ();
+  add_change ("i-1", false);
+  apply_batch ();
+  EXPECT_EQ (reported_events, (std::vector<std::string>{ "-i-1" }));
 }
 
 // Entries that lapse together while the targets live are back within 2 s.
-TEST_F (DirectoryTest, ManyThatVanishTogetherAreKeptForAWhile)
+TEST_F (DirectoryTest, MassRemovalIsDelayed)
 {
   for (const char *id : { "i-1", "i-2", "i-3" })
-    change (id, false);
-  take ();
-  told.clear ();
+    add_change (id, false);
+  apply_batch ();
+  reported_events.clear ();
   for (auto &item : items)
     item.is_gone = true;
-  take ();
-  EXPECT_TRUE (told.empty ());
+  apply_batch ();
+  EXPECT_TRUE (reported_events.empty ());
 }
 
 } // namespace
