--- a/test/fuzz/fuzz_platform.c
+++ b/test/fuzz/fuzz_platform.c
@@ -1,5 +1,5 @@
-/// Documents of the platform: whatever bytes the store or an engine hands out,
-/// decoding ends with a value or an error.
+/// Fuzzes the decoders of the platform's documents: for any bytes from the
+/// store or an engine, decoding must end with a value or an error.
 #include <stddef.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,7 +9,8 @@
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
 
-/// An entry under any key: the first line is its id.
+/// Decode a target entry under an arbitrary id, which is the text's first
+/// line. On success the decoded id must be the given one.
 static void
 decode_target_with_id (kb_slice_t text, size_t max_id_bytes)
 {
--- a/test/unit/document_test.cc
+++ b/test/unit/document_test.cc
@@ -1,5 +1,5 @@
-// Documents: JSON with comments, settings, configuration, completion bodies,
-// and the message codec.
+// Tests of JSON with comments, settings, the configuration, completion bodies,
+// the message codec, the shard map, and the hash map.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -213,8 +213,8 @@
   cfg_config_finish (&config);
 }
 
-// One line in the middle of a large file changes: every chunk but one or two
-// must keep its digest, whatever shifts behind the change.
+// One line in the middle of a large file changes. All chunks but one or two
+// must keep their digests, although the rest of the file shifts.
 TEST (Config, SmallEditChangesFewChunks)
 {
   std::string text;
@@ -297,10 +297,10 @@
       msg_t back;
       EXPECT_EQ (msg_decode (kb_buf_slice (&out), &back), KB_OK) << type;
       EXPECT_EQ (back.type, type);
-      // Cut anywhere, it must be refused.
+      // A message truncated at any byte must be rejected.
       for (size_t len = 0; len < out.len_bytes; len++)
         EXPECT_EQ (msg_decode ({ out.ptr, (uint32_t)len }, &back), KB_EINVAL);
-      // Of a newer version it is told apart.
+      // A newer version must be distinguished from a malformed message.
       for (size_t i = 0; i < 4; i++)
         if (out.ptr[i] == (char)0xcc && out.ptr[i + 1] == MSG_VERSION)
           out.ptr[i + 1] = MSG_VERSION + 1;
@@ -351,7 +351,7 @@
   kb_buf_finish (&out);
 }
 
-// Differential: the map against the standard one on random operations.
+// Compares the map with std::map on random operations.
 TEST (Map, MatchesStandardMap)
 {
   std::mt19937_64 rng (11);
--- a/test/unit/platform_test.cc
+++ b/test/unit/platform_test.cc
@@ -1,4 +1,5 @@
-// The platform's documents and heads, decoded into the product's types.
+// Decoding of the platform's documents and HTTP heads into internal types, and
+// the directory that follows its store.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -80,9 +81,10 @@
              std::string::npos);
 }
 
-// The store hands out a document with members of another type or out of range.
-// The process that reads it must keep the last good one, not end, and neither
-// put a default in the place of what the operator meant.
+// The store returns a document with members of the wrong type or out of range.
+// The process must neither crash nor substitute a default for what the
+// operator meant: the document is rejected, and the last valid one stays in
+// force.
 TEST (Document, MembersOfWrongTypeAreRejected)
 {
   const std::vector<std::pair<std::string, std::string>> bad = {
@@ -160,9 +162,9 @@
   "Zone":"d1","Version":"v1","Slots":6,"State":"ready","ColdLeftMs":0,
   "Seq":4,"born":1785123800000})";
 
-// Another writer puts an entry beside those of the targets. It names no target
-// to use, and says why; taken for one, it would send requests to an address
-// that nobody of the fleet serves.
+// Another writer puts an invalid entry beside those of the targets. It must be
+// rejected with a reason: accepted, it would send requests to an address that
+// no target of the fleet serves.
 TEST (Document, EntriesOfOtherWritersAreRejected)
 {
   const std::vector<std::pair<std::string, std::string>> bad = {
@@ -228,7 +230,8 @@
         << id;
 }
 
-// A birth may be absent: the entry is about the incarnation that is known.
+// The birth time is optional: an entry without one is about the incarnation
+// already known.
 TEST (Document, EntryWithoutBirthTimeIsAccepted)
 {
   kb_error_t error = {};
@@ -283,7 +286,7 @@
   EXPECT_NE (plt_report_decode (slice ("[1"), report.get (), &error), KB_OK);
 }
 
-/// A parsed head, without a socket.
+/// Provides a parsed head without a socket.
 class DialectTest : public ::testing::Test
 {
 protected:
@@ -380,8 +383,9 @@
   EXPECT_FALSE (parsed_request.is_resume);
 }
 
-// A caller names memory of another caller's run, or pins memory for itself:
-// only the system may set these fields, so none of them reaches a target.
+// With these fields a caller could refer to the engine memory of another
+// caller's run, or pin memory for itself. Only the gateway may set them, so
+// they are never forwarded from a caller to a target.
 TEST_F (DialectTest, SystemFieldsFromCallersAreDropped)
 {
   parse (kRequest);
@@ -499,7 +503,7 @@
            true);
     rly_answer_t answer;
     plt_dialect.read_answer (&conn, &answer);
-    // A field without meaning takes nothing from the others.
+    // A malformed field must not affect the others.
     EXPECT_TRUE (answer.states_limit) << value;
     return answer;
   };
@@ -554,9 +558,10 @@
   EXPECT_TRUE (h1_request_is_proper (&conn));
 }
 
-// Each entry of a large fleet read the list as often as a small site needs it,
-// although its bound for leaving targets is longer. The longer pause must
-// leave room for what else delays the test_case.
+// Guards against a pause that does not grow with the bound for leaving
+// targets: each gateway of a large fleet then reads the list as often as a
+// small site needs, although its bound is longer. The longer pause must still
+// leave room in the bound for the other delays of a notification.
 TEST (Directory, ReadPauseFollowsLeaveBound)
 {
   EXPECT_EQ (dir_read_pause_ms (2000), 700u);
@@ -651,9 +656,10 @@
   std::vector<std::string> reported_events;
 };
 
-// A target that restarts twice within one pause of the list comes and goes in
-// one batch of changes. When removals were taken before entries it stayed
-// listed for good, and requests went to an address that another service used.
+// A target that restarts twice within one read pause is added and removed in
+// one batch of changes. If removals were applied before entries, it would stay
+// listed forever, and requests would go to an address that another service
+// uses by now.
 TEST_F (DirectoryTest, TargetAddedAndRemovedInOneBatchIsGone)
 {
   add_change ("i-1", false);
@@ -672,9 +678,10 @@
   EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1", "+i-1" }));
 }
 
-// Words of a peer that are about another store, come from the future, say
-// again what is known, or contradict themselves. Each would hide changes or
-// bring old ones back; belief stays as it was and the store is read next.
+// A peer's changes are about another store, have a revision that is too far
+// ahead, repeat known changes, or contradict themselves. Applying them would
+// hide changes or restore old ones, so the state stays as it was and the store
+// is read next.
 TEST_F (DirectoryTest, InvalidPeerChangesAreRejected)
 {
   struct InvalidChanges
@@ -684,9 +691,9 @@
     const char *key;
   };
   const InvalidChanges invalid_changes[] = {
-    { 11, 2000000, "servers/i-1" }, // From the future.
-    { 10, 20, "servers/i-1" },      // Known before.
-    { 21, 20, "servers/i-1" },      // Beyond what it claims to know.
+    { 11, 2000000, "servers/i-1" }, // Too far ahead.
+    { 10, 20, "servers/i-1" },      // Already known.
+    { 21, 20, "servers/i-1" },      // Newer than the stated revision.
     { 11, 20, "" },
   };
   for (const InvalidChanges &test_case : invalid_changes)
@@ -711,8 +718,8 @@
     }
 }
 
-// What the system keeps at the store comes with the changes of the list; what
-// others write there, and what has lapsed, is nothing of it.
+// Records that gateways keep in the store are read together with the target
+// list. Keys of other writers and expired records are not reported.
 TEST_F (DirectoryTest, SystemRecordsAreReported)
 {
   flw_follower_t &f = directory.follower;
@@ -733,9 +740,9 @@
   EXPECT_EQ (reported_events, (std::vector<std::string>{ "ends/1=v" }));
 }
 
-// Several targets are taken away at once, and their bound for leaving is
-// short. The time for which they are kept must fit in it, with the pause
-// before it.
+// Several targets are removed at once, and the bound for leaving targets is
+// short. The time for which their removal is delayed must fit into the bound
+// together with the read pause before it.
 TEST_F (DirectoryTest, MassRemovalStaysWithinLeaveBound)
 {
   EXPECT_EQ (ros_mass_return_ms (3000), 800u);
@@ -745,8 +752,8 @@
                bound_ms * 3 / 4);
 }
 
-// One entry of a batch comes from another writer. The good ones beside it, on
-// the same page, hold.
+// Some entries of a batch are invalid, because another writer made them. The
+// valid entries on the same page must still be applied.
 TEST_F (DirectoryTest, InvalidEntryDoesNotAffectOthers)
 {
   add_change ("i-1", false);
@@ -758,9 +765,9 @@
   EXPECT_EQ (reported_events, (std::vector<std::string>{ "+i-1", "+i-5" }));
 }
 
-// A bad entry replaces the good one of a target: the id names no target until
-// a good one comes. A value that can not be decoded is no reason to keep the
-// old one either.
+// An invalid entry replaces the valid one of a target: the target is removed
+// until a valid entry follows. The same holds for a value that is not valid
+// base64.
 TEST_F (DirectoryTest, InvalidEntryRemovesTargetUntilValidEntry)
 {
   add_change ("i-1", false);
@@ -780,8 +787,8 @@
   EXPECT_EQ (reported_events, (std::vector<std::string>{ "-i-1" }));
 }
 
-// A target that reported_events its birth tells it always: an entry without
-// one in its place is another writer's.
+// A target that writes its birth time always does so. An entry that lacks it
+// comes from another writer and is invalid.
 TEST_F (DirectoryTest, EntryWithoutKnownBirthTimeRemovesTarget)
 {
   add_entry ("i-1", kEntry);
@@ -793,7 +800,9 @@
   EXPECT_EQ (reported_events, (std::vector<std::string>{ "-i-1" }));
 }
 
-// Entries that lapse together while the targets live are back within 2 s.
+// Entries may expire together although their targets are running; those
+// targets write them again within 2 s. Removing them at once would lose the
+// targets.
 TEST_F (DirectoryTest, MassRemovalIsDelayed)
 {
   for (const char *id : { "i-1", "i-2", "i-3" })
