--- a/test/unit/platform_test.cc
+++ b/test/unit/platform_test.cc
@@ -539,7 +539,7 @@
     }
 }
 
-TEST_F (DialectTest, AmbiguousFramingIsRejected)
+TEST_F (DialectTest, AmbiguousRequestsAreRejected)
 {
   parse ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
          "Transfer-Encoding: chunked\r\n");
