--- a/src/daemon/agent_engine.c
+++ b/src/daemon/agent_engine.c
@@ -264,10 +264,11 @@
   if (gate == NULL)
     return;
   snprintf (wish->gate, sizeof wish->gate, "%s", gate->name);
-  msg_t msg = { .type = MSG_GATE_ASK };
-  msg.gate_ask = (msg_gate_ask_t){ .id = wish->id,
-                                   .waiting = wanted->waiting,
-                                   .priority_class = wanted->priority_class };
+  msg_t msg = { .type = MSG_GATE_REQUEST };
+  msg.gate_request
+      = (msg_gate_request_t){ .id = wish->id,
+                              .waiting = wanted->waiting,
+                              .priority_class = wanted->priority_class };
   // A gate that cannot be reached gives way to the next entry at once.
   if (dmn_send (agent->daemon, wish->gate, &msg) == KB_OK)
     return;
--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -46,7 +46,7 @@
   qrt_lapse (&agent->quarantine, tmr_now_ms ());
   qrt_pack_all (&agent->quarantine, tmr_now_ms (), &words);
   msg_t msg = { .type = MSG_QUARANTINE };
-  msg.quarantine.words = kb_buf_slice (&words);
+  msg.quarantine.records = kb_buf_slice (&words);
   if (words.len_bytes > 0)
     dmn_send (agent->daemon, peer->name, &msg);
   kb_buf_finish (&words);
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -458,7 +458,7 @@
     {
       // The attempt went to a process that is no more; that this one does
       // not know it proves nothing.
-      msg.revoked.state = MSG_REVOKED_FOREIGN;
+      msg.revoked.state = MSG_REVOKED_OTHER_INCARNATION;
       lnk_link_send (&agent->daemon->link, peer, &msg);
       return;
     }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -44,7 +44,7 @@
 }
 
 static void
-on_gate_ask (ent_entry_t *entry, ent_vm_t *vm, const msg_gate_ask_t *ask)
+on_gate_ask (ent_entry_t *entry, ent_vm_t *vm, const msg_gate_request_t *ask)
 {
   gat_ask (&entry->gate, vm->id, ask->id, (uint8_t)ask->priority_class,
            (uint32_t)ask->waiting, tmr_now_us ());
@@ -75,13 +75,13 @@
       ent_request_end (entry, kb_slice_str (vm->name), &msg->end);
       break;
     case MSG_QUARANTINE:
-      ent_quarantine_take (entry, msg->quarantine.words);
+      ent_quarantine_take (entry, msg->quarantine.records);
       break;
     case MSG_REVOKED:
       ent_request_revoked (entry, &msg->revoked);
       break;
-    case MSG_GATE_ASK:
-      on_gate_ask (entry, vm, &msg->gate_ask);
+    case MSG_GATE_REQUEST:
+      on_gate_ask (entry, vm, &msg->gate_request);
       break;
     case MSG_GATE_DONE:
       gat_done (&entry->gate, vm->id, msg->gate_done.id);
@@ -122,8 +122,8 @@
     case MSG_CLAIM_REPLY:
       ent_claims_on_reply (entry, &msg->claim_reply);
       break;
-    case MSG_CLAIM_NOTE:
-      ent_claims_on_note (entry, &msg->claim_note);
+    case MSG_CLAIM_OUTCOME:
+      ent_claims_on_note (entry, &msg->claim_outcome);
       break;
     case MSG_RECORDS:
       ent_claims_on_records (entry, from, &msg->records);
--- a/src/daemon/entry_claims.c
+++ b/src/daemon/entry_claims.c
@@ -61,10 +61,10 @@
       return;
     }
   // A lost note costs a question to the runner later, no promise.
-  msg_t msg = { .type = MSG_CLAIM_NOTE };
-  msg.claim_note = (msg_claim_note_t){ .claim_key = r->claim_key,
-                                       .attempt = attempt,
-                                       .outcome = state };
+  msg_t msg = { .type = MSG_CLAIM_OUTCOME };
+  msg.claim_outcome = (msg_claim_outcome_t){ .claim_key = r->claim_key,
+                                             .attempt = attempt,
+                                             .outcome = state };
   dmn_send (entry->daemon, entry->shards[s].owner, &msg);
 }
 
@@ -106,7 +106,7 @@
 }
 
 void
-ent_claims_on_note (ent_entry_t *entry, const msg_claim_note_t *note)
+ent_claims_on_note (ent_entry_t *entry, const msg_claim_outcome_t *note)
 {
   clm_owner_note (&entry->owner, note->claim_key, note->attempt,
                   state_of_outcome (note->outcome), tmr_now_ms ());
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -308,7 +308,7 @@
 void ent_claims_on_claim (ent_entry_t *entry, kb_slice_t from,
                           const msg_claim_t *claim);
 void ent_claims_on_reply (ent_entry_t *entry, const msg_claim_reply_t *reply);
-void ent_claims_on_note (ent_entry_t *entry, const msg_claim_note_t *note);
+void ent_claims_on_note (ent_entry_t *entry, const msg_claim_outcome_t *note);
 void ent_claims_on_recover (ent_entry_t *entry, kb_slice_t from,
                             const msg_recover_t *recover);
 
--- a/src/daemon/entry_keyed.c
+++ b/src/daemon/entry_keyed.c
@@ -156,7 +156,8 @@
                                    0);
       else if (revoked->state != MSG_REVOKED_RUNNING)
         ent_request_after_unknown (r, "the answer was lost with a connection",
-                                   revoked->state != MSG_REVOKED_FOREIGN);
+                                   revoked->state
+                                       != MSG_REVOKED_OTHER_INCARNATION);
       return;
     }
   for (r = entry->requests; r != NULL; r = r->next)
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -96,9 +96,9 @@
       const msg_engine_adapter_t *a = &target->adapters[i];
       if (a->key != r->adapter_key)
         continue;
-      if (a->state == MSG_ADAPTER_COMING)
+      if (a->state == MSG_ADAPTER_FETCHING)
         return PLC_COMING;
-      if (a->state == MSG_ADAPTER_AWAITED)
+      if (a->state == MSG_ADAPTER_PENDING)
         return PLC_AWAITED;
       return a->version >= newest ? PLC_HELD : PLC_ABSENT;
     }
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -398,7 +398,7 @@
       gtw_quota_granted (gateway, &msg->quota_grant);
       break;
     case MSG_QUARANTINE:
-      gtw_quarantine_take (gateway, msg->quarantine.words);
+      gtw_quarantine_take (gateway, msg->quarantine.records);
       break;
     case MSG_DOCUMENT:
       take_document (gateway, &msg->document, target->link);
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -146,12 +146,12 @@
       peers->link_key = gtw_link_key (kb_slice_str (target->link));
       const char *store = gateway->host.settings.store_address;
       msg_t msg
-          = { .type = MSG_CHANGES_ASK,
-              .changes_ask = { .id = peers->id,
-                               .store = kb_hash (store, strlen (store), 0),
-                               .after = ask->after,
-                               .known_age_ms = ask->known_age_ms,
-                               .pause_ms = ask->pause_ms } };
+          = { .type = MSG_CHANGES_REQUEST,
+              .changes_request = { .id = peers->id,
+                                   .store = kb_hash (store, strlen (store), 0),
+                                   .after = ask->after,
+                                   .known_age_ms = ask->known_age_ms,
+                                   .pause_ms = ask->pause_ms } };
       is_sent = hst_send (&gateway->host, target->link, &msg) == KB_OK;
     }
   tmr_after (&gateway->host.timers, &peers->timer,
@@ -197,14 +197,14 @@
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"not_asked\"");
       return;
     }
-  if (told->status == MSG_CHANGES_BEHIND)
+  if (told->status == MSG_CHANGES_NOT_RETAINED)
     {
       ask_end (peers, NULL);
       return;
     }
   src_change_t *changes = NULL;
   uint32_t count = 0;
-  if (told->status != MSG_CHANGES_KNOWN)
+  if (told->status != MSG_CHANGES_AVAILABLE)
     ask_fail (peers, "store_silent");
   else if (!unpack (told->changes, &changes, &count))
     ask_fail (peers, "malformed");
--- a/src/gateway/gateway_place.c
+++ b/src/gateway/gateway_place.c
@@ -55,8 +55,8 @@
                         ? gtw_request_patience_end_ms (r, r->passed_ms)
                         : r->first_due_ms;
   uint64_t objective_ms = r->has_event ? due_ms : r->objective_ms;
-  msg_t msg = { .type = MSG_PLACE_ASK,
-                .place_ask
+  msg_t msg = { .type = MSG_PLACE_REQUEST,
+                .place_request
                 = { .id = r->place_id,
                     .priority = r->priority,
                     .prompt_tokens = r->said.prompt_tokens,
@@ -64,7 +64,7 @@
                     .left_ms = gtw_left_ms (due_ms, now_ms),
                     .objective_ms = gtw_left_ms (objective_ms, now_ms),
                     .version = ver_newest (&gateway->versions, r->adapter_key),
-                    .declined = r->tried_count,
+                    .decline_count = r->tried_count,
                     .is_alone = r->begins_alone,
                     .model = r->said.model,
                     .adapter = r->said.adapter,
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -39,22 +39,22 @@
   gtw_quota_t *quota = (gtw_quota_t *)purse;
   gtw_gateway_t *gateway = quota->gateway;
   const gtw_target_t *target = kb_map_get (&gateway->links, purse->lender.id);
-  msg_t msg = { .type = MSG_QUOTA_ASK,
-                .quota_ask
+  msg_t msg = { .type = MSG_QUOTA_REQUEST,
+                .quota_request
                 = { .id = id,
                     .subject = ask->workspace,
                     .is_of_target = quota->is_of_target,
                     .revision = revision_to_send (quota, ask),
                     .rate_milli = (uint64_t)(ask->limit.rate_per_s * MILLI),
                     .burst_milli = (uint64_t)(ask->limit.burst * MILLI),
-                    .least_milli = (uint64_t)(ask->least * MILLI),
-                    .want_milli = (uint64_t)(ask->want * MILLI) + 1,
+                    .min_milli = (uint64_t)(ask->least * MILLI),
+                    .wanted_milli = (uint64_t)(ask->want * MILLI) + 1,
                     .unspent_milli = (uint64_t)(ask->unspent * MILLI),
                     .since_ms = ask->since_ms,
-                    .life = ask->life,
+                    .sidecar_incarnation = ask->life,
                     .uptime_ms = ask->uptime_ms,
-                    .reach_milli = (uint64_t)(ask->reach * MILLI),
-                    .past = ask->past,
+                    .reachable_milli = (uint64_t)(ask->reach * MILLI),
+                    .prior = ask->past,
                     .ledger_age_ms = ask->ledger_age_ms,
                     .ledger = ask->ledger,
                     .gateway_peak = gateway->peak.count,
--- a/src/protocol/cfgbuild.c
+++ b/src/protocol/cfgbuild.c
@@ -33,7 +33,7 @@
 
 static kb_status_t
 check_members (const build_t *b, struct json_object *obj,
-               const char *const *known)
+               const char *const *known_members)
 {
   if (!json_object_is_type (obj, json_type_object))
     return item_error (b, "must be an object", "");
@@ -41,8 +41,8 @@
   {
     (void)value;
     bool is_known = false;
-    for (int i = 0; known[i] != NULL; i++)
-      is_known |= strcmp (known[i], name) == 0;
+    for (int i = 0; known_members[i] != NULL; i++)
+      is_known |= strcmp (known_members[i], name) == 0;
     if (!is_known)
       return item_error (b, "unknown member", name);
   }
@@ -69,9 +69,9 @@
 static kb_status_t
 build_service (build_t *b, struct json_object *obj)
 {
-  static const char *const known[]
+  static const char *const known_members[]
       = { "kind", "base_model", "idempotent", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
   const char *kind = jsn_str (obj, "kind", "engine");
@@ -123,9 +123,9 @@
 static kb_status_t
 build_adapter (build_t *b, struct json_object *obj)
 {
-  static const char *const known[]
+  static const char *const known_members[]
       = { "service", "current", "versions", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
   if (strchr (b->item, '@') != NULL)
@@ -175,14 +175,15 @@
 static kb_status_t
 build_workspace (build_t *b, struct json_object *obj)
 {
-  static const char *const known[] = { "key_sha256",   "class",      "weight",
-                                       "max_inflight", "rate_per_s", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  static const char *const known_members[] = { "key_sha256", "class",
+                                               "weight",     "max_inflight",
+                                               "rate_per_s", NULL };
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
-  cfg_workspace_t *p = &b->config->workspaces[b->config->workspace_count++];
-  p->name = cfg_strdup (b->config, b->item);
-  if (!parse_hex (jsn_str (obj, "key_sha256", NULL), p->key_digest,
+  cfg_workspace_t *w = &b->config->workspaces[b->config->workspace_count++];
+  w->name = cfg_strdup (b->config, b->item);
+  if (!parse_hex (jsn_str (obj, "key_sha256", NULL), w->key_digest,
                   CFG_KEY_DIGEST_BYTES))
     return item_error (b, "\"key_sha256\" must be 64 hex digits", "");
   int64_t priority_class;
@@ -196,11 +197,11 @@
           = read_int (b, obj, "max_inflight", 0, 0, 1000000, &max_inflight))
              != KB_OK)
     return status;
-  p->priority_class = (uint8_t)priority_class;
-  p->weight = (uint32_t)weight;
-  p->max_inflight = (uint32_t)max_inflight;
-  p->rate_per_s = jsn_num (obj, "rate_per_s", 0);
-  if (p->rate_per_s < 0)
+  w->priority_class = (uint8_t)priority_class;
+  w->weight = (uint32_t)weight;
+  w->max_inflight = (uint32_t)max_inflight;
+  w->rate_per_s = jsn_num (obj, "rate_per_s", 0);
+  if (w->rate_per_s < 0)
     return item_error (b, "out of range:", "rate_per_s");
   return KB_OK;
 }
@@ -217,9 +218,9 @@
 static kb_status_t
 build_rule (build_t *b, struct json_object *obj)
 {
-  static const char *const known[]
+  static const char *const known_members[]
       = { "workspace", "service", "adapter_prefix", "class", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
   cfg_rule_t *r = &b->config->rules[b->config->rule_count++];
--- a/src/protocol/cfgdoc.c
+++ b/src/protocol/cfgdoc.c
@@ -72,7 +72,7 @@
 }
 
 static void
-file_digest (doc_file_t *file)
+file_update_digests (doc_file_t *file)
 {
   kb_slice_t rest = kb_buf_slice (&file->text);
   file->digest = doc_digest (rest);
@@ -141,7 +141,7 @@
     file = folder_insert (folder, name);
   kb_buf_clear (&file->text);
   kb_buf_append (&file->text, text.ptr, text.len_bytes);
-  file_digest (file);
+  file_update_digests (file);
   return file;
 }
 
@@ -179,11 +179,11 @@
     {
       if (!name_is_config (entry->d_name))
         continue;
-      char full[1024];
-      snprintf (full, sizeof full, "%s/%s", path, entry->d_name);
+      char full_path[1024];
+      snprintf (full_path, sizeof full_path, "%s/%s", path, entry->d_name);
       kb_buf_t text;
       kb_buf_init (&text);
-      status = jsn_read_file (full, DOC_FILE_MAX_BYTES, &text, error);
+      status = jsn_read_file (full_path, DOC_FILE_MAX_BYTES, &text, error);
       if (status == KB_OK)
         doc_folder_put (out, entry->d_name, kb_buf_slice (&text));
       kb_buf_finish (&text);
@@ -314,33 +314,33 @@
   void *arg;
 } merge_t;
 
-static const char *const sections[]
+static const char *const known_sections[]
     = { "services", "adapters", "workspaces", "rules" };
 
 static bool
 section_is_known (const char *name)
 {
-  for (size_t i = 0; i < sizeof sections / sizeof sections[0]; i++)
-    if (strcmp (sections[i], name) == 0)
+  for (size_t i = 0; i < sizeof known_sections / sizeof known_sections[0]; i++)
+    if (strcmp (known_sections[i], name) == 0)
       return true;
   return false;
 }
 
 static void
-merge_item (merge_t *m, struct json_object *into, const char *section,
+merge_item (merge_t *m, struct json_object *merged_items, const char *section,
             const char *item, struct json_object *value, const char *file)
 {
   uint64_t key
       = kb_hash (item, strlen (item), kb_hash (section, strlen (section), 0))
         | 1;
-  const char *before = kb_map_get (&m->origins, key);
-  if (before != NULL && m->on_override != NULL)
-    m->on_override (m->arg, section, item, before, file);
+  const char *previous_file = kb_map_get (&m->origins, key);
+  if (previous_file != NULL && m->on_override != NULL)
+    m->on_override (m->arg, section, item, previous_file, file);
   kb_map_put (&m->origins, key, (void *)file);
   if (value == NULL)
-    json_object_object_del (into, item);
+    json_object_object_del (merged_items, item);
   else
-    json_object_object_add (into, item, json_object_get (value));
+    json_object_object_add (merged_items, item, json_object_get (value));
 }
 
 static kb_status_t
@@ -369,9 +369,9 @@
                              file->name, section);
     if (status != KB_OK)
       break;
-    struct json_object *into = jsn_get (m->merged, section);
+    struct json_object *merged_items = jsn_get (m->merged, section);
     json_object_object_foreach (items, item, value)
-        merge_item (m, into, section, item, value, file->name);
+        merge_item (m, merged_items, section, item, value, file->name);
   }
   json_object_put (doc);
   return status;
@@ -385,8 +385,9 @@
   merge_t m = { .merged = json_object_new_object (),
                 .on_override = on_override,
                 .arg = arg };
-  for (size_t i = 0; i < sizeof sections / sizeof sections[0]; i++)
-    json_object_object_add (m.merged, sections[i], json_object_new_object ());
+  for (size_t i = 0; i < sizeof known_sections / sizeof known_sections[0]; i++)
+    json_object_object_add (m.merged, known_sections[i],
+                            json_object_new_object ());
   kb_status_t status = KB_OK;
   for (uint32_t i = 0; i < folder->len && status == KB_OK; i++)
     status = merge_file (&m, &folder->files[i], error);
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -14,7 +14,7 @@
 };
 
 static uint32_t
-json_line_at (kb_slice_t text, size_t offset)
+line_number_at (kb_slice_t text, size_t offset)
 {
   uint32_t line = 1;
   for (size_t i = 0; i < offset && i < text.len_bytes; i++)
@@ -27,27 +27,28 @@
 typedef struct
 {
   jsc_cursor_t cursor;
-  kb_map_t keys;    ///< Hash of object serial and key.
-  uint64_t serials; ///< Objects seen.
-  uint64_t serial[JSON_MAX_DEPTH + 1];
+  kb_map_t keys;        ///< Hash of object object_serial and key.
+  uint64_t last_serial; ///< Objects seen.
+  uint64_t object_serial[JSON_MAX_DEPTH + 1];
   bool is_object[JSON_MAX_DEPTH + 1];
   uint32_t depth;
-} json_scan_t;
+} key_scan_t;
 
 /// @return  Whether the string before this place is a key.
 static bool
-scan_is_key (const json_scan_t *s)
+scan_is_key (const key_scan_t *s)
 {
-  jsc_cursor_t look = s->cursor;
-  jsc_skip_space (&look);
-  return jsc_byte (&look) == ':';
+  jsc_cursor_t ahead = s->cursor;
+  jsc_skip_space (&ahead);
+  return jsc_byte (&ahead) == ':';
 }
 
 /// @return  False when the key stands twice in its object.
 static bool
-scan_add_key (json_scan_t *s, kb_slice_t key)
+scan_add_key (key_scan_t *s, kb_slice_t key)
 {
-  uint64_t hash = kb_hash (key.ptr, key.len_bytes, s->serial[s->depth]) | 1;
+  uint64_t hash
+      = kb_hash (key.ptr, key.len_bytes, s->object_serial[s->depth]) | 1;
   if (kb_map_get (&s->keys, hash) != NULL)
     return false;
   kb_map_put (&s->keys, hash, s);
@@ -55,45 +56,45 @@
 }
 
 static bool
-scan_open (json_scan_t *s, bool is_object)
+scan_open (key_scan_t *s, bool is_object)
 {
   if (s->depth == JSON_MAX_DEPTH)
     return false;
   s->depth++;
-  s->serial[s->depth] = ++s->serials;
+  s->object_serial[s->depth] = ++s->last_serial;
   s->is_object[s->depth] = is_object;
   return true;
 }
 
 /// Look for a doubled key in a text that json-c has already accepted.
 static kb_status_t
-json_check_keys (const char *name, kb_slice_t text, kb_error_t *error)
+check_unique_keys (const char *name, kb_slice_t text, kb_error_t *error)
 {
-  json_scan_t s = { .cursor = { .text = text } };
+  key_scan_t s = { .cursor = { .text = text } };
   jsc_cursor_t *c = &s.cursor;
   kb_status_t status = KB_OK;
   while (!jsc_is_at_end (c) && status == KB_OK)
     {
-      char here = jsc_byte (c);
+      char byte = jsc_byte (c);
       if (jsc_is_comment (c))
         jsc_skip_comment (c);
-      else if (here == '"')
+      else if (byte == '"')
         {
           size_t start = c->at;
-          kb_slice_t key = jsc_take_string (c);
+          kb_slice_t key = jsc_read_string (c);
           if (s.depth > 0 && s.is_object[s.depth] && scan_is_key (&s)
               && !scan_add_key (&s, key))
             status = kb_error_set (
                 error, KB_EINVAL, "%s:%u: key \"%.*s\" stands twice", name,
-                json_line_at (text, start), (int)key.len_bytes, key.ptr);
+                line_number_at (text, start), (int)key.len_bytes, key.ptr);
         }
       else
         {
-          bool opens = here == '{' || here == '[';
-          if (opens && !scan_open (&s, here == '{'))
+          bool is_opening = byte == '{' || byte == '[';
+          if (is_opening && !scan_open (&s, byte == '{'))
             status = kb_error_set (error, KB_EINVAL, "%s:%u: nested too deep",
-                                   name, json_line_at (text, c->at));
-          if ((here == '}' || here == ']') && s.depth > 0)
+                                   name, line_number_at (text, c->at));
+          if ((byte == '}' || byte == ']') && s.depth > 0)
             s.depth--;
           c->at++;
         }
@@ -120,7 +121,7 @@
                                : json_tokener_error_desc (parse_error);
       json_object_put (obj);
       return kb_error_set (error, KB_EINVAL, "%s:%u: %s", name,
-                           json_line_at (text, end), reason);
+                           line_number_at (text, end), reason);
     }
   jsc_cursor_t rest = { .text = text, .at = end };
   jsc_skip_space (&rest);
@@ -129,9 +130,9 @@
       json_object_put (obj);
       return kb_error_set (error, KB_EINVAL,
                            "%s:%u: something stands after the document", name,
-                           json_line_at (text, rest.at));
+                           line_number_at (text, rest.at));
     }
-  kb_status_t status = json_check_keys (name, text, error);
+  kb_status_t status = check_unique_keys (name, text, error);
   if (status != KB_OK)
     {
       json_object_put (obj);
@@ -149,11 +150,11 @@
   if (file == NULL)
     return kb_error_set (error, KB_ENOTFOUND, "%s: %s", path,
                          strerror (errno));
-  char part[4096];
-  size_t got;
-  while ((got = fread (part, 1, sizeof part, file)) > 0
+  char chunk[4096];
+  size_t read_bytes;
+  while ((read_bytes = fread (chunk, 1, sizeof chunk, file)) > 0
          && out->len_bytes <= max_bytes)
-    kb_buf_append (out, part, got);
+    kb_buf_append (out, chunk, read_bytes);
   fclose (file);
   if (out->len_bytes > max_bytes)
     return kb_error_set (error, KB_ELIMIT, "%s: larger than %zu bytes", path,
--- a/src/protocol/json_scan.c
+++ b/src/protocol/json_scan.c
@@ -40,10 +40,10 @@
 {
   while (!jsc_is_at_end (c))
     {
-      char here = jsc_byte (c);
+      char byte = jsc_byte (c);
       if (jsc_is_comment (c))
         jsc_skip_comment (c);
-      else if (here == ' ' || here == '\t' || here == '\n' || here == '\r')
+      else if (byte == ' ' || byte == '\t' || byte == '\n' || byte == '\r')
         c->at++;
       else
         return;
@@ -51,7 +51,7 @@
 }
 
 kb_slice_t
-jsc_take_string (jsc_cursor_t *c)
+jsc_read_string (jsc_cursor_t *c)
 {
   advance (c, 1);
   size_t start = c->at;
--- a/src/protocol/json_scan.h
+++ b/src/protocol/json_scan.h
@@ -35,6 +35,6 @@
 /// Move over white space and comments.
 void jsc_skip_space (jsc_cursor_t *c);
 /// @return  The content of the string literal that starts here.
-kb_slice_t jsc_take_string (jsc_cursor_t *c);
+kb_slice_t jsc_read_string (jsc_cursor_t *c);
 
 #endif
--- a/src/protocol/json_walk.c
+++ b/src/protocol/json_walk.c
@@ -4,7 +4,7 @@
 
 #include "protocol/json_scan.h"
 
-/// Move behind the value that starts here: to a comma or a closing bracket of
+/// Move behind the value that starts byte: to a comma or a closing bracket of
 /// what it stands in, or to the end.
 static void
 skip_value (jsc_cursor_t *c)
@@ -12,26 +12,26 @@
   uint32_t depth = 0;
   while (!jsc_is_at_end (c))
     {
-      char here = jsc_byte (c);
-      bool closes = here == '}' || here == ']';
-      if (depth == 0 && (closes || here == ','))
+      char byte = jsc_byte (c);
+      bool is_closing = byte == '}' || byte == ']';
+      if (depth == 0 && (is_closing || byte == ','))
         return;
-      if (here == '"')
-        jsc_take_string (c);
+      if (byte == '"')
+        jsc_read_string (c);
       else if (jsc_is_comment (c))
         jsc_skip_comment (c);
       else
         {
-          depth += here == '{' || here == '[';
-          depth -= closes;
+          depth += byte == '{' || byte == '[';
+          depth -= is_closing;
           c->at++;
         }
     }
 }
 
 /// Find the list that is a member of the document.
-/// @param open   Receives the place of its opening bracket.
-/// @param close  Receives the place of its closing bracket.
+/// @param open   Receives the location of its opening bracket.
+/// @param close  Receives the location of its closing bracket.
 static bool
 find_list (kb_slice_t text, const char *key, size_t *open, size_t *close)
 {
@@ -45,7 +45,7 @@
       jsc_skip_space (&c);
       if (jsc_byte (&c) != '"')
         return false;
-      kb_slice_t name = jsc_take_string (&c);
+      kb_slice_t name = jsc_read_string (&c);
       jsc_skip_space (&c);
       if (jsc_byte (&c) != ':')
         return false;
@@ -54,7 +54,7 @@
       *open = c.at;
       bool is_list = jsc_byte (&c) == '[';
       skip_value (&c);
-      // Spaces and comments may stand between the value and here.
+      // Spaces and comments may stand between the value and byte.
       *close = c.at;
       while (*close > *open && text.ptr[*close - 1] != ']')
         (*close)--;
@@ -70,20 +70,20 @@
 }
 
 static kb_status_t
-walk_element (const char *name, const char *key, uint32_t number,
+walk_element (const char *name, const char *key, uint32_t position,
               kb_slice_t text, jsn_on_element_t on_element, void *arg,
               kb_error_t *error)
 {
-  char place[96];
-  snprintf (place, sizeof place, "%s, %s %u", name, key, number);
+  char location[96];
+  snprintf (location, sizeof location, "%s, %s %u", name, key, position);
   struct json_object *element = NULL;
-  kb_status_t status = jsn_parse_text (place, text, &element, error);
+  kb_status_t status = jsn_parse_text (location, text, &element, error);
   if (status != KB_OK)
     return status;
   if (!json_object_is_type (element, json_type_object))
     {
       json_object_put (element);
-      return kb_error_set (error, KB_EINVAL, "%s: is no table", place);
+      return kb_error_set (error, KB_EINVAL, "%s: is no table", location);
     }
   status = on_element (arg, element, error);
   json_object_put (element);
@@ -98,20 +98,20 @@
   jsc_skip_space (&c);
   if (jsc_is_at_end (&c))
     return KB_OK;
-  for (uint32_t number = 1;; number++)
+  for (uint32_t position = 1;; position++)
     {
       size_t start = c.at;
       skip_value (&c);
       size_t end = c.at < list.len_bytes ? c.at : list.len_bytes;
       kb_slice_t text = { list.ptr + start, (uint32_t)(end - start) };
       kb_status_t status
-          = walk_element (name, key, number, text, on_element, arg, error);
+          = walk_element (name, key, position, text, on_element, arg, error);
       if (status != KB_OK || jsc_is_at_end (&c))
         return status;
       if (jsc_byte (&c) != ',')
         return kb_error_set (error, KB_EINVAL,
                              "%s, %s %u: brackets do not match", name, key,
-                             number);
+                             position);
       c.at++;
     }
 }
@@ -125,12 +125,12 @@
   size_t close;
   if (!find_list (text, key, &open, &close))
     return jsn_parse_text (name, text, rest, error);
-  kb_buf_t without = { 0 };
-  kb_buf_append (&without, text.ptr, open + 1);
-  kb_buf_append (&without, text.ptr + close, text.len_bytes - close);
+  kb_buf_t emptied = { 0 };
+  kb_buf_append (&emptied, text.ptr, open + 1);
+  kb_buf_append (&emptied, text.ptr + close, text.len_bytes - close);
   kb_status_t status
-      = jsn_parse_text (name, kb_buf_slice (&without), rest, error);
-  kb_buf_finish (&without);
+      = jsn_parse_text (name, kb_buf_slice (&emptied), rest, error);
+  kb_buf_finish (&emptied);
   if (status != KB_OK)
     return status;
   kb_slice_t list = { text.ptr + open + 1, (uint32_t)(close - open - 1) };
--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -22,10 +22,10 @@
   MSG_REVOKED,
   MSG_CLAIM,
   MSG_CLAIM_REPLY,
-  MSG_CLAIM_NOTE,
+  MSG_CLAIM_OUTCOME,
   MSG_RECOVER,
   MSG_RECORDS,
-  MSG_GATE_ASK,
+  MSG_GATE_REQUEST,
   MSG_GATE_GRANT,
   MSG_GATE_DONE,
   MSG_ANNOUNCE,
@@ -33,17 +33,17 @@
   MSG_CONFIG_PART,
   MSG_GATEWAY_STATE,
   MSG_ENGINE_STATE,
-  MSG_PLACE_ASK,
+  MSG_PLACE_REQUEST,
   MSG_PLACE_GRANT,
   MSG_PLACE_DECLINE,
   MSG_PLACE_RELEASE,
   MSG_PLACE_BEGUN,
   MSG_DOCUMENT,
   MSG_ADAPTER_VERSION,
-  MSG_CHANGES_ASK,
+  MSG_CHANGES_REQUEST,
   MSG_CHANGES,
   MSG_QUARANTINE,
-  MSG_QUOTA_ASK,
+  MSG_QUOTA_REQUEST,
   MSG_QUOTA_GRANT,
   MSG_TYPE_END,
 } msg_type_t;
@@ -186,7 +186,8 @@
   MSG_REVOKED_RUNNING,
   MSG_REVOKED_DONE,
   MSG_REVOKED_FAILED,
-  MSG_REVOKED_FOREIGN, ///< Sent to an earlier incarnation: it may have run.
+  MSG_REVOKED_OTHER_INCARNATION, ///< Sent to an earlier incarnation: it may
+                                 ///< have run.
 } msg_revoked_state_t;
 
 typedef struct
@@ -223,7 +224,7 @@
   uint64_t claim_key;
   uint64_t attempt;
   uint64_t outcome;
-} msg_claim_note_t;
+} msg_claim_outcome_t;
 
 typedef struct
 {
@@ -253,7 +254,7 @@
   uint64_t id;
   uint64_t waiting;
   uint64_t priority_class;
-} msg_gate_ask_t;
+} msg_gate_request_t;
 
 typedef struct
 {
@@ -353,8 +354,8 @@
 typedef enum
 {
   MSG_ADAPTER_HELD,
-  MSG_ADAPTER_COMING,  ///< Its fetch is under way.
-  MSG_ADAPTER_AWAITED, ///< Asked for; its fetch has not begun.
+  MSG_ADAPTER_FETCHING, ///< Its fetch is under way.
+  MSG_ADAPTER_PENDING,  ///< Asked for; its fetch has not begun.
 } msg_adapter_state_t;
 
 /// One adapter that an engine holds or fetches, or that is asked for there.
@@ -375,12 +376,12 @@
   uint64_t left_ms;       ///< Until the answer is of no more use.
   uint64_t objective_ms;  ///< Until a first event is late.
   uint64_t version;       ///< Oldest that may serve it.
-  uint64_t declined;      ///< Engines that declined it before.
+  uint64_t decline_count; ///< Engines that declined it before.
   uint64_t is_alone;      ///< It is to begin while no other request does.
   kb_slice_t model;
   kb_slice_t adapter; ///< Empty: the model itself.
   kb_slice_t attempt; ///< The caller's id of the request, for the log.
-} msg_place_ask_t;
+} msg_place_request_t;
 
 typedef struct
 {
@@ -435,14 +436,14 @@
   uint64_t after;        ///< It knows everything up to this revision.
   uint64_t known_age_ms; ///< How old that knowledge is.
   uint64_t pause_ms;     ///< Between two reads of the store.
-} msg_changes_ask_t;
+} msg_changes_request_t;
 
 /// How a sidecar answers for the store.
 typedef enum
 {
-  MSG_CHANGES_KNOWN = 1,
-  MSG_CHANGES_BEHIND,    ///< It does not keep what the gateway lacks.
-  MSG_CHANGES_NO_ANSWER, ///< The store gave it none.
+  MSG_CHANGES_AVAILABLE = 1,
+  MSG_CHANGES_NOT_RETAINED, ///< It does not keep what the gateway lacks.
+  MSG_CHANGES_NO_ANSWER,    ///< The store gave it none.
 } msg_changes_status_t;
 
 /// Changes that a sidecar read for several gateways. The read behind them
@@ -461,7 +462,7 @@
 /// Requests under which targets ended: what one daemon knows.
 typedef struct
 {
-  kb_slice_t words; ///< Packed, see coordination/quarantine.h.
+  kb_slice_t records; ///< Packed, see coordination/quarantine.h.
 } msg_quarantine_t;
 
 /// A gateway asks a sidecar for credit of a quota, of a workspace or of a
@@ -476,19 +477,19 @@
   uint64_t revision;
   uint64_t rate_milli; ///< A second.
   uint64_t burst_milli;
-  uint64_t least_milli; ///< For the first request that waits.
-  uint64_t want_milli;
-  uint64_t unspent_milli; ///< Of what was granted before.
-  uint64_t since_ms;      ///< For how long it has asked this sidecar.
-  uint64_t life;          ///< Of the sidecar, as the gateway knows it.
-  uint64_t uptime_ms;     ///< Of the gateway.
-  uint64_t reach_milli;   ///< Of all sidecars, those that it hears.
-  uint64_t past;          ///< qln_past_t
+  uint64_t min_milli; ///< For the first request that waits.
+  uint64_t wanted_milli;
+  uint64_t unspent_milli;       ///< Of what was granted before.
+  uint64_t since_ms;            ///< For how long it has asked this sidecar.
+  uint64_t sidecar_incarnation; ///< Of the sidecar, as the gateway knows it.
+  uint64_t uptime_ms;           ///< Of the gateway.
+  uint64_t reachable_milli;     ///< Of all sidecars, those that it hears.
+  uint64_t prior;               ///< qln_past_t
   uint64_t ledger_age_ms;
   kb_slice_t ledger; ///< Packed, see coordination/quota_ledger.h.
   uint64_t gateway_peak;
   uint64_t gateway_peak_age_ms;
-} msg_quota_ask_t;
+} msg_quota_request_t;
 
 typedef struct
 {
@@ -519,10 +520,10 @@
     msg_revoked_t revoked;
     msg_claim_t claim;
     msg_claim_reply_t claim_reply;
-    msg_claim_note_t claim_note;
+    msg_claim_outcome_t claim_outcome;
     msg_recover_t recover;
     msg_records_t records;
-    msg_gate_ask_t gate_ask;
+    msg_gate_request_t gate_request;
     msg_gate_grant_t gate_grant;
     msg_gate_done_t gate_done;
     msg_announce_t announce;
@@ -530,17 +531,17 @@
     msg_config_part_t config_part;
     msg_gateway_state_t gateway_state;
     msg_engine_state_t engine_state;
-    msg_place_ask_t place_ask;
+    msg_place_request_t place_request;
     msg_place_grant_t place_grant;
     msg_place_decline_t place_decline;
     msg_place_release_t place_release;
     msg_place_begun_t place_begun;
     msg_document_t document;
     msg_adapter_version_t adapter_version;
-    msg_changes_ask_t changes_ask;
+    msg_changes_request_t changes_request;
     msg_changes_t changes;
     msg_quarantine_t quarantine;
-    msg_quota_ask_t quota_ask;
+    msg_quota_request_t quota_request;
     msg_quota_grant_t quota_grant;
   };
 } msg_t;
--- a/src/protocol/openai.c
+++ b/src/protocol/openai.c
@@ -66,8 +66,9 @@
   struct json_object *doc;
   if (jsn_parse_text ("answer", json, &doc, NULL) != KB_OK)
     return KB_EINVAL;
-  const char *named = jsn_str (doc, "model", "");
-  kb_status_t status = strcmp (named, model) == 0 ? KB_OK : KB_ECONFLICT;
+  const char *answer_model = jsn_str (doc, "model", "");
+  kb_status_t status
+      = strcmp (answer_model, model) == 0 ? KB_OK : KB_ECONFLICT;
   json_object_put (doc);
   return status;
 }
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -157,30 +157,30 @@
 enum
 {
   ROW_COUNT = sizeof rows / sizeof rows[0],
-  NAME_MAX_BYTES = 64, ///< Compared for the nearest name.
-  NAME_LIMIT = 47,
+  COMPARED_NAME_MAX_BYTES = 64, ///< Compared for the nearest name.
+  DAEMON_NAME_MAX_BYTES = 47,
 };
 
 static uint32_t
 min3 (uint32_t a, uint32_t b, uint32_t c)
 {
-  uint32_t least = a < b ? a : b;
-  return least < c ? least : c;
+  uint32_t smallest = a < b ? a : b;
+  return smallest < c ? smallest : c;
 }
 
 static uint32_t
 edit_distance (const char *a, const char *b)
 {
-  uint32_t row[NAME_MAX_BYTES + 1];
-  uint32_t la = (uint32_t)strnlen (a, NAME_MAX_BYTES);
-  uint32_t lb = (uint32_t)strnlen (b, NAME_MAX_BYTES);
-  for (uint32_t j = 0; j <= lb; j++)
+  uint32_t row[COMPARED_NAME_MAX_BYTES + 1];
+  uint32_t a_len = (uint32_t)strnlen (a, COMPARED_NAME_MAX_BYTES);
+  uint32_t b_len = (uint32_t)strnlen (b, COMPARED_NAME_MAX_BYTES);
+  for (uint32_t j = 0; j <= b_len; j++)
     row[j] = j;
-  for (uint32_t i = 1; i <= la; i++)
+  for (uint32_t i = 1; i <= a_len; i++)
     {
       uint32_t diagonal = row[0];
       row[0] = i;
-      for (uint32_t j = 1; j <= lb; j++)
+      for (uint32_t j = 1; j <= b_len; j++)
         {
           uint32_t above = row[j];
           uint32_t cost = a[i - 1] == b[j - 1] ? 0 : 1;
@@ -188,7 +188,7 @@
           diagonal = above;
         }
     }
-  return row[lb];
+  return row[b_len];
 }
 
 const char *
@@ -220,20 +220,20 @@
 static void
 row_set_default (const set_row_t *row, set_settings_t *out)
 {
-  char *at = (char *)out + row->offset;
+  char *field_ptr = (char *)out + row->offset;
   switch (row->kind)
     {
     case KIND_TEXT:
-      snprintf (at, SET_TEXT_BYTES, "%s", row->text_default);
+      snprintf (field_ptr, SET_TEXT_BYTES, "%s", row->text_default);
       break;
     case KIND_INT:
-      *(int64_t *)at = (int64_t)row->num_default;
+      *(int64_t *)field_ptr = (int64_t)row->num_default;
       break;
     case KIND_NUM:
-      *(double *)at = row->num_default;
+      *(double *)field_ptr = row->num_default;
       break;
     case KIND_BOOL:
-      *(bool *)at = row->num_default != 0;
+      *(bool *)field_ptr = row->num_default != 0;
       break;
     }
 }
@@ -254,21 +254,22 @@
                struct json_object *value, set_settings_t *out,
                kb_error_t *error)
 {
-  static const char *const kinds[]
+  static const char *const kind_names[]
       = { "a string", "a whole number", "a number", "true or false" };
-  char *at = (char *)out + row->offset;
+  char *field_ptr = (char *)out + row->offset;
   enum json_type type = json_object_get_type (value);
-  bool fits = (row->kind == KIND_TEXT && type == json_type_string)
-              || (row->kind == KIND_INT && type == json_type_int)
-              || (row->kind == KIND_NUM
-                  && (type == json_type_int || type == json_type_double))
-              || (row->kind == KIND_BOOL && type == json_type_boolean);
-  if (!fits)
+  bool has_expected_type
+      = (row->kind == KIND_TEXT && type == json_type_string)
+        || (row->kind == KIND_INT && type == json_type_int)
+        || (row->kind == KIND_NUM
+            && (type == json_type_int || type == json_type_double))
+        || (row->kind == KIND_BOOL && type == json_type_boolean);
+  if (!has_expected_type)
     return kb_error_set (error, KB_EINVAL, "%s: \"%s\" must be %s", file,
-                         row->name, kinds[row->kind]);
+                         row->name, kind_names[row->kind]);
   if (row->kind == KIND_BOOL)
     {
-      *(bool *)at = json_object_get_boolean (value);
+      *(bool *)field_ptr = json_object_get_boolean (value);
       return KB_OK;
     }
   if (row->kind == KIND_TEXT)
@@ -278,7 +279,7 @@
         return kb_error_set (error, KB_EINVAL,
                              "%s: \"%s\" is longer than %d bytes", file,
                              row->name, SET_TEXT_BYTES - 1);
-      snprintf (at, SET_TEXT_BYTES, "%s", text);
+      snprintf (field_ptr, SET_TEXT_BYTES, "%s", text);
       return KB_OK;
     }
   double number = json_object_get_double (value);
@@ -286,14 +287,14 @@
   if (status != KB_OK)
     return status;
   if (row->kind == KIND_INT)
-    *(int64_t *)at = json_object_get_int64 (value);
+    *(int64_t *)field_ptr = json_object_get_int64 (value);
   else
-    *(double *)at = number;
+    *(double *)field_ptr = number;
   return KB_OK;
 }
 
 static kb_status_t
-settings_check_whole (const char *file, set_settings_t *s, kb_error_t *error)
+settings_validate (const char *file, set_settings_t *s, kb_error_t *error)
 {
   if (strcmp (s->role_name, "entry") == 0)
     s->role = SET_ROLE_ENTRY;
@@ -304,11 +305,12 @@
                          "%s: \"role\" must be \"entry\" or \"agent\"", file);
   if (s->name[0] == '\0')
     return kb_error_set (error, KB_EINVAL, "%s: \"name\" is required", file);
-  if (strlen (s->name) > NAME_LIMIT || strpbrk (s->name, "\"\\/ ") != NULL)
+  if (strlen (s->name) > DAEMON_NAME_MAX_BYTES
+      || strpbrk (s->name, "\"\\/ ") != NULL)
     return kb_error_set (error, KB_EINVAL,
                          "%s: \"name\" must be at most %d bytes without "
                          "quotes, slashes or blanks",
-                         file, NAME_LIMIT);
+                         file, DAEMON_NAME_MAX_BYTES);
   if (s->failure_domain[0] == '\0')
     return kb_error_set (error, KB_EINVAL,
                          "%s: \"failure_domain\" is required", file);
@@ -359,11 +361,11 @@
         const set_row_t *row = row_find (key);
         if (row == NULL)
           {
-            const char *near_name = set_nearest_name (key);
+            const char *suggestion = set_nearest_name (key);
             status = kb_error_set (
                 error, KB_EINVAL, "%s: unknown setting \"%s\"%s%s%s", name,
-                key, near_name ? "; did you mean \"" : "",
-                near_name ? near_name : "", near_name ? "\"?" : "");
+                key, suggestion ? "; did you mean \"" : "",
+                suggestion ? suggestion : "", suggestion ? "\"?" : "");
           }
         else
           status = row_set_value (name, row, value, out, error);
@@ -374,7 +376,7 @@
   json_object_put (doc);
   if (status != KB_OK)
     return status;
-  return settings_check_whole (name, out, error);
+  return settings_validate (name, out, error);
 }
 
 kb_status_t
--- a/src/protocol/shardmap.c
+++ b/src/protocol/shardmap.c
@@ -25,9 +25,9 @@
   if (jsn_parse_text ("claims", text, &doc, NULL) != KB_OK)
     return false;
   struct json_object *list = jsn_get (doc, "shards");
-  bool is_good = json_object_is_type (list, json_type_array)
-                 && json_object_array_length (list) == SHM_SHARDS;
-  for (uint32_t s = 0; is_good && s < SHM_SHARDS; s++)
+  bool is_valid = json_object_is_type (list, json_type_array)
+                  && json_object_array_length (list) == SHM_SHARDS;
+  for (uint32_t s = 0; is_valid && s < SHM_SHARDS; s++)
     {
       struct json_object *item = json_object_array_get_idx (list, s);
       snprintf (out[s].owner, sizeof out[s].owner, "%s",
@@ -36,5 +36,5 @@
       out[s].epoch = (uint64_t)jsn_int (item, "e", 0);
     }
   json_object_put (doc);
-  return is_good;
+  return is_valid;
 }
--- a/src/relay/passing.c
+++ b/src/relay/passing.c
@@ -43,6 +43,6 @@
   if (words->len_bytes == 0)
     return;
   msg_t msg = { .type = MSG_QUARANTINE,
-                .quarantine = { .words = kb_buf_slice (words) } };
+                .quarantine = { .records = kb_buf_slice (words) } };
   give (host, peer, &msg);
 }
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -113,7 +113,7 @@
 // sidecar_share.c
 /// A gateway asks for changes of the store.
 void scr_share_ask (scr_sidecar_t *s, kb_slice_t peer,
-                    const msg_changes_ask_t *given);
+                    const msg_changes_request_t *given);
 
 // sidecar_quarantine.c
 /// A gateway tells of requests under which targets ended.
@@ -130,7 +130,7 @@
                            const msg_gateway_state_t *state);
 /// A gateway asks for credit.
 void scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer,
-                    const msg_quota_ask_t *given);
+                    const msg_quota_request_t *given);
 
 // sidecar_engine.c
 /// Do whatever can be done now: grant, decline, order.
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -275,7 +275,7 @@
 }
 
 static void
-take_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_place_ask_t *given)
+take_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_place_request_t *given)
 {
   if (s->condition != MSG_ENGINE_READY || s->host.is_stopping)
     {
@@ -288,7 +288,7 @@
       = { .id = given->id,
           .owner = scr_name_id (peer),
           .priority = (uint32_t)given->priority,
-          .declined = (uint32_t)given->declined,
+          .declined = (uint32_t)given->decline_count,
           .alone.is_alone = given->is_alone != 0,
           .tokens = (uint32_t)(given->prompt_tokens + given->output_tokens),
           .prompt_tokens = (uint32_t)given->prompt_tokens,
@@ -369,8 +369,8 @@
     case MSG_GATEWAY_STATE:
       take_gateway_state (s, peer, &msg->gateway_state);
       break;
-    case MSG_PLACE_ASK:
-      take_ask (s, peer, &msg->place_ask);
+    case MSG_PLACE_REQUEST:
+      take_ask (s, peer, &msg->place_request);
       break;
     case MSG_PLACE_RELEASE:
       take_release (s, peer, &msg->place_release);
@@ -378,14 +378,14 @@
     case MSG_PLACE_BEGUN:
       take_begun (s, peer, msg->place_begun.id);
       break;
-    case MSG_CHANGES_ASK:
-      scr_share_ask (s, peer, &msg->changes_ask);
+    case MSG_CHANGES_REQUEST:
+      scr_share_ask (s, peer, &msg->changes_request);
       break;
-    case MSG_QUOTA_ASK:
-      scr_quota_ask (s, peer, &msg->quota_ask);
+    case MSG_QUOTA_REQUEST:
+      scr_quota_ask (s, peer, &msg->quota_request);
       break;
     case MSG_QUARANTINE:
-      scr_quarantine_take (s, msg->quarantine.words);
+      scr_quarantine_take (s, msg->quarantine.records);
       break;
     case MSG_DOCUMENT:
       take_document (s, &msg->document);
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -39,7 +39,7 @@
 }
 
 static void
-log_refusal (kb_slice_t peer, const msg_quota_ask_t *given)
+log_refusal (kb_slice_t peer, const msg_quota_request_t *given)
 {
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"quota_ask\"");
   log_event_t line;
@@ -48,14 +48,14 @@
   log_str (&line, "gateway", peer);
   log_int (&line, "subject", (int64_t)given->subject);
   log_int (&line, "rate_milli", (int64_t)given->rate_milli);
-  log_int (&line, "least_milli", (int64_t)given->least_milli);
-  log_int (&line, "want_milli", (int64_t)given->want_milli);
+  log_int (&line, "least_milli", (int64_t)given->min_milli);
+  log_int (&line, "want_milli", (int64_t)given->wanted_milli);
   log_end (&line);
 }
 
 /// When a target's limit was known to hold, by the own clock.
 static uint64_t
-revision_of (const msg_quota_ask_t *given, uint64_t now_ms)
+revision_of (const msg_quota_request_t *given, uint64_t now_ms)
 {
   if (!given->is_of_target)
     return given->revision;
@@ -63,7 +63,7 @@
 }
 
 static qln_ask_t
-ask_of (scr_sidecar_t *s, uint64_t gateway, const msg_quota_ask_t *given,
+ask_of (scr_sidecar_t *s, uint64_t gateway, const msg_quota_request_t *given,
         uint64_t now_ms)
 {
   qof_peak_take (&s->office.peak, (uint32_t)given->gateway_peak,
@@ -74,23 +74,24 @@
     .revision = revision_of (given, now_ms),
     .limit = { .rate_per_s = (double)given->rate_milli / MILLI,
                .burst = (double)given->burst_milli / MILLI },
-    .least = (double)given->least_milli / MILLI,
-    .want = (double)given->want_milli / MILLI,
+    .least = (double)given->min_milli / MILLI,
+    .want = (double)given->wanted_milli / MILLI,
     .unspent = (double)given->unspent_milli / MILLI,
-    .life = given->life,
+    .life = given->sidecar_incarnation,
     .since_ms = given->since_ms,
-    .past = (qln_past_t)given->past,
+    .past = (qln_past_t)given->prior,
     .ledger = given->ledger,
     .ledger_age_ms = given->ledger_age_ms,
     .uptime_ms = given->uptime_ms,
-    .reach = (double)given->reach_milli / MILLI,
+    .reach = (double)given->reachable_milli / MILLI,
     .asker = asker,
     .share = qof_share (&s->office, given->subject, gateway, now_ms),
   };
 }
 
 void
-scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_quota_ask_t *given)
+scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer,
+               const msg_quota_request_t *given)
 {
   uint64_t now_ms = tmr_boot_ms ();
   qln_ask_t ask = ask_of (s, scr_name_id (peer), given, now_ms);
--- a/src/sidecar/sidecar_share.c
+++ b/src/sidecar/sidecar_share.c
@@ -28,9 +28,9 @@
   switch (verdict)
     {
     case SHR_KNOWN:
-      return MSG_CHANGES_KNOWN;
+      return MSG_CHANGES_AVAILABLE;
     case SHR_BEHIND:
-      return MSG_CHANGES_BEHIND;
+      return MSG_CHANGES_NOT_RETAINED;
     case SHR_NO_ANSWER:
       break;
     }
@@ -158,7 +158,7 @@
 
 void
 scr_share_ask (scr_sidecar_t *s, kb_slice_t peer,
-               const msg_changes_ask_t *given)
+               const msg_changes_request_t *given)
 {
   shr_ask_t ask = { .id = given->id,
                     .after = given->after,
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_tell.c
@@ -34,11 +34,11 @@
     case ADM_HELD:
       return MSG_ADAPTER_HELD;
     case ADM_COMING:
-      return MSG_ADAPTER_COMING;
+      return MSG_ADAPTER_FETCHING;
     case ADM_ABSENT:
       break;
     }
-  return MSG_ADAPTER_AWAITED;
+  return MSG_ADAPTER_PENDING;
 }
 
 static void
--- a/test/relay/sidecar_test.cc
+++ b/test/relay/sidecar_test.cc
@@ -84,15 +84,15 @@
   ask (uint64_t id, const std::string &adapter)
   {
     msg_t msg = {};
-    msg.type = MSG_PLACE_ASK;
-    msg.place_ask.id = id;
-    msg.place_ask.prompt_tokens = 50;
-    msg.place_ask.output_tokens = 10;
-    msg.place_ask.left_ms = 5000;
-    msg.place_ask.objective_ms = 4000;
-    msg.place_ask.model = kb_slice_str ("m");
-    msg.place_ask.adapter = slice (adapter);
-    msg.place_ask.attempt = kb_slice_str ("x");
+    msg.type = MSG_PLACE_REQUEST;
+    msg.place_request.id = id;
+    msg.place_request.prompt_tokens = 50;
+    msg.place_request.output_tokens = 10;
+    msg.place_request.left_ms = 5000;
+    msg.place_request.objective_ms = 4000;
+    msg.place_request.model = kb_slice_str ("m");
+    msg.place_request.adapter = slice (adapter);
+    msg.place_request.attempt = kb_slice_str ("x");
     plk_link_send (&link, slice (peer), &msg);
   }
   Site site{ 1, 0, 0 };
--- a/test/unit/json_walk_test.cc
+++ b/test/unit/json_walk_test.cc
@@ -1,5 +1,6 @@
 // A document with one large list, read element by element: what it takes it
-// must read as the whole tree does, and take nothing that the tree refuses.
+// must read as the parse_tree tree does, and take nothing that the tree
+// refuses.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -31,7 +32,7 @@
 
 /// What a text says, or "refused".
 std::string
-whole (const std::string &text)
+parse_tree (const std::string &text)
 {
   struct json_object *doc = nullptr;
   kb_error_t error = {};
@@ -44,7 +45,7 @@
 }
 
 std::string
-walked (const std::string &text)
+parse_by_walk (const std::string &text)
 {
   struct json_object *doc = nullptr;
   kb_error_t error = {};
@@ -73,7 +74,7 @@
       " \"Routes\" : [ {\"a\":\"x]\\\"},\",\"b\":[1,{}]} , /* [ */ "
       "{\"c\":{\"d\":[]}}, {} ] , \"Limits\":{} }";
 
-TEST (JsonWalk, SaysTheSameAsTheWholeTree)
+TEST (JsonWalk, MatchesTreeParse)
 {
   const std::string texts[] = {
     kSample,
@@ -87,10 +88,10 @@
     "{\"a\":{\"Routes\":[1]},\"b\":2}",
   };
   for (const std::string &text : texts)
-    EXPECT_EQ (walked (text), whole (text)) << text;
+    EXPECT_EQ (parse_by_walk (text), parse_tree (text)) << text;
 }
 
-TEST (JsonWalk, RefusesWhatTheWholeTreeRefuses)
+TEST (JsonWalk, RejectsWhatTreeParseRejects)
 {
   const std::string texts[] = {
     "",
@@ -107,22 +108,22 @@
   };
   for (const std::string &text : texts)
     {
-      EXPECT_EQ (whole (text), "refused") << text;
-      EXPECT_EQ (walked (text), "refused") << text;
+      EXPECT_EQ (parse_tree (text), "refused") << text;
+      EXPECT_EQ (parse_by_walk (text), "refused") << text;
     }
 }
 
-TEST (JsonWalk, RefusesWhatIsNoListOfObjects)
+TEST (JsonWalk, RejectsElementsThatAreNotObjects)
 {
   for (const char *text :
        { "{\"Routes\":[1]}", "{\"Routes\":[\"one\"]}", "{\"Routes\":[{},]}" })
-    EXPECT_EQ (walked (text), "refused") << text;
+    EXPECT_EQ (parse_by_walk (text), "refused") << text;
 }
 
 // Bytes are lost, doubled and changed in a document from another writer.
-TEST (JsonWalk, AgreesOnDamagedTexts)
+TEST (JsonWalk, MatchesTreeParseOnDamagedText)
 {
-  int taken = 0;
+  int accepted = 0;
   std::mt19937 random (1);
   const std::string bytes = "{}[],:\"\\/* \n1a";
   for (int i = 0; i < 20000; i++)
@@ -145,27 +146,27 @@
               break;
             }
         }
-      std::string got = walked (text);
+      std::string got = parse_by_walk (text);
       if (got == "refused")
         continue;
-      taken++;
-      ASSERT_EQ (got, whole (text)) << text;
+      accepted++;
+      ASSERT_EQ (got, parse_tree (text)) << text;
     }
-  EXPECT_GT (taken, 1000);
+  EXPECT_GT (accepted, 1000);
 }
 
 // A text ends within an escape, a literal or a comment. A cursor that passes
 // the end makes its user read behind the text.
-TEST (JsonWalk, ACursorStaysInItsText)
+TEST (JsonWalk, CursorStaysWithinText)
 {
   const std::string texts[] = { kSample, "\"a\\", "\"", "/*", "/* *", "//" };
-  for (const std::string &whole_text : texts)
-    for (size_t len = 0; len <= whole_text.size (); len++)
+  for (const std::string &full_text : texts)
+    for (size_t len = 0; len <= full_text.size (); len++)
       for (size_t at = 0; at < len; at++)
         {
-          jsc_cursor_t c = { { whole_text.data (), (uint32_t)len }, at };
+          jsc_cursor_t c = { { full_text.data (), (uint32_t)len }, at };
           jsc_cursor_t string = c;
-          jsc_take_string (&string);
+          jsc_read_string (&string);
           EXPECT_LE (string.at, len);
           if (jsc_is_comment (&c))
             jsc_skip_comment (&c);
@@ -174,7 +175,7 @@
 }
 
 // The place of a fault is named by the element that holds it.
-TEST (JsonWalk, AnErrorNamesTheElement)
+TEST (JsonWalk, ErrorNamesTheElement)
 {
   struct json_object *doc = nullptr;
   kb_error_t error = {};
--- a/test/unit/peers_test.cc
+++ b/test/unit/peers_test.cc
@@ -67,7 +67,7 @@
   {
     msg_changes_t told = {};
     told.id = 5;
-    told.status = MSG_CHANGES_KNOWN;
+    told.status = MSG_CHANGES_AVAILABLE;
     told.as_of = 20;
     return told;
   }
