--- a/src/protocol/cfgbuild.c
+++ b/src/protocol/cfgbuild.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/// What every builder of one item needs.
+/// Context for building one item.
 typedef struct
 {
   const kb_map_t *origins;
@@ -31,6 +31,7 @@
                        name[0] ? " \"" : "", name, name[0] ? "\"" : "");
 }
 
+/// @param known_members  Names, ended by NULL.
 static kb_status_t
 check_members (const build_t *b, struct json_object *obj,
                const char *const *known_members)
@@ -49,7 +50,8 @@
   return KB_OK;
 }
 
-/// @return  KB_EINVAL when a member is present but not from min to max.
+/// @return  KB_EINVAL if the member is present but not an integer from min to
+///          max.
 static kb_status_t
 read_int (const build_t *b, struct json_object *obj, const char *name,
           int64_t fallback, int64_t min, int64_t max, int64_t *out)
--- a/src/protocol/cfgdoc.c
+++ b/src/protocol/cfgdoc.c
@@ -10,7 +10,7 @@
 
 enum
 {
-  CHUNK_BOUNDARY_MASK = 127, ///< One line in 128 ends a chunk.
+  CHUNK_BOUNDARY_MASK = 127, ///< On average one line in 128 ends a chunk.
   DOC_FILE_MAX_BYTES = 16 << 20
 };
 
@@ -306,10 +306,11 @@
   return false;
 }
 
+/// State of a merge.
 typedef struct
 {
   struct json_object *merged;
-  kb_map_t origins; ///< Hash of section and item to file name.
+  kb_map_t origins; ///< From the hash of section and item to the file name.
   doc_override_fn_t on_override;
   void *arg;
 } merge_t;
@@ -326,6 +327,7 @@
   return false;
 }
 
+/// @param value  NULL removes the item.
 static void
 merge_item (merge_t *m, struct json_object *merged_items, const char *section,
             const char *item, struct json_object *value, const char *file)
--- a/src/protocol/json.c
+++ b/src/protocol/json.c
@@ -23,18 +23,19 @@
   return line;
 }
 
-/// State of the scan for doubled keys.
+/// State of the scan for duplicate keys.
 typedef struct
 {
   jsc_cursor_t cursor;
-  kb_map_t keys;        ///< Hash of object object_serial and key.
-  uint64_t last_serial; ///< Objects seen.
+  kb_map_t keys;        ///< Set of hashes of object serial and key.
+  uint64_t last_serial; ///< Number of objects and arrays seen.
+  /// Serial and kind of each open object or array, by depth.
   uint64_t object_serial[JSON_MAX_DEPTH + 1];
   bool is_object[JSON_MAX_DEPTH + 1];
   uint32_t depth;
 } key_scan_t;
 
-/// @return  Whether the string before this place is a key.
+/// @return  Whether the string before the cursor is a key.
 static bool
 scan_is_key (const key_scan_t *s)
 {
@@ -43,7 +44,7 @@
   return jsc_byte (&ahead) == ':';
 }
 
-/// @return  False when the key stands twice in its object.
+/// @return  False if the object already has this key.
 static bool
 scan_add_key (key_scan_t *s, kb_slice_t key)
 {
@@ -66,7 +67,7 @@
   return true;
 }
 
-/// Look for a doubled key in a text that json-c has already accepted.
+/// Check a text that json-c has accepted for duplicate keys.
 static kb_status_t
 check_unique_keys (const char *name, kb_slice_t text, kb_error_t *error)
 {
--- a/src/protocol/json_scan.c
+++ b/src/protocol/json_scan.c
@@ -1,6 +1,6 @@
 #include "protocol/json_scan.h"
 
-/// Move on, and not past the end: users read the byte before a place.
+/// Advance, but not past the end: callers read the byte before the cursor.
 static void
 advance (jsc_cursor_t *c, size_t bytes)
 {
--- a/src/protocol/json_scan.h
+++ b/src/protocol/json_scan.h
@@ -1,6 +1,6 @@
 /// @file json_scan.h
-/// Moving over the text of a document without parsing it: space, comments and
-/// string literals. What is wrong with a text is said by the parser.
+/// Lexical scanning of JSON text without parsing it: white space, comments and
+/// string literals. Errors in the text are left to the parser to report.
 #ifndef KB_PROTOCOL_JSON_SCAN_H
 #define KB_PROTOCOL_JSON_SCAN_H
 
@@ -9,11 +9,11 @@
 
 #include "state/buf.h"
 
-/// A place in a text.
+/// A position in a text.
 typedef struct
 {
   kb_slice_t text;
-  size_t at;
+  size_t at; ///< Byte offset, at most the length of the text.
 } jsc_cursor_t;
 
 static inline bool
@@ -22,19 +22,21 @@
   return c->at >= c->text.len_bytes;
 }
 
-/// @return  The byte here, or zero at the end.
+/// @return  The byte at the cursor, or zero at the end.
 static inline char
 jsc_byte (const jsc_cursor_t *c)
 {
   return jsc_is_at_end (c) ? '\0' : c->text.ptr[c->at];
 }
 
-/// @return  Whether a comment starts here.
+/// @return  Whether a comment starts at the cursor.
 bool jsc_is_comment (const jsc_cursor_t *c);
+/// Skip the comment that starts at the cursor.
 void jsc_skip_comment (jsc_cursor_t *c);
-/// Move over white space and comments.
+/// Skip white space and comments.
 void jsc_skip_space (jsc_cursor_t *c);
-/// @return  The content of the string literal that starts here.
+/// Skip the string literal that starts at the cursor.
+/// @return  Its content, with escapes not decoded.
 kb_slice_t jsc_read_string (jsc_cursor_t *c);
 
 #endif
--- a/src/protocol/json_walk.c
+++ b/src/protocol/json_walk.c
@@ -4,8 +4,8 @@
 
 #include "protocol/json_scan.h"
 
-/// Move behind the value that starts byte: to a comma or a closing bracket of
-/// what it stands in, or to the end.
+/// Skip the value at the cursor, up to the comma or closing bracket that
+/// follows it, or to the end.
 static void
 skip_value (jsc_cursor_t *c)
 {
@@ -29,9 +29,10 @@
     }
 }
 
-/// Find the list that is a member of the document.
-/// @param open   Receives the location of its opening bracket.
-/// @param close  Receives the location of its closing bracket.
+/// Find the list that is the member `key` of the document.
+/// @param open   Receives the offset of its opening bracket.
+/// @param close  Receives the offset of its closing bracket.
+/// @return  False if there is no such list.
 static bool
 find_list (kb_slice_t text, const char *key, size_t *open, size_t *close)
 {
@@ -54,7 +55,7 @@
       *open = c.at;
       bool is_list = jsc_byte (&c) == '[';
       skip_value (&c);
-      // Spaces and comments may stand between the value and byte.
+      // White space and comments may follow the value.
       *close = c.at;
       while (*close > *open && text.ptr[*close - 1] != ']')
         (*close)--;
@@ -69,6 +70,7 @@
   return false;
 }
 
+/// @param position  One-based index of the element, for messages.
 static kb_status_t
 walk_element (const char *name, const char *key, uint32_t position,
               kb_slice_t text, jsn_on_element_t on_element, void *arg,
@@ -83,7 +85,8 @@
   if (!json_object_is_type (element, json_type_object))
     {
       json_object_put (element);
-      return kb_error_set (error, KB_EINVAL, "%s: is no table", location);
+      return kb_error_set (error, KB_EINVAL, "%s: must be an object",
+                           location);
     }
   status = on_element (arg, element, error);
   json_object_put (element);
--- a/src/protocol/json_walk.h
+++ b/src/protocol/json_walk.h
@@ -1,26 +1,26 @@
 /// @file json_walk.h
-/// Reads a document with one large list element by element, so that it takes
-/// the memory of its text and one element. A configuration with 2,000 routes
-/// takes 4 MB as one tree of json-c, which every daemon held at the moment of
-/// each change.
+/// Parses a document with one large list element by element, so that only the
+/// text and one element are in memory. As a single json-c tree, a
+/// configuration with 2,000 routes takes 4 MB in every daemon at each change.
 #ifndef KB_PROTOCOL_JSON_WALK_H
 #define KB_PROTOCOL_JSON_WALK_H
 
 #include "protocol/json.h"
 
-/// @return  Anything but KB_OK ends the walk.
+/// @return  A status other than KB_OK ends the walk.
 typedef kb_status_t (*jsn_on_element_t) (void *arg,
                                          struct json_object *element,
                                          kb_error_t *error);
 
-/// Parse a document whose member `key` is a list of objects; other elements
-/// are refused, as are commas without an element behind them, which json-c
-/// lets pass.
-/// @param rest        Receives the document with that list empty; a reference
-///                    the caller puts back. As it is when the member is no
-///                    list.
-/// @param on_element  Called for each element, in order, after the rest was
-///                    found to be proper.
+/// Parse a document whose member `key` is a list of objects. Other elements
+/// are rejected, and so are trailing commas, which json-c accepts.
+/// @param name        Name of the source, used in messages.
+/// @param rest        Receives the document with that list emptied, or
+///                    unchanged if the member is not a list. The caller
+///                    releases it with json_object_put; NULL on error.
+/// @param on_element  Called for each element in order, once the rest of the
+///                    document has been found valid.
+/// @return  KB_EINVAL if the text is invalid, or the status of `on_element`.
 kb_status_t jsn_walk_list (const char *name, kb_slice_t text, const char *key,
                            struct json_object **rest,
                            jsn_on_element_t on_element, void *arg,
--- a/src/protocol/msg.c
+++ b/src/protocol/msg.c
@@ -3,8 +3,8 @@
 #include <msgpack.h>
 #include <stddef.h>
 
-/// Fields of one message type, as offsets into msg_t. A positive entry is an
-/// integer field, a negative one a slice.
+/// Fields of one message type in wire order, as offsets into msg_t: positive
+/// for an integer (UINT), negated for a slice (BYTES).
 typedef struct
 {
   const char *name;
@@ -306,9 +306,9 @@
   return KB_OK;
 }
 
-/// A hostile array header can announce billions of elements, for which the
-/// library would reserve memory before it reads them. Only small arrays with
-/// a 1- or 3-byte header are ever written, so all others are refused.
+/// A malicious array header can announce billions of elements, and the library
+/// would allocate memory for them before reading them. The encoder only writes
+/// small arrays with a header of 1 or 3 bytes, so any other one is rejected.
 static bool
 header_is_plausible (kb_slice_t bytes)
 {
@@ -328,8 +328,8 @@
          && (uint8_t)bytes.ptr[2] <= MAX_FIELDS;
 }
 
-/// Fields are integers and byte strings only; a nested container would let
-/// the inner element count grow without bound.
+/// Fields are only integers and byte strings. A nested container is rejected,
+/// since its element count would be unbounded.
 static bool
 elements_are_flat (kb_slice_t bytes)
 {
--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -1,7 +1,9 @@
 /// @file msg_defs.h
-/// Typed messages of the inner protocol. Slices of a decoded message point
-/// into the buffer that was decoded. Times ending in _ms are durations unless
-/// the name says wall.
+/// Message types of the inner protocol. Slices of a decoded message point
+/// into the decoded buffer. Fields ending in _ms are durations, except
+/// `born_ms` and those with `wall` in the name, which are points in time.
+/// Integers are all 64 bits wide, as the codec stores them; `is_` fields are
+/// booleans.
 #ifndef KB_PROTOCOL_MSG_DEFS_H
 #define KB_PROTOCOL_MSG_DEFS_H
 
@@ -48,16 +50,16 @@
   MSG_TYPE_END,
 } msg_type_t;
 
-/// What is known of an attempt once it is over.
+/// Outcome of an attempt that has ended.
 typedef enum
 {
-  MSG_OUTCOME_DONE = 1,   ///< The whole answer was produced.
-  MSG_OUTCOME_NOT_RUN,    ///< Proved: it did not and will not run.
+  MSG_OUTCOME_DONE = 1,   ///< The complete answer was produced.
+  MSG_OUTCOME_NOT_RUN,    ///< Proven: it has not run and will not run.
   MSG_OUTCOME_RAN_FAILED, ///< It started and failed.
   MSG_OUTCOME_UNKNOWN,    ///< It may have run.
 } msg_outcome_t;
 
-/// State of a daemon as it tells its peers.
+/// State of a daemon, as reported to its peers.
 typedef enum
 {
   MSG_STATE_LIVE = 1,
@@ -72,10 +74,11 @@
   MSG_FLAG_STREAM = 2,
   MSG_FLAG_PLAIN = 4,
   MSG_FLAG_CHAT = 8,
-  MSG_FLAG_FETCH = 16, ///< Only the kept answer of `claim_key`; never run.
-  MSG_FLAG_ALONE = 32, ///< To begin while no other request does.
+  MSG_FLAG_FETCH = 16, ///< Return the cached answer of `claim_key`; never run.
+  MSG_FLAG_ALONE = 32, ///< Start while no other request is starting.
 };
 
+/// Introduces a daemon to a peer.
 typedef struct
 {
   kb_slice_t name;
@@ -88,7 +91,7 @@
   uint64_t max_batch;
   uint64_t revision;
   uint64_t state;
-  uint64_t memory_since_wall_ms; ///< Claims run before this are forgotten.
+  uint64_t memory_since_wall_ms; ///< Earlier claims are no longer remembered.
   uint64_t is_reply;
   kb_slice_t resident; ///< Packed 64-bit hashes of the resident adapters.
 } msg_hello_t;
@@ -97,9 +100,10 @@
 {
   uint64_t stamp_us;
   uint64_t revision;
-  uint64_t target_count; ///< Engines the sender sees; divides the load rate.
+  uint64_t target_count; ///< Engines known to it; divides the load rate.
 } msg_ping_t;
 
+/// Answer to a ping, with the load of the sender.
 typedef struct
 {
   uint64_t stamp_us;
@@ -109,24 +113,25 @@
   uint64_t running;
   uint64_t expected_wait_ms;
   uint64_t stall_us_total;
-  uint64_t fill_permille;
+  uint64_t fill_permille; ///< Occupancy of the engine's batches.
 } msg_pong_t;
 
+/// An entry sends an attempt to an agent.
 typedef struct
 {
   uint64_t attempt;
-  uint64_t claim_key; ///< Zero: no idempotency key.
+  uint64_t claim_key; ///< Zero: the request has no idempotency key.
   uint64_t claim_digest;
   uint64_t claim_epoch;
-  uint64_t deadline_ms; ///< Time left.
+  uint64_t deadline_ms; ///< Remaining time.
   uint64_t flags;
   uint64_t priority_class; ///< Lower is served first.
   uint64_t weight;
   uint64_t revision;
   uint64_t version;
   uint64_t max_tokens;
-  uint64_t incarnation; ///< Of the agent that the attempt was meant for.
-  uint64_t fingerprint; ///< The same for a request that is sent again.
+  uint64_t incarnation; ///< Incarnation of the agent that is addressed.
+  uint64_t fingerprint; ///< Identical for each re-send of a request.
   kb_slice_t workspace;
   kb_slice_t adapter;
   kb_slice_t source;
@@ -136,26 +141,28 @@
   kb_slice_t traceparent;
 } msg_dispatch_t;
 
+/// Part of an answer.
 typedef struct
 {
   uint64_t attempt;
   uint64_t seq;
-  uint64_t http_status; ///< Of the answer's head; zero on later parts.
+  uint64_t http_status; ///< Status of the answer in the first part, else zero.
   kb_slice_t content_type;
   kb_slice_t data;
 } msg_part_t;
 
+/// End of an attempt, with the load of the target.
 typedef struct
 {
   uint64_t attempt;
-  uint64_t seq; ///< Number of parts that came before.
-  uint64_t outcome;
+  uint64_t seq;     ///< Number of parts sent before.
+  uint64_t outcome; ///< msg_outcome_t
   uint64_t http_status;
   uint64_t retry_after_ms;
   uint64_t queue_len;
   uint64_t running;
   uint64_t expected_wait_ms;
-  uint64_t demand_permille; ///< Work for this adapter by engine capacity.
+  uint64_t demand_permille; ///< Work for the adapter by engine capacity.
   uint64_t is_resident;
   uint64_t queue_us;
   uint64_t load_us;
@@ -172,40 +179,42 @@
   uint64_t attempt;
 } msg_cancel_t;
 
+/// Asks an agent to void an attempt that has not run.
 typedef struct
 {
   uint64_t attempt;
   uint64_t claim_key;
-  uint64_t incarnation; ///< Of the agent that the attempt was sent to.
+  uint64_t incarnation; ///< Incarnation of the agent it was sent to.
 } msg_revoke_t;
 
-/// Answer to a revocation.
+/// State of an attempt in the answer to a revocation.
 typedef enum
 {
-  MSG_REVOKED_VOIDED = 1, ///< It has not run and cannot start any more.
+  MSG_REVOKED_VOIDED = 1, ///< It has not run and can no longer start.
   MSG_REVOKED_RUNNING,
   MSG_REVOKED_DONE,
   MSG_REVOKED_FAILED,
-  MSG_REVOKED_OTHER_INCARNATION, ///< Sent to an earlier incarnation: it may
-                                 ///< have run.
+  /// The attempt was sent to an earlier incarnation and may have run there.
+  MSG_REVOKED_OTHER_INCARNATION,
 } msg_revoked_state_t;
 
 typedef struct
 {
   uint64_t attempt;
   uint64_t claim_key;
-  uint64_t state;
+  uint64_t state; ///< msg_revoked_state_t
 } msg_revoked_t;
 
+/// Asks the owner of a shard for the claim of an idempotency key.
 typedef struct
 {
   uint64_t id;
   uint64_t claim_key;
   uint64_t digest;
   uint64_t attempt;
-  uint64_t voided_attempt; ///< An earlier attempt proved not run, or zero.
-  uint64_t incarnation;    ///< Of the runner.
-  uint64_t runner;         ///< Hash of its name.
+  uint64_t voided_attempt; ///< Earlier attempt, proven not run; or zero.
+  uint64_t incarnation;    ///< Incarnation of the runner.
+  uint64_t runner;         ///< Hash of the name of the runner.
 } msg_claim_t;
 
 typedef struct
@@ -213,12 +222,13 @@
   uint64_t id;
   uint64_t verdict; ///< clm_verdict_t
   uint64_t epoch;
-  uint64_t attempt;     ///< The attempt that holds the claim.
-  uint64_t incarnation; ///< Of its runner.
-  uint64_t outcome;     ///< Of the attempt, or zero while it is not known.
-  uint64_t runner;      ///< Hash of its name.
+  uint64_t attempt;     ///< Attempt that holds the claim.
+  uint64_t incarnation; ///< Incarnation of the runner.
+  uint64_t outcome;     ///< msg_outcome_t of the attempt; zero: not known yet.
+  uint64_t runner;      ///< Hash of the name of the runner.
 } msg_claim_reply_t;
 
+/// Reports the outcome of a claimed attempt to the owner of the shard.
 typedef struct
 {
   uint64_t claim_key;
@@ -226,33 +236,35 @@
   uint64_t outcome;
 } msg_claim_outcome_t;
 
+/// A new owner asks for the claims of the shards that it rebuilds.
 typedef struct
 {
-  uint64_t id;       ///< Of this rebuild; comes back on the records.
-  kb_slice_t epochs; ///< A 64-bit epoch for each shard; zero: not this one.
+  uint64_t id;       ///< Id of the rebuild, repeated in msg_records_t.
+  kb_slice_t epochs; ///< 64-bit epoch of each shard; zero: not requested.
 } msg_recover_t;
 
 typedef struct
 {
   uint64_t id;
   uint64_t is_last;
-  uint64_t purpose; ///< msg_records_purpose_t
-  uint64_t memory_since_wall_ms;
-  kb_slice_t records; ///< Packed claim records.
+  uint64_t purpose;              ///< msg_records_purpose_t
+  uint64_t memory_since_wall_ms; ///< Earlier claims are not remembered.
+  kb_slice_t records;            ///< Packed claim records.
 } msg_records_t;
 
-/// Why records are sent.
+/// Reason for sending claim records.
 typedef enum
 {
   MSG_RECORDS_REBUILD = 1, ///< Answer to msg_recover_t.
-  MSG_RECORDS_HANDOVER,    ///< From an owner to the next one.
-  MSG_RECORDS_INHERIT,     ///< From an agent that stops to an entry.
+  MSG_RECORDS_HANDOVER,    ///< From the owner of a shard to the next owner.
+  MSG_RECORDS_INHERIT,     ///< From a stopping agent to an entry.
 } msg_records_purpose_t;
 
+/// An agent asks the load gate for permission to load an adapter.
 typedef struct
 {
   uint64_t id;
-  uint64_t waiting;
+  uint64_t waiting; ///< Requests waiting for the adapter.
   uint64_t priority_class;
 } msg_gate_request_t;
 
@@ -266,18 +278,22 @@
   uint64_t id;
 } msg_gate_done_t;
 
+/// Announces new revisions of the configuration and the shard map.
 typedef struct
 {
   uint64_t revision;
-  uint64_t map_revision; ///< Of the shard map; zero: says nothing.
+  uint64_t map_revision; ///< Revision of the shard map; zero: not stated.
 } msg_announce_t;
 
+/// Requests the configuration head, or chunks of it.
 typedef struct
 {
-  uint64_t have_revision;
-  kb_slice_t digests; ///< Packed 16-byte digests wanted; empty asks the head.
+  uint64_t have_revision; ///< Revision that the sender has.
+  /// Packed 16-byte digests of the requested chunks; empty: the head.
+  kb_slice_t digests;
 } msg_config_pull_t;
 
+/// The configuration head or one chunk.
 typedef struct
 {
   uint64_t revision;
@@ -286,45 +302,46 @@
   kb_slice_t data;
 } msg_config_part_t;
 
-/// A gateway to a sidecar: on connecting, when something changes, and as its
+/// State of a gateway, sent to a sidecar on connecting, on each change and as
 /// heartbeat.
 typedef struct
 {
   uint64_t incarnation;
-  uint64_t revision;         ///< Of the configuration it has in force.
-  uint64_t versions_known;   ///< How many adapter versions it knows.
-  uint64_t engine_count;     ///< Engines of the sidecar's service it sees.
-  uint64_t list_stamp;       ///< Of the adapter list it has from this sidecar.
-  uint64_t quarantine_stamp; ///< Of the requests it keeps from targets.
-  uint64_t gateway_peak;     ///< Most gateways that were there of late.
+  uint64_t revision;         ///< Revision of the active configuration.
+  uint64_t versions_known;   ///< Number of adapter versions known.
+  uint64_t engine_count;     ///< Known engines of the sidecar's service.
+  uint64_t list_stamp;       ///< Stamp of the adapter list received last.
+  uint64_t quarantine_stamp; ///< Stamp of its quarantine state.
+  uint64_t gateway_peak;     ///< Recent maximum number of gateways.
   uint64_t gateway_peak_age_ms;
-  /// Requests that the engine stated to take in 1,000 s; zero: it stated none.
+  /// Requests per 1,000 s that the engine states as its limit; zero: none.
   uint64_t limit_milli;
-  uint64_t limit_age_ms; ///< How old that is.
-  /// Hashes of the workspaces for which it borrows from another sidecar,
-  /// although this one would lend if that one did not, 64 bits each.
+  uint64_t limit_age_ms; ///< Age of `limit_milli`.
+  /// 64-bit hashes of the workspaces whose credit the gateway borrows from
+  /// another sidecar, although this one would be the lender without that one.
   kb_slice_t lent_elsewhere;
-  /// Packed msg_place_ref_t of all places that it asked this sidecar for and
-  /// has not released.
+  /// Packed msg_place_ref_t of all places that it has requested from this
+  /// sidecar and not released.
   kb_slice_t places;
 } msg_gateway_state_t;
 
-/// One place as its gateway knows it.
+/// A place as known to its gateway.
 typedef struct
 {
   uint64_t id;
   uint64_t is_granted;
 } msg_place_ref_t;
 
-/// How an engine can be used, as its sidecar sees it.
+/// Availability of an engine, as seen by its sidecar.
 typedef enum
 {
-  MSG_ENGINE_DOWN = 1, ///< No report, or no model yet.
+  MSG_ENGINE_DOWN = 1, ///< No report from the engine, or no model loaded yet.
   MSG_ENGINE_READY,
   MSG_ENGINE_LEAVING,
 } msg_engine_condition_t;
 
-/// A sidecar to the gateways: heartbeat and load.
+/// State and load of an engine, sent by its sidecar to the gateways; also the
+/// heartbeat.
 typedef struct
 {
   uint64_t incarnation;
@@ -332,33 +349,33 @@
   uint64_t versions_known;
   uint64_t condition; ///< msg_engine_condition_t
   uint64_t slots;
-  uint64_t granted; ///< Places given, or held by runs.
-  uint64_t waiting; ///< Requests that wait for a place or a load.
+  uint64_t granted; ///< Places granted or held by running requests.
+  uint64_t waiting; ///< Requests waiting for a place or an adapter load.
   uint64_t gateway_count;
-  uint64_t backlog_us;     ///< Time to read the prompts that are accepted.
-  uint64_t tokens_per_s;   ///< Prompt tokens the engine reads.
-  uint64_t load_wait_ms;   ///< Until an adapter new to it would be held.
+  uint64_t backlog_us;     ///< Time to read the accepted prompts.
+  uint64_t tokens_per_s;   ///< Prompt tokens that the engine reads.
+  uint64_t load_wait_ms;   ///< Expected wait until a new adapter is loaded.
   uint64_t held_for_ms;    ///< Mean time from a grant to its release.
-  uint64_t start_wait_ms;  ///< Until one more request may start, by its limit.
-  uint64_t start_every_ms; ///< Between two starts by its limit; zero: none.
-  kb_slice_t instance;     ///< Id of the engine, or empty.
-  uint64_t born_ms;        ///< Its birth; zero: not known.
-  uint64_t list_stamp;     ///< Of the adapters it holds; changes with them.
-  uint64_t quarantine_stamp; ///< Of what it knows of such requests.
-  uint64_t gateway_peak;     ///< Most gateways that were there of late.
+  uint64_t start_wait_ms;  ///< Wait for one more start under its limit.
+  uint64_t start_every_ms; ///< Start interval under its limit; zero: none.
+  kb_slice_t instance;     ///< Instance id of the engine, or empty.
+  uint64_t born_ms;        ///< Start time of the instance; zero: unknown.
+  uint64_t list_stamp; ///< Stamp of its adapter list; changes with the list.
+  uint64_t quarantine_stamp; ///< Stamp of its quarantine state.
+  uint64_t gateway_peak;     ///< Recent maximum number of gateways.
   uint64_t gateway_peak_age_ms;
-  kb_slice_t adapters; ///< Packed msg_engine_adapter_t; empty: as told before.
+  kb_slice_t adapters; ///< Packed msg_engine_adapter_t; empty: unchanged.
 } msg_engine_state_t;
 
-/// How far an adapter is from being held.
+/// Load state of an adapter.
 typedef enum
 {
-  MSG_ADAPTER_HELD,
-  MSG_ADAPTER_FETCHING, ///< Its fetch is under way.
-  MSG_ADAPTER_PENDING,  ///< Asked for; its fetch has not begun.
+  MSG_ADAPTER_HELD,     ///< Loaded.
+  MSG_ADAPTER_FETCHING, ///< Its fetch is in progress.
+  MSG_ADAPTER_PENDING,  ///< Requested; its fetch has not started.
 } msg_adapter_state_t;
 
-/// One adapter that an engine holds or fetches, or that is asked for there.
+/// An adapter that an engine holds or fetches, or that is requested there.
 typedef struct
 {
   uint64_t key;
@@ -366,31 +383,31 @@
   uint32_t state; ///< msg_adapter_state_t
 } msg_engine_adapter_t;
 
-/// A gateway asks for a place at the engine.
+/// A gateway requests a place at an engine.
 typedef struct
 {
   uint64_t id;
   uint64_t priority; ///< Lower is more urgent.
   uint64_t prompt_tokens;
-  uint64_t output_tokens; ///< As far as known.
-  uint64_t left_ms;       ///< Until the answer is of no more use.
-  uint64_t objective_ms;  ///< Until a first event is late.
-  uint64_t version;       ///< Oldest that may serve it.
-  uint64_t decline_count; ///< Engines that declined it before.
-  uint64_t is_alone;      ///< It is to begin while no other request does.
+  uint64_t output_tokens; ///< Expected number, as far as known.
+  uint64_t left_ms;       ///< Time until the answer is useless.
+  uint64_t objective_ms;  ///< Time until the first event is late.
+  uint64_t version;       ///< Oldest adapter version that may serve it.
+  uint64_t decline_count; ///< Number of engines that declined it.
+  uint64_t is_alone;      ///< Start while no other request is starting.
   kb_slice_t model;
-  kb_slice_t adapter; ///< Empty: the model itself.
-  kb_slice_t attempt; ///< The caller's id of the request, for the log.
+  kb_slice_t adapter; ///< Empty: the base model.
+  kb_slice_t attempt; ///< The caller's id of the request, for logging.
 } msg_place_request_t;
 
 typedef struct
 {
   uint64_t id;
-  uint64_t version;    ///< Of the adapter held.
+  uint64_t version;    ///< Version of the loaded adapter.
   uint64_t load_us;    ///< Time spent waiting for a load.
-  kb_slice_t instance; ///< Id of the engine, or empty.
-  uint64_t born_ms;    ///< Its birth; zero: not known.
-  uint64_t is_alone;   ///< No other request begins there meanwhile.
+  kb_slice_t instance; ///< Instance id of the engine, or empty.
+  uint64_t born_ms;    ///< Start time of the instance; zero: unknown.
+  uint64_t is_alone;   ///< No other request starts there meanwhile.
 } msg_place_grant_t;
 
 typedef struct
@@ -400,27 +417,29 @@
   kb_slice_t reason;
 } msg_place_decline_t;
 
-/// The place is free again, or no longer wanted.
+/// Releases a place, or withdraws the request for it.
 typedef struct
 {
   uint64_t id;
-  uint64_t gaps;    ///< Between events of its stream; zero: not whole.
-  uint64_t gaps_ms; ///< From its first event to its last.
+  uint64_t gaps;    ///< Gaps between stream events; zero: incomplete stream.
+  uint64_t gaps_ms; ///< Time from the first event to the last.
 } msg_place_release_t;
 
-/// The first event came: the prompt is read.
+/// The first event has arrived, so the prompt has been read.
 typedef struct
 {
   uint64_t id;
 } msg_place_begun_t;
 
-/// The configuration document, passed on for daemons that can not read it.
+/// The configuration document, forwarded to daemons that cannot read it
+/// themselves.
 typedef struct
 {
   uint64_t revision;
   kb_slice_t data;
 } msg_document_t;
 
+/// Newest version of an adapter that the sender knows.
 typedef struct
 {
   uint64_t version;
@@ -428,79 +447,86 @@
   kb_slice_t adapter;
 } msg_adapter_version_t;
 
-/// A gateway asks a sidecar for changes of the store.
+/// A gateway requests changes of the store from a sidecar.
 typedef struct
 {
   uint64_t id;
-  uint64_t store;        ///< Hash of the address of the store it follows.
-  uint64_t after;        ///< It knows everything up to this revision.
-  uint64_t known_age_ms; ///< How old that knowledge is.
-  uint64_t pause_ms;     ///< Between two reads of the store.
+  uint64_t store;        ///< Hash of the address of the store.
+  uint64_t after;        ///< Revision up to which the gateway is complete.
+  uint64_t known_age_ms; ///< Age of that state.
+  uint64_t pause_ms;     ///< Interval between two reads of the store.
 } msg_changes_request_t;
 
-/// How a sidecar answers for the store.
+/// Status of the answer to msg_changes_request_t.
 typedef enum
 {
   MSG_CHANGES_AVAILABLE = 1,
-  MSG_CHANGES_NOT_RETAINED, ///< It does not keep what the gateway lacks.
-  MSG_CHANGES_NO_ANSWER,    ///< The store gave it none.
+  MSG_CHANGES_NOT_RETAINED, ///< It does not keep the missing changes.
+  MSG_CHANGES_NO_ANSWER,    ///< The store did not answer the sidecar.
 } msg_changes_status_t;
 
-/// Changes that a sidecar read for several gateways. The read behind them
-/// began before the question arrived, or after it; one of the two is zero.
+/// Changes that a sidecar has read on behalf of several gateways. The read
+/// began before or after the request arrived: one of `began_before_ms` and
+/// `began_after_ms` is zero.
 typedef struct
 {
   uint64_t id;
   uint64_t status; ///< msg_changes_status_t
-  uint64_t as_of;  ///< All changes up to here.
+  uint64_t as_of;  ///< Complete up to this revision.
   uint64_t began_before_ms;
   uint64_t began_after_ms;
-  uint64_t config_revision; ///< Of a configuration it saw; none is in it.
-  kb_slice_t changes;       ///< Packed, see relay/changes.h.
+  /// Revision of a configuration it saw; `changes` contains none.
+  uint64_t config_revision;
+  kb_slice_t changes; ///< Packed, see relay/changes.h.
 } msg_changes_t;
 
-/// Requests under which targets ended: what one daemon knows.
+/// What one daemon knows of requests during which targets ended.
 typedef struct
 {
   kb_slice_t records; ///< Packed, see coordination/quarantine.h.
 } msg_quarantine_t;
 
-/// A gateway asks a sidecar for credit of a quota, of a workspace or of a
-/// target that states a limit. Amounts are in thousandths of its unit.
+/// A gateway requests credit of a quota from a sidecar. The quota is that of a
+/// workspace or of a target that states a limit. Amounts are in thousandths of
+/// the unit of the quota.
 typedef struct
 {
   uint64_t id;
-  uint64_t subject;      ///< Hash of the workspace's name, or of the target.
-  uint64_t is_of_target; ///< Else of a workspace.
-  /// Of the configuration that says the limit; of a target's limit, its age in
-  /// milliseconds.
+  uint64_t subject; ///< Hash of the name of the workspace, or of the target.
+  uint64_t is_of_target; ///< Quota of a target, else of a workspace.
+  /// Revision of the configuration that sets the limit; for a target, the age
+  /// of its limit in milliseconds.
   uint64_t revision;
-  uint64_t rate_milli; ///< A second.
+  uint64_t rate_milli; ///< Per second.
   uint64_t burst_milli;
-  uint64_t min_milli; ///< For the first request that waits.
-  uint64_t wanted_milli;
-  uint64_t unspent_milli;       ///< Of what was granted before.
-  uint64_t since_ms;            ///< For how long it has asked this sidecar.
-  uint64_t sidecar_incarnation; ///< Of the sidecar, as the gateway knows it.
-  uint64_t uptime_ms;           ///< Of the gateway.
-  uint64_t reachable_milli;     ///< Of all sidecars, those that it hears.
+  uint64_t min_milli;     ///< Amount for the first waiting request.
+  uint64_t wanted_milli;  ///< Amount for all waiting requests, and in advance.
+  uint64_t unspent_milli; ///< Unspent part of earlier grants.
+  uint64_t since_ms;      ///< Time for which this sidecar has been its lender.
+  uint64_t sidecar_incarnation; ///< As known to the gateway.
+  uint64_t uptime_ms;           ///< Uptime of the gateway.
+  uint64_t reachable_milli;     ///< Share of sidecars it is in contact with.
   uint64_t prior;               ///< qln_past_t
   uint64_t ledger_age_ms;
-  kb_slice_t ledger; ///< Packed, see coordination/quota_ledger.h.
-  uint64_t gateway_peak;
+  kb_slice_t ledger;     ///< Packed, see coordination/quota_ledger.h.
+  uint64_t gateway_peak; ///< Recent maximum number of gateways.
   uint64_t gateway_peak_age_ms;
 } msg_quota_request_t;
 
+/// Answer to msg_quota_request_t. Amounts are in thousandths of the unit of
+/// the quota.
 typedef struct
 {
   uint64_t id;
   uint64_t subject;
   uint64_t granted_milli;
-  uint64_t lasts_ms; ///< From when it was asked for.
-  uint64_t wait_ms;  ///< Until there is more; zero: as much as was wanted.
-  uint64_t is_pause;
-  uint64_t is_refused; ///< Not asked of this sidecar, or of an earlier life.
-  kb_slice_t ledger;   ///< Packed, see coordination/quota_ledger.h.
+  uint64_t lasts_ms; ///< Validity, counted from the request.
+  uint64_t wait_ms;  ///< Time until more is available; zero: fully granted.
+  uint64_t is_pause; ///< More follows soon; until then nothing is over quota.
+  /// The request was not meant for this sidecar, or for an earlier
+  /// incarnation.
+  uint64_t is_refused;
+  kb_slice_t ledger; ///< Packed, see coordination/quota_ledger.h.
 } msg_quota_grant_t;
 
 /// Any message.
--- a/src/protocol/openai.h
+++ b/src/protocol/openai.h
@@ -1,6 +1,7 @@
 /// @file openai.h
-/// The parts of the OpenAI-style completion protocol that the system reads:
-/// the request's model, stream and length, and the model an answer names.
+/// The parts of the OpenAI-style completion protocol that are interpreted: the
+/// model, stream flag and token limit of a request, and the model of an
+/// answer.
 #ifndef KB_PROTOCOL_OPENAI_H
 #define KB_PROTOCOL_OPENAI_H
 
@@ -9,28 +10,31 @@
 enum
 {
   OAI_MODEL_BYTES = 256,
-  OAI_DEFAULT_TOKENS = 128,
+  OAI_DEFAULT_TOKENS = 128, ///< If a request has no "max_tokens".
 };
 
 typedef struct
 {
   char adapter[OAI_MODEL_BYTES];
-  uint32_t version; ///< Zero: the configured current one.
+  uint32_t version; ///< Zero: the version configured as current.
   bool is_stream;
   uint32_t max_tokens;
 } oai_request_t;
 
-/// Read a completion request.
-/// @param doc  Receives the parsed body for oai_request_rewrite.
+/// Parse a completion request. Its model is "NAME" or "NAME@VERSION".
+/// @param doc  Receives the parsed body for oai_request_rewrite, which the
+///             caller releases with json_object_put; NULL on error.
+/// @return  KB_EINVAL if the body is invalid.
 kb_status_t oai_request_parse (kb_slice_t body, oai_request_t *out,
                                struct json_object **doc, kb_error_t *error);
-/// Append the body with its model replaced.
+/// Append the body with its model replaced and its priority set.
 void oai_request_rewrite (struct json_object *doc, const char *model,
                           uint64_t priority, kb_buf_t *out);
-/// Whether an answer or one event of a stream names this model.
-/// @return  KB_OK; KB_EINVAL: not JSON; KB_ECONFLICT: another model.
+/// Check that an answer, or one event of a stream, is from this model.
+/// @return  KB_EINVAL if it is not JSON, KB_ECONFLICT if it names another
+///          model.
 kb_status_t oai_answer_check (kb_slice_t json, const char *model);
-/// Append an error body in the protocol's form.
+/// Append an error body in the format of the protocol.
 void oai_error_write (kb_buf_t *out, const char *type, const char *message);
 
 #endif
--- a/src/protocol/settings.c
+++ b/src/protocol/settings.c
@@ -157,7 +157,7 @@
 enum
 {
   ROW_COUNT = sizeof rows / sizeof rows[0],
-  COMPARED_NAME_MAX_BYTES = 64, ///< Compared for the nearest name.
+  COMPARED_NAME_MAX_BYTES = 64, ///< Prefix compared for the nearest name.
   DAEMON_NAME_MAX_BYTES = 47,
 };
 
@@ -327,7 +327,7 @@
     return kb_error_set (error, KB_EINVAL,
                          "%s: \"target_kind\" must be \"engine\" or \"plain\"",
                          file);
-  // An attempt must be remembered as long as anyone may ask about it.
+  // Agents must remember an attempt for as long as a peer can query it.
   if (s->max_deadline_ms > s->claim_window_ms)
     return kb_error_set (error, KB_EINVAL,
                          "%s: \"max_deadline_ms\" must not exceed "
@@ -336,7 +336,7 @@
   if ((s->curve_public_key[0] == '\0') != (s->curve_secret_key[0] == '\0'))
     return kb_error_set (error, KB_EINVAL,
                          "%s: \"curve_public_key\" and \"curve_secret_key\" "
-                         "go together",
+                         "must be set together",
                          file);
   return KB_OK;
 }
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,6 +1,6 @@
 /// @file settings.h
-/// The settings file of a daemon: JSON with comments, checked against one
-/// table that also produces the reference page.
+/// The settings file of a daemon: JSON with comments, checked against a table
+/// from which the reference page is also generated.
 #ifndef KB_PROTOCOL_SETTINGS_H
 #define KB_PROTOCOL_SETTINGS_H
 
@@ -23,11 +23,12 @@
 
 typedef char set_text_t[SET_TEXT_BYTES];
 
-/// All settings; which apply depends on the role.
+/// All settings. Which of them apply depends on the role. The reference table
+/// describes each one.
 typedef struct
 {
   set_text_t role_name;
-  set_text_t interface; ///< How callers and targets are spoken to.
+  set_text_t interface; ///< Protocol towards callers and targets.
   set_role_t role;
   set_text_t name;
   set_text_t failure_domain;
@@ -101,11 +102,13 @@
   double kv_calls_per_s;
 } set_settings_t;
 
-/// Read, check and fill in defaults.
-/// @param path  The settings file.
+/// Read and check a settings file; absent settings get their defaults.
+/// @return  KB_ENOTFOUND, KB_ELIMIT above 64 KiB, or KB_EINVAL if a setting is
+///          invalid.
 kb_status_t set_load_file (const char *path, set_settings_t *out,
                            kb_error_t *error);
-/// The same from text; `name` stands in messages.
+/// The same from a text.
+/// @param name  Name of the source, used in messages.
 kb_status_t set_load_text (const char *name, kb_slice_t text,
                            set_settings_t *out, kb_error_t *error);
 /// Append the settings reference as a Markdown table.
--- a/src/protocol/shardmap.h
+++ b/src/protocol/shardmap.h
@@ -1,6 +1,6 @@
 /// @file shardmap.h
-/// The map of shard owners as it is kept in the key-value service: one value
-/// under one key, changed by compare-and-swap.
+/// The map of shard owners in the key-value service: one value under one key,
+/// updated by compare-and-swap.
 #ifndef KB_PROTOCOL_SHARDMAP_H
 #define KB_PROTOCOL_SHARDMAP_H
 
@@ -11,24 +11,25 @@
 
 enum
 {
-  SHM_SHARDS = 64, ///< Equals CLM_SHARDS of the claim protocol.
+  SHM_SHARDS = 64, ///< Must equal CLM_SHARDS of the claim protocol.
   SHM_NAME_BYTES = 48,
 };
 
-/// Key of the map.
+/// Key of the map in the key-value service.
 #define SHM_KEY "kb/w/claims"
 
 /// Owner of one shard.
 typedef struct
 {
-  char owner[SHM_NAME_BYTES]; ///< Name of an entry; empty: nobody yet.
+  char owner[SHM_NAME_BYTES]; ///< Name of an entry; empty: no owner yet.
   uint64_t incarnation;
-  uint64_t epoch; ///< Grows with every takeover.
+  uint64_t epoch; ///< Increases with every takeover.
 } shm_shard_t;
 
 /// Append the map as JSON.
 void shm_write (const shm_shard_t shards[SHM_SHARDS], kb_buf_t *out);
-/// @return  False when the text is not a map; `out` may be half filled.
+/// @return  False if the text is not a valid map; `out` may then be partly
+///          filled.
 bool shm_parse (kb_slice_t text, shm_shard_t out[SHM_SHARDS]);
 
 #endif
--- a/test/fuzz/fuzz_msg.c
+++ b/test/fuzz/fuzz_msg.c
@@ -1,6 +1,6 @@
 /// @file fuzz_msg.c
-/// libFuzzer target: the decoder of the inner protocol. What it accepts must
-/// encode again and decode to the same bytes.
+/// libFuzzer target: the decoder of the inner protocol. An accepted message
+/// must survive encoding, decoding and encoding again with identical bytes.
 #include <stdlib.h>
 
 #include "protocol/msg.h"
--- a/test/fuzz/fuzz_settings.c
+++ b/test/fuzz/fuzz_settings.c
@@ -1,5 +1,5 @@
 /// @file fuzz_settings.c
-/// libFuzzer target: the settings reader and the JSON reader below it.
+/// libFuzzer target: the settings parser and the JSON parser that it uses.
 #include "protocol/settings.h"
 
 int LLVMFuzzerTestOneInput (const uint8_t *data, size_t size);
--- a/test/unit/json_walk_test.cc
+++ b/test/unit/json_walk_test.cc
@@ -1,6 +1,5 @@
-// A document with one large list, read element by element: what it takes it
-// must read as the parse_tree tree does, and take nothing that the tree
-// refuses.
+// Parsing a document element by element must give the same result as parsing
+// it as one tree, and must reject whatever that rejects.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -30,7 +29,7 @@
   return KB_OK;
 }
 
-/// What a text says, or "refused".
+/// @return  The text parsed as one tree and serialized, or "refused".
 std::string
 parse_tree (const std::string &text)
 {
@@ -44,6 +43,7 @@
   return out;
 }
 
+/// @return  The same with the list "Routes" parsed element by element.
 std::string
 parse_by_walk (const std::string &text)
 {
@@ -58,7 +58,7 @@
       EXPECT_NE (std::string (error.message), "");
       return "refused";
     }
-  // Put the elements back where they were.
+  // Restore the list from its elements.
   struct json_object *list = jsn_list (doc, "Routes");
   for (const std::string &element : elements)
     json_object_array_add (list, json_tokener_parse (element.c_str ()));
@@ -120,7 +120,7 @@
     EXPECT_EQ (parse_by_walk (text), "refused") << text;
 }
 
-// Bytes are lost, doubled and changed in a document from another writer.
+// Random bytes of a document are removed, inserted and changed.
 TEST (JsonWalk, MatchesTreeParseOnDamagedText)
 {
   int accepted = 0;
@@ -155,8 +155,8 @@
   EXPECT_GT (accepted, 1000);
 }
 
-// A text ends within an escape, a literal or a comment. A cursor that passes
-// the end makes its user read behind the text.
+// A text can end within an escape, a literal or a comment. If the cursor moved
+// past the end, its user would read beyond the text.
 TEST (JsonWalk, CursorStaysWithinText)
 {
   const std::string texts[] = { kSample, "\"a\\", "\"", "/*", "/* *", "//" };
@@ -174,7 +174,7 @@
         }
 }
 
-// The place of a fault is named by the element that holds it.
+// The message of an error states which element is invalid.
 TEST (JsonWalk, ErrorNamesTheElement)
 {
   struct json_object *doc = nullptr;
