--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -91,7 +91,7 @@
   uint64_t max_batch;
   uint64_t revision;
   uint64_t state;
-  uint64_t memory_since_wall_ms; ///< Earlier claims are no longer remembered.
+  uint64_t memory_since_wall_ms; ///< Claims run earlier are not remembered.
   uint64_t is_reply;
   kb_slice_t resident; ///< Packed 64-bit hashes of the resident adapters.
 } msg_hello_t;
@@ -100,7 +100,7 @@
 {
   uint64_t stamp_us;
   uint64_t revision;
-  uint64_t target_count; ///< Engines known to it; divides the load rate.
+  uint64_t target_count; ///< Engines the sender knows; divides load rate.
 } msg_ping_t;
 
 /// Answer to a ping, with the load of the sender.
@@ -248,7 +248,7 @@
   uint64_t id;
   uint64_t is_last;
   uint64_t purpose;              ///< msg_records_purpose_t
-  uint64_t memory_since_wall_ms; ///< Earlier claims are not remembered.
+  uint64_t memory_since_wall_ms; ///< Claims run earlier are not remembered.
   kb_slice_t records;            ///< Packed claim records.
 } msg_records_t;
 
@@ -359,7 +359,7 @@
   uint64_t start_wait_ms;  ///< Wait for one more start under its limit.
   uint64_t start_every_ms; ///< Start interval under its limit; zero: none.
   kb_slice_t instance;     ///< Instance id of the engine, or empty.
-  uint64_t born_ms;        ///< Start time of the instance; zero: unknown.
+  uint64_t born_ms;        ///< Unix time of its start; zero: unknown.
   uint64_t list_stamp; ///< Stamp of its adapter list; changes with the list.
   uint64_t quarantine_stamp; ///< Stamp of its quarantine state.
   uint64_t gateway_peak;     ///< Recent maximum number of gateways.
@@ -406,7 +406,7 @@
   uint64_t version;    ///< Version of the loaded adapter.
   uint64_t load_us;    ///< Time spent waiting for a load.
   kb_slice_t instance; ///< Instance id of the engine, or empty.
-  uint64_t born_ms;    ///< Start time of the instance; zero: unknown.
+  uint64_t born_ms;    ///< Unix time of its start; zero: unknown.
   uint64_t is_alone;   ///< No other request starts there meanwhile.
 } msg_place_grant_t;
 
