--- a/src/cli/cli_net.c
+++ b/src/cli/cli_net.c
@@ -129,7 +129,7 @@
 {
   http_wait_t *wait = call->owner;
   wait->is_done = true;
-  if (end != HTC_END_WHOLE)
+  if (end != HTC_END_COMPLETE)
     wait->http_status = 0;
 }
 
--- a/src/daemon/agent_backpressure.c
+++ b/src/daemon/agent_backpressure.c
@@ -49,11 +49,11 @@
   {
     HTTP_UNAVAILABLE = 503,
   };
-  if (head->malformed != NULL)
+  if (head->malformed_field != NULL)
     {
       MET_INC ("knapweedbay_answer_fields_ignored_total", "");
       log_write (LOG_WARN, "engine", "%s of an answer has no meaning.",
-                 head->malformed);
+                 head->malformed_field);
     }
   if (!head->is_limit_malformed)
     note_limit (r, head);
@@ -80,7 +80,7 @@
 static bool
 is_leaving (const agt_agent_t *agent)
 {
-  uint64_t said_ms = agent->engine.leaving_ms;
+  uint64_t said_ms = agent->engine.leaving_reported_ms;
   return said_ms > 0 && tmr_now_ms () - said_ms < LEAVING_LASTS_MS;
 }
 
@@ -99,7 +99,7 @@
 void
 agt_backpressure_forget (agt_agent_t *agent)
 {
-  agent->engine.leaving_ms = 0;
+  agent->engine.leaving_reported_ms = 0;
   agent->paused_until_ms = 0;
   bkp_limit_t none = { .at_ms = tmr_now_ms () };
   bkp_meter_told (&agent->meter, &none, none.at_ms);
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -385,7 +385,7 @@
       run_fail (r, MSG_OUTCOME_NOT_RUN, "the target refuses connections");
       return;
     }
-  if (end != HTC_END_WHOLE)
+  if (end != HTC_END_COMPLETE)
     {
       if (end != HTC_END_TIMEOUT)
         agt_quarantine_note_break (r);
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -429,7 +429,7 @@
       return;
     }
   deliver_stream (r, part->data);
-  if (hts_stream_pending (r->http) > STREAM_PENDING_MAX_BYTES)
+  if (hts_stream_unsent_bytes (r->http) > STREAM_PENDING_MAX_BYTES)
     {
       MET_INC ("knapweedbay_slow_callers_total", "");
       send_cancel (r);
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -267,7 +267,7 @@
 
 /// A target said that it did not run the request.
 static void
-answer_not_run (gtw_request_t *r, const rly_answer_t *answer)
+answer_not_run (gtw_request_t *r, const rly_response_t *answer)
 {
   gtw_log_attempt (r, "attempt_not_run", "target_refused");
   // Another incarnation answers at its address; an engine says so for an
@@ -292,7 +292,7 @@
 
 /// Whether an answer is a target's own and whole as far as its head tells.
 static bool
-is_sound (const gtw_request_t *r, const rly_answer_t *answer)
+is_sound (const gtw_request_t *r, const rly_response_t *answer)
 {
   if (answer->is_encoded)
     return false;
@@ -314,7 +314,7 @@
                             .is_last = gtw_client_is_last (r->client) };
   r->is_chunked = framing.is_chunked;
   kb_buf_clear (&r->head);
-  r->gateway->dialect->write_answer (conn, &framing, &r->head);
+  r->gateway->dialect->write_response (conn, &framing, &r->head);
 }
 
 static void
@@ -322,14 +322,14 @@
 {
   gtw_request_t *r = x->owner;
   const h1_conn_t *conn = xch_conn (x);
-  rly_answer_t answer;
-  r->gateway->dialect->read_answer (conn, &answer);
+  rly_response_t answer;
+  r->gateway->dialect->read_response (conn, &answer);
   // An answer of an earlier request on this connection that came late.
   if (answer.attempt_id.len_bytes > 0
       && !kb_slice_equal (answer.attempt_id, kb_slice_str (r->attempt_id)))
     {
       MET_INC ("knapweedbay_stray_answers_total", "");
-      xch_skip (x);
+      xch_discard_response (x);
       return;
     }
   r->http_status = conn->parser.status_code;
@@ -420,7 +420,7 @@
 }
 
 static void
-answer_on_fail (xch_t *x, xch_fail_t fail)
+answer_on_fail (xch_t *x, xch_failure_t fail)
 {
   static const char *const names[] = { "not_sent", "reset", "malformed" };
   if (fail == XCH_RESET)
@@ -446,7 +446,7 @@
     .adapter_version = r->granted_version,
     .priority = r->is_engine ? (int32_t)priority : -1,
     .is_resume = r->has_event,
-    .resume_after = r->last_event,
+    .resume_after_event_id = r->last_event,
     .body_bytes = r->body.len_bytes,
   };
 }
@@ -479,9 +479,9 @@
   xch_request_t request
       = { .head = kb_buf_slice (&head),
           .body = kb_buf_slice (&r->body),
-          .max_idle_ms = is_idempotent (r) ? XCH_ANY_IDLE : FRESH_IDLE_MS,
+          .max_idle_ms = is_idempotent (r) ? XCH_ANY_IDLE_MS : FRESH_IDLE_MS,
           .connect_timeout_ms = CONNECT_TIMEOUT_MS,
-          .expects_no_body = r->client->conn.parser.method == HTTP_HEAD };
+          .is_head_method = r->client->conn.parser.method == HTTP_HEAD };
   r->stage = r->is_head_written ? GTW_PASSING : GTW_SENT;
   r->sends++;
   r->is_permit_used = true;
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -76,9 +76,10 @@
 }
 
 static void
-note_limit (gtw_request_t *r, gtw_stated_t *stated, const rly_answer_t *answer)
+note_limit (gtw_request_t *r, gtw_stated_t *stated,
+            const rly_response_t *answer)
 {
-  double per_s = answer->states_limit ? answer->limit_per_s : -1;
+  double per_s = answer->has_limit ? answer->limit_per_s : -1;
   if (answer->is_limit_malformed
       || !bkp_limit_heard (&stated->limit, per_s, r->sent_boot_ms,
                            tmr_boot_ms ()))
@@ -124,7 +125,7 @@
 }
 
 void
-gtw_backpressure_note (gtw_request_t *r, const rly_answer_t *answer)
+gtw_backpressure_note (gtw_request_t *r, const rly_response_t *answer)
 {
   enum
   {
@@ -134,8 +135,8 @@
   // Another incarnation may answer so at its address.
   if (r->http_status == HTTP_MISDIRECTED)
     return;
-  if (answer->malformed != NULL)
-    log_malformed (r, answer->malformed);
+  if (answer->malformed_field != NULL)
+    log_malformed (r, answer->malformed_field);
   gtw_stated_t *stated = stated_by_addressee (r);
   note_limit (r, stated, answer);
   if (answer->is_leaving)
--- a/src/gateway/gateway_client.c
+++ b/src/gateway/gateway_client.c
@@ -49,7 +49,7 @@
   client->is_last = true;
   client->head_ms = gtw_now_ms (client->gateway);
   client_write_refusal (client, http_status, reason, 0);
-  h1_conn_drain (&client->conn);
+  h1_conn_linger (&client->conn);
 }
 
 bool
@@ -69,9 +69,9 @@
   if (!is_whole)
     h1_conn_close (&client->conn, true);
   else if (client->is_last)
-    h1_conn_drain (&client->conn);
+    h1_conn_linger (&client->conn);
   else
-    h1_conn_next (&client->conn);
+    h1_conn_next_message (&client->conn);
 }
 
 static void
@@ -92,7 +92,8 @@
       return;
     }
   if (client->request != NULL
-      && h1_has_token (h1_head_get (&conn->head, "expect"), "100-continue"))
+      && h1_value_has_token (h1_head_get (&conn->head, "expect"),
+                             "100-continue"))
     h1_conn_write (conn, go_on, sizeof go_on - 1);
 }
 
@@ -101,7 +102,7 @@
 {
   gtw_client_t *client = (gtw_client_t *)conn;
   gtw_request_t *r = client->request;
-  if (r == NULL || conn->is_draining)
+  if (r == NULL || conn->is_lingering)
     return;
   client->head_ms = gtw_now_ms (client->gateway);
   kb_buf_append (&r->body, bytes.ptr, bytes.len_bytes);
@@ -116,7 +117,7 @@
 client_on_message (h1_conn_t *conn)
 {
   gtw_client_t *client = (gtw_client_t *)conn;
-  if (conn->is_draining)
+  if (conn->is_lingering)
     return;
   if (client->request != NULL)
     {
@@ -141,11 +142,11 @@
       gtw_request_end (client->request);
       client->request = NULL;
     }
-  bool is_answerable = !conn->is_draining && !conn->is_held;
+  bool is_answerable = !conn->is_lingering && !conn->is_message_complete;
   if (end == H1_END_MALFORMED && is_answerable)
     client_refuse_and_close (client, HTTP_BAD_REQUEST,
                              "the request is malformed");
-  else if (end == H1_END_HEADER_SIZE && is_answerable)
+  else if (end == H1_END_HEADER_TOO_LARGE && is_answerable)
     client_refuse_and_close (client, HTTP_HEADER_TOO_LARGE,
                              "the header fields are too large");
   else
@@ -241,9 +242,9 @@
   };
   const svc_config_t *config = client->gateway->config;
   const h1_conn_t *conn = &client->conn;
-  if (conn->is_draining)
+  if (conn->is_lingering)
     return client->head_ms + DRAIN_MS;
-  if (config == NULL || conn->is_held)
+  if (config == NULL || conn->is_message_complete)
     return 0;
   bool is_head_open = conn->is_in_message && client->request == NULL
                       && client->refusal.http_status == 0;
@@ -258,7 +259,7 @@
   if (client->conn.is_closing || limit_ms == 0 || now_ms < limit_ms)
     return;
   bool is_in_message = client->conn.is_in_message;
-  if (!is_in_message || client->conn.is_draining)
+  if (!is_in_message || client->conn.is_lingering)
     {
       h1_conn_close (&client->conn, false);
       return;
@@ -290,8 +291,8 @@
   for (gtw_client_t *client = gateway->clients; client != NULL;
        client = client->next)
     if (client->request == NULL && !client->conn.is_in_message
-        && !client->conn.is_draining)
-      h1_conn_drain (&client->conn);
+        && !client->conn.is_lingering)
+      h1_conn_linger (&client->conn);
 }
 
 kb_status_t
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -489,7 +489,7 @@
 
 // gateway_backpressure.c
 /// Take what the present target says about itself in an answer's head.
-void gtw_backpressure_note (gtw_request_t *r, const rly_answer_t *answer);
+void gtw_backpressure_note (gtw_request_t *r, const rly_response_t *answer);
 /// Take a permit of the present target, which is plain, or learn what became
 /// of it.
 qsp_verdict_t gtw_backpressure_take (gtw_request_t *r);
--- a/src/gateway/gateway_place.c
+++ b/src/gateway/gateway_place.c
@@ -34,7 +34,7 @@
 static uint32_t
 output_tokens_of (const rly_request_t *said)
 {
-  uint32_t likely = said->likely_tokens;
+  uint32_t likely = said->output_tokens_hint;
   return likely > 0 && likely < said->output_tokens ? likely
                                                     : said->output_tokens;
 }
--- a/src/gateway/gateway_request.c
+++ b/src/gateway/gateway_request.c
@@ -160,7 +160,7 @@
   const h1_conn_t *conn = &client->conn;
   rly_request_t said;
   kb_error_t error = { 0 };
-  if (!h1_request_is_proper (conn))
+  if (!h1_request_is_well_formed (conn))
     return refuse_head (client, HTTP_BAD_REQUEST, "the request is ambiguous");
   kb_status_t status
       = gateway->dialect->read_request (&conn->head, &said, &error);
--- a/src/transport/call.c
+++ b/src/transport/call.c
@@ -5,7 +5,7 @@
 enum
 {
   /// Largest answer: a page of the store is about 1 MB.
-  MAX_ANSWER_BYTES = 8 << 20,
+  MAX_RESPONSE_BYTES = 8 << 20,
   CONNECT_TIMEOUT_MS = 1000,
 };
 
@@ -27,22 +27,25 @@
 }
 
 static void
-call_late (void *arg)
+call_on_timeout (void *arg)
 {
   call_finish (arg, KB_EUNKNOWN);
 }
 
 /// Bytes of the answer came: they are what shows that the peer lives.
 static void
-call_note_progress (cal_call_t *call)
+call_extend_timeout (cal_call_t *call)
 {
-  if (call->stall_ms == 0)
+  if (call->stall_timeout_ms == 0)
     return;
-  uint64_t took_ms = uv_now (call->timers->loop) - call->began_ms;
-  uint64_t left_ms = call->most_ms > took_ms ? call->most_ms - took_ms : 0;
+  uint64_t elapsed_ms = uv_now (call->timers->loop) - call->began_ms;
+  uint64_t left_ms = call->total_timeout_ms > elapsed_ms
+                         ? call->total_timeout_ms - elapsed_ms
+                         : 0;
   tmr_after (call->timers, &call->timer,
-             left_ms < call->stall_ms ? left_ms : call->stall_ms, call_late,
-             call);
+             left_ms < call->stall_timeout_ms ? left_ms
+                                              : call->stall_timeout_ms,
+             call_on_timeout, call);
 }
 
 static void
@@ -56,7 +59,7 @@
   if (call->instance_header != NULL)
     kb_slice_copy (h1_head_get (&conn->head, call->instance_header),
                    call->instance, sizeof call->instance);
-  call_note_progress (call);
+  call_extend_timeout (call);
 }
 
 static void
@@ -64,10 +67,10 @@
 {
   cal_call_t *call = x->owner;
   kb_buf_append (&call->body, bytes.ptr, bytes.len_bytes);
-  if (call->body.len_bytes > MAX_ANSWER_BYTES)
+  if (call->body.len_bytes > MAX_RESPONSE_BYTES)
     call_finish (call, KB_ELIMIT);
   else
-    call_note_progress (call);
+    call_extend_timeout (call);
 }
 
 static void
@@ -77,7 +80,7 @@
 }
 
 static void
-call_on_fail (xch_t *x, xch_fail_t fail)
+call_on_fail (xch_t *x, xch_failure_t fail)
 {
   call_finish (x->owner, fail == XCH_NOT_SENT ? KB_EUNAVAIL : KB_EUNKNOWN);
 }
@@ -93,8 +96,8 @@
   *call = (cal_call_t){ .timers = peer->pool->timers,
                         .instance_header = request->instance_header,
                         .began_ms = uv_now (peer->pool->loop),
-                        .stall_ms = request->stall_ms,
-                        .most_ms = request->most_ms,
+                        .stall_timeout_ms = request->stall_timeout_ms,
+                        .total_timeout_ms = request->total_timeout_ms,
                         .first_byte_ms = -1,
                         .done = done,
                         .arg = arg,
@@ -116,11 +119,12 @@
   kb_buf_append_str (&head, "\r\n");
   xch_request_t sent = { .head = kb_buf_slice (&head),
                          .body = request->json_body,
-                         .max_idle_ms = XCH_ANY_IDLE,
+                         .max_idle_ms = XCH_ANY_IDLE_MS,
                          .connect_timeout_ms = CONNECT_TIMEOUT_MS };
   xch_start (&call->exchange, peer, &call_events, call, &sent);
   kb_buf_finish (&head);
-  tmr_after (call->timers, &call->timer, request->timeout_ms, call_late, call);
+  tmr_after (call->timers, &call->timer, request->timeout_ms, call_on_timeout,
+             call);
 }
 
 void
--- a/src/transport/call.h
+++ b/src/transport/call.h
@@ -35,9 +35,9 @@
   const char *instance_header;
   int http_status;
   uint64_t began_ms;
-  uint64_t stall_ms;     ///< See cal_request_t.
-  uint64_t most_ms;      ///< As above.
-  int64_t first_byte_ms; ///< See cal_result_t.
+  uint64_t stall_timeout_ms; ///< See cal_request_t.
+  uint64_t total_timeout_ms; ///< As above.
+  int64_t first_byte_ms;     ///< See cal_result_t.
   cal_done_t done;
   void *arg;
   bool is_active;
@@ -51,9 +51,10 @@
   kb_slice_t json_body;      ///< Empty: none.
   uint64_t timeout_ms;
   /// Once bytes of the answer come, they may pause for this long and the whole
-  /// may take `most_ms`, whatever the timeout; zero: the timeout is for all.
-  uint64_t stall_ms;
-  uint64_t most_ms;
+  /// may take `total_timeout_ms`, whatever the timeout; zero: the timeout is
+  /// for all.
+  uint64_t stall_timeout_ms;
+  uint64_t total_timeout_ms;
   const char *instance_header; ///< Header to hand out, or NULL.
 } cal_request_t;
 
--- a/src/transport/engine.c
+++ b/src/transport/engine.c
@@ -8,7 +8,7 @@
 
 enum
 {
-  ENG_ANSWER_MAX_BYTES = 4 << 20,
+  ENG_MAX_RESPONSE_BYTES = 4 << 20,
   ENG_LIST_TIMEOUT_MS = 3000
 };
 
@@ -19,7 +19,7 @@
   eng_order_done_t done;
   eng_list_done_t list_done;
   void *arg;
-  kb_buf_t answer;
+  kb_buf_t response;
 } engine_call_t;
 
 struct eng_run
@@ -31,26 +31,26 @@
 };
 
 static void
-note_leaving (eng_engine_t *engine, const htc_call_t *http)
+record_leaving (eng_engine_t *engine, const htc_call_t *http)
 {
   kb_slice_t value = htc_call_header (http, "x-leaving");
   if (kb_slice_equal (value, kb_slice_str ("1")))
-    engine->leaving_ms = tmr_now_ms ();
+    engine->leaving_reported_ms = tmr_now_ms ();
 }
 
 static void
 call_on_head (htc_call_t *http, int http_status, kb_slice_t content_type)
 {
   engine_call_t *call = http->owner;
-  note_leaving (call->engine, http);
+  record_leaving (call->engine, http);
 }
 
 static void
 call_on_body (htc_call_t *http, kb_slice_t bytes)
 {
   engine_call_t *call = http->owner;
-  if (call->answer.len_bytes + bytes.len_bytes < ENG_ANSWER_MAX_BYTES)
-    kb_buf_append (&call->answer, bytes.ptr, bytes.len_bytes);
+  if (call->response.len_bytes + bytes.len_bytes < ENG_MAX_RESPONSE_BYTES)
+    kb_buf_append (&call->response, bytes.ptr, bytes.len_bytes);
 }
 
 static kb_status_t
@@ -63,7 +63,7 @@
   };
   if (end == HTC_END_NOT_SENT)
     return KB_EUNAVAIL;
-  if (end != HTC_END_WHOLE)
+  if (end != HTC_END_COMPLETE)
     return KB_EUNKNOWN;
   if (http->http_status == 200)
     return KB_OK;
@@ -78,7 +78,7 @@
 {
   engine_call_t *call = http->owner;
   call->done (call->arg, order_status (http, end));
-  kb_buf_finish (&call->answer);
+  kb_buf_finish (&call->response);
   free (call);
 }
 
@@ -129,21 +129,21 @@
 }
 
 static void
-list_report (engine_call_t *call, struct json_object *doc)
+list_deliver (engine_call_t *call, struct json_object *doc)
 {
   struct json_object *data = jsn_get (doc, "data");
   size_t count = json_object_is_type (data, json_type_array)
                      ? json_object_array_length (data)
                      : 0;
   const char **models = kb_alloc ((count + 1) * sizeof *models);
-  uint32_t used = 0;
+  uint32_t model_count = 0;
   for (size_t i = 0; i < count; i++)
     {
       const char *id = jsn_str (json_object_array_get_idx (data, i), "id", "");
       if (strchr (id, '@') != NULL)
-        models[used++] = id;
+        models[model_count++] = id;
     }
-  call->list_done (call->arg, KB_OK, models, used,
+  call->list_done (call->arg, KB_OK, models, model_count,
                    jsn_str (doc, "incarnation", ""));
   free (models);
 }
@@ -153,14 +153,14 @@
 {
   engine_call_t *call = http->owner;
   struct json_object *doc = NULL;
-  if (end == HTC_END_WHOLE && http->http_status == 200)
-    jsn_parse_text ("models", kb_buf_slice (&call->answer), &doc, NULL);
+  if (end == HTC_END_COMPLETE && http->http_status == 200)
+    jsn_parse_text ("models", kb_buf_slice (&call->response), &doc, NULL);
   if (doc != NULL)
-    list_report (call, doc);
+    list_deliver (call, doc);
   else
     call->list_done (call->arg, KB_EUNAVAIL, NULL, 0, "");
   json_object_put (doc);
-  kb_buf_finish (&call->answer);
+  kb_buf_finish (&call->response);
   free (call);
 }
 
@@ -187,7 +187,7 @@
   if (value.len_bytes == 0 || kb_slice_decimal (value, &head->limit_per_s))
     return;
   head->is_limit_malformed = true;
-  head->malformed = name;
+  head->malformed_field = name;
 }
 
 static void
@@ -196,15 +196,15 @@
   enum
   {
     MS_PER_S = 1000,
-    MOST_S = 3600,
+    MAX_RETRY_AFTER_S = 3600,
   };
   static const char name[] = "retry-after";
   kb_slice_t value = htc_call_header (http, name);
   double seconds = 0;
   if (value.len_bytes > 0 && !kb_slice_decimal (value, &seconds))
-    head->malformed = name;
-  if (seconds > MOST_S)
-    seconds = MOST_S;
+    head->malformed_field = name;
+  if (seconds > MAX_RETRY_AFTER_S)
+    seconds = MAX_RETRY_AFTER_S;
   head->retry_after_ms = (uint64_t)(seconds * MS_PER_S);
 }
 
@@ -217,7 +217,7 @@
                       .limit_per_s = -1 };
   read_limit (http, &head);
   read_retry_after (http, &head);
-  note_leaving (run->engine, http);
+  record_leaving (run->engine, http);
   run->events->on_head (run->arg, &head);
 }
 
--- a/src/transport/engine.h
+++ b/src/transport/engine.h
@@ -19,7 +19,7 @@
                                  const char *const *models, uint32_t count,
                                  const char *incarnation);
 
-/// Head of the answer to a run.
+/// Head of the response to a run.
 typedef struct
 {
   int http_status;
@@ -27,8 +27,8 @@
   /// Requests a second that the target takes; negative: it states no limit.
   double limit_per_s;
   bool is_limit_malformed;
-  uint64_t retry_after_ms; ///< Zero: not said.
-  const char *malformed;   ///< A field whose value is none; NULL: none.
+  uint64_t retry_after_ms;     ///< Zero: not said.
+  const char *malformed_field; ///< A field whose value is none; NULL: none.
 } eng_head_t;
 
 /// Callbacks of a run.
@@ -71,8 +71,8 @@
   uint16_t port;
   char order_token[160];
   uint64_t load_timeout_ms;
-  uint64_t
-      leaving_ms; ///< When an answer last said that it leaves; zero: none.
+  uint64_t leaving_reported_ms; ///< When an response last said that it leaves;
+                                ///< zero: none.
 };
 
 /// An engine of the OpenAI-style protocol.
--- a/src/transport/exchange.c
+++ b/src/transport/exchange.c
@@ -10,82 +10,83 @@
   /// Not used in the last part of its stated lifetime: the peer's close may
   /// be under way.
   IDLE_MARGIN_MS = 600,
-  SWEEP_MS = 500,
+  IDLE_SWEEP_INTERVAL_MS = 500,
 };
 
 /// One connection of a peer.
 struct xch_line
 {
-  h1_conn_t conn; ///< First, so that a connection is its line.
+  h1_conn_t conn; ///< First, so that a connection is its pooled.
   xch_peer_t *peer;
-  xch_t *x;         ///< The exchange under way; NULL when idle.
-  xch_line_t *next; ///< In the idle list.
-  kb_buf_t to_send; ///< Until the connection is made.
-  tmr_sub_t timer;  ///< Connect timeout, or a failure to be reported.
+  xch_t *x;                ///< The exchange under way; NULL when idle.
+  xch_pooled_t *next;      ///< In the idle list.
+  kb_buf_t queued_request; ///< Until the connection is made.
+  tmr_sub_t timer;         ///< Connect timeout, or a failure to be reported.
   uint64_t idle_since_ms;
   uint64_t lifetime_ms;
   bool is_sent;
-  bool expects_no_body;
+  bool is_head_method;
 };
 
 static void
-line_close (xch_line_t *line, bool is_abort)
+pooled_close (xch_pooled_t *pooled, bool is_abort)
 {
-  line->x = NULL;
-  h1_conn_close (&line->conn, is_abort);
+  pooled->x = NULL;
+  h1_conn_close (&pooled->conn, is_abort);
 }
 
 static void
-line_fail (xch_line_t *line, xch_fail_t fail)
+pooled_fail (xch_pooled_t *pooled, xch_failure_t fail)
 {
-  xch_t *x = line->x;
-  tmr_cancel (line->peer->pool->timers, &line->timer);
-  line_close (line, false);
+  xch_t *x = pooled->x;
+  tmr_cancel (pooled->peer->pool->timers, &pooled->timer);
+  pooled_close (pooled, false);
   if (x == NULL)
     return;
-  x->line = NULL;
-  x->events->on_fail (x, line->is_sent ? fail : XCH_NOT_SENT);
+  x->pooled = NULL;
+  x->events->on_fail (x, pooled->is_sent ? fail : XCH_NOT_SENT);
 }
 
 static void
-idle_remove (xch_line_t *line)
+idle_remove (xch_pooled_t *pooled)
 {
-  xch_peer_t *peer = line->peer;
-  for (xch_line_t **at = &peer->idle; *at != NULL; at = &(*at)->next)
-    if (*at == line)
+  xch_peer_t *peer = pooled->peer;
+  for (xch_pooled_t **at = &peer->idle; *at != NULL; at = &(*at)->next)
+    if (*at == pooled)
       {
-        *at = line->next;
+        *at = pooled->next;
         peer->idle_count--;
         return;
       }
 }
 
 static void
-line_on_closed (h1_conn_t *conn)
+pooled_on_closed (h1_conn_t *conn)
 {
-  xch_line_t *line = (xch_line_t *)conn;
-  tmr_cancel (line->peer->pool->timers, &line->timer);
-  kb_buf_finish (&line->to_send);
-  line->peer->open_count--;
-  free (line);
+  xch_pooled_t *pooled = (xch_pooled_t *)conn;
+  tmr_cancel (pooled->peer->pool->timers, &pooled->timer);
+  kb_buf_finish (&pooled->queued_request);
+  pooled->peer->open_count--;
+  free (pooled);
 }
 
 static void
-line_on_end (h1_conn_t *conn, h1_end_t end)
+pooled_on_end (h1_conn_t *conn, h1_end_t end)
 {
-  xch_line_t *line = (xch_line_t *)conn;
-  if (line->x == NULL)
+  xch_pooled_t *pooled = (xch_pooled_t *)conn;
+  if (pooled->x == NULL)
     {
-      idle_remove (line);
-      line_close (line, false);
+      idle_remove (pooled);
+      pooled_close (pooled, false);
       return;
     }
-  line_fail (line, end == H1_END_EOF || end == H1_END_RESET ? XCH_RESET
-                                                            : XCH_MALFORMED);
+  pooled_fail (pooled, end == H1_END_EOF || end == H1_END_RESET
+                           ? XCH_RESET
+                           : XCH_MALFORMED);
 }
 
 static uint64_t
-stated_lifetime_ms (const h1_conn_t *conn)
+keep_alive_lifetime_ms (const h1_conn_t *conn)
 {
   static const char key[] = "timeout=";
   kb_slice_t value = h1_head_get (&conn->head, "keep-alive");
@@ -94,113 +95,114 @@
   const char *at = value.ptr == NULL ? NULL : strstr (text, key);
   if (at == NULL)
     return IDLE_DEFAULT_MS;
-  uint64_t stated_ms = strtoull (at + sizeof key - 1, NULL, 10) * 1000;
-  return stated_ms > IDLE_MARGIN_MS ? stated_ms - IDLE_MARGIN_MS : 0;
+  uint64_t advertised_ms = strtoull (at + sizeof key - 1, NULL, 10) * 1000;
+  return advertised_ms > IDLE_MARGIN_MS ? advertised_ms - IDLE_MARGIN_MS : 0;
 }
 
 static bool
-line_can_be_kept (const xch_line_t *line)
+pooled_is_reusable (const xch_pooled_t *pooled)
 {
-  const h1_conn_t *conn = &line->conn;
-  bool is_framed = line->expects_no_body || !h1_body_is_unframed (conn)
+  const h1_conn_t *conn = &pooled->conn;
+  bool is_framed = pooled->is_head_method || !h1_body_is_close_delimited (conn)
                    || conn->parser.status_code == 204
                    || conn->parser.status_code == 304;
   return !conn->is_ended && is_framed && conn->unsent_bytes == 0
-         && conn->ahead.len_bytes == 0 && conn->parser.http_minor >= 1
-         && !h1_has_token (h1_head_get (&conn->head, "connection"), "close")
-         && line->peer->idle_count < line->peer->max_idle;
+         && conn->pipelined.len_bytes == 0 && conn->parser.http_minor >= 1
+         && !h1_value_has_token (h1_head_get (&conn->head, "connection"),
+                                 "close")
+         && pooled->peer->idle_count < pooled->peer->max_idle;
 }
 
 static void
-line_keep (xch_line_t *line)
+pooled_return_to_idle (xch_pooled_t *pooled)
 {
-  xch_peer_t *peer = line->peer;
-  line->x = NULL;
-  line->idle_since_ms = uv_now (peer->pool->loop);
-  line->lifetime_ms = stated_lifetime_ms (&line->conn);
-  line->next = peer->idle;
-  peer->idle = line;
+  xch_peer_t *peer = pooled->peer;
+  pooled->x = NULL;
+  pooled->idle_since_ms = uv_now (peer->pool->loop);
+  pooled->lifetime_ms = keep_alive_lifetime_ms (&pooled->conn);
+  pooled->next = peer->idle;
+  peer->idle = pooled;
   peer->idle_count++;
-  h1_conn_resume (&line->conn);
+  h1_conn_resume (&pooled->conn);
 }
 
 static void
-line_on_head (h1_conn_t *conn)
+pooled_on_head (h1_conn_t *conn)
 {
-  xch_line_t *line = (xch_line_t *)conn;
-  if (line->x == NULL)
+  xch_pooled_t *pooled = (xch_pooled_t *)conn;
+  if (pooled->x == NULL)
     return;
-  line->x->events->on_head (line->x);
+  pooled->x->events->on_head (pooled->x);
 }
 
 static void
-line_on_body (h1_conn_t *conn, kb_slice_t bytes)
+pooled_on_body (h1_conn_t *conn, kb_slice_t bytes)
 {
-  xch_line_t *line = (xch_line_t *)conn;
-  if (line->x != NULL && !line->x->is_skipping)
-    line->x->events->on_body (line->x, bytes);
+  xch_pooled_t *pooled = (xch_pooled_t *)conn;
+  if (pooled->x != NULL && !pooled->x->is_discarding)
+    pooled->x->events->on_body (pooled->x, bytes);
 }
 
 static void
-line_on_message (h1_conn_t *conn)
+pooled_on_message (h1_conn_t *conn)
 {
-  xch_line_t *line = (xch_line_t *)conn;
-  xch_t *x = line->x;
+  xch_pooled_t *pooled = (xch_pooled_t *)conn;
+  xch_t *x = pooled->x;
   if (x == NULL)
     {
-      line_close (line, false);
+      pooled_close (pooled, false);
       return;
     }
-  if (x->is_skipping)
+  if (x->is_discarding)
     {
-      x->is_skipping = false;
-      h1_conn_next (conn);
+      x->is_discarding = false;
+      h1_conn_next_message (conn);
       return;
     }
-  x->line = NULL;
-  if (line_can_be_kept (line))
-    line_keep (line);
+  x->pooled = NULL;
+  if (pooled_is_reusable (pooled))
+    pooled_return_to_idle (pooled);
   else
-    line_close (line, false);
+    pooled_close (pooled, false);
   x->events->on_done (x);
 }
 
 static void
-line_send (xch_line_t *line, kb_slice_t bytes)
+pooled_send (xch_pooled_t *pooled, kb_slice_t bytes)
 {
-  line->is_sent = true;
-  if (!h1_conn_write (&line->conn, bytes.ptr, bytes.len_bytes))
-    h1_conn_pause (&line->conn);
+  pooled->is_sent = true;
+  if (!h1_conn_write (&pooled->conn, bytes.ptr, bytes.len_bytes))
+    h1_conn_pause (&pooled->conn);
 }
 
 static void
-line_on_connect (h1_conn_t *conn, bool is_connected)
+pooled_on_connect (h1_conn_t *conn, bool is_connected)
 {
-  xch_line_t *line = (xch_line_t *)conn;
-  tmr_cancel (line->peer->pool->timers, &line->timer);
+  xch_pooled_t *pooled = (xch_pooled_t *)conn;
+  tmr_cancel (pooled->peer->pool->timers, &pooled->timer);
   if (!is_connected)
     {
-      line_fail (line, XCH_NOT_SENT);
+      pooled_fail (pooled, XCH_NOT_SENT);
       return;
     }
-  line_send (line, kb_buf_slice (&line->to_send));
-  kb_buf_finish (&line->to_send);
-  kb_buf_init (&line->to_send);
+  pooled_send (pooled, kb_buf_slice (&pooled->queued_request));
+  kb_buf_finish (&pooled->queued_request);
+  kb_buf_init (&pooled->queued_request);
 }
 
-static const h1_events_t line_events = {
-  .on_head = line_on_head,
-  .on_body = line_on_body,
-  .on_message = line_on_message,
-  .on_end = line_on_end,
-  .on_connect = line_on_connect,
-  .on_closed = line_on_closed,
+static const h1_events_t pooled_events = {
+  .on_head = pooled_on_head,
+  .on_body = pooled_on_body,
+  .on_message = pooled_on_message,
+  .on_end = pooled_on_end,
+  .on_connect = pooled_on_connect,
+  .on_closed = pooled_on_closed,
 };
 
 static void
-line_connect_late (void *arg)
+pooled_on_connect_timeout (void *arg)
 {
-  line_fail (arg, XCH_NOT_SENT);
+  pooled_fail (arg, XCH_NOT_SENT);
 }
 
 /// Drop idle connections at the end of their lifetime.
@@ -209,21 +211,22 @@
 {
   xch_peer_t *peer = arg;
   uint64_t now_ms = uv_now (peer->pool->loop);
-  xch_line_t **at = &peer->idle;
+  xch_pooled_t **at = &peer->idle;
   while (*at != NULL)
     {
-      xch_line_t *line = *at;
-      if (now_ms - line->idle_since_ms < line->lifetime_ms)
+      xch_pooled_t *pooled = *at;
+      if (now_ms - pooled->idle_since_ms < pooled->lifetime_ms)
         {
-          at = &line->next;
+          at = &pooled->next;
           continue;
         }
-      *at = line->next;
+      *at = pooled->next;
       peer->idle_count--;
-      line_close (line, false);
+      pooled_close (pooled, false);
     }
   if (peer->idle != NULL)
-    tmr_after (peer->pool->timers, &peer->sweep, SWEEP_MS, peer_sweep, peer);
+    tmr_after (peer->pool->timers, &peer->sweep, IDLE_SWEEP_INTERVAL_MS,
+               peer_sweep, peer);
 }
 
 void
@@ -241,48 +244,50 @@
   tmr_cancel (peer->pool->timers, &peer->sweep);
   while (peer->idle != NULL)
     {
-      xch_line_t *line = peer->idle;
-      peer->idle = line->next;
+      xch_pooled_t *pooled = peer->idle;
+      peer->idle = pooled->next;
       peer->idle_count--;
-      line_close (line, false);
+      pooled_close (pooled, false);
     }
 }
 
 /// @return  The newest idle connection that is young enough, or NULL.
-static xch_line_t *
+static xch_pooled_t *
 peer_take_idle (xch_peer_t *peer, uint64_t max_idle_ms)
 {
   uint64_t now_ms = uv_now (peer->pool->loop);
-  xch_line_t *line = peer->idle;
-  if (line == NULL)
+  xch_pooled_t *pooled = peer->idle;
+  if (pooled == NULL)
     return NULL;
-  uint64_t age_ms = now_ms - line->idle_since_ms;
-  if (age_ms >= max_idle_ms || age_ms >= line->lifetime_ms)
+  uint64_t age_ms = now_ms - pooled->idle_since_ms;
+  if (age_ms >= max_idle_ms || age_ms >= pooled->lifetime_ms)
     return NULL;
-  peer->idle = line->next;
+  peer->idle = pooled->next;
   peer->idle_count--;
-  return line;
+  return pooled;
 }
 
 static void
-line_open (xch_peer_t *peer, xch_t *x, const xch_request_t *request)
+pooled_open (xch_peer_t *peer, xch_t *x, const xch_request_t *request)
 {
-  xch_line_t *line = kb_alloc (sizeof *line);
-  *line = (xch_line_t){ .peer = peer,
-                        .x = x,
-                        .expects_no_body = request->expects_no_body };
-  x->line = line;
+  xch_pooled_t *pooled = kb_alloc (sizeof *pooled);
+  *pooled = (xch_pooled_t){ .peer = peer,
+                            .x = x,
+                            .is_head_method = request->is_head_method };
+  x->pooled = pooled;
   peer->open_count++;
   peer->pool->opened_total++;
-  kb_buf_append (&line->to_send, request->head.ptr, request->head.len_bytes);
-  kb_buf_append (&line->to_send, request->body.ptr, request->body.len_bytes);
-  kb_status_t status = h1_conn_connect (&line->conn, peer->pool->loop,
-                                        &peer->address, &line_events, NULL);
-  line->conn.expects_no_body = request->expects_no_body;
+  kb_buf_append (&pooled->queued_request, request->head.ptr,
+                 request->head.len_bytes);
+  kb_buf_append (&pooled->queued_request, request->body.ptr,
+                 request->body.len_bytes);
+  kb_status_t status = h1_conn_connect (&pooled->conn, peer->pool->loop,
+                                        &peer->address, &pooled_events, NULL);
+  pooled->conn.is_head_method = request->is_head_method;
   // A refusal is reported from the loop, as every other failure.
   uint64_t timeout_ms = status == KB_OK ? request->connect_timeout_ms : 0;
-  tmr_after (peer->pool->timers, &line->timer, timeout_ms, line_connect_late,
-             line);
+  tmr_after (peer->pool->timers, &pooled->timer, timeout_ms,
+             pooled_on_connect_timeout, pooled);
 }
 
 void
@@ -291,58 +296,59 @@
 {
   *x = (xch_t){ .events = events, .owner = owner };
   if (peer->sweep.heap_at == 0)
-    tmr_after (peer->pool->timers, &peer->sweep, SWEEP_MS, peer_sweep, peer);
-  xch_line_t *line = peer_take_idle (peer, request->max_idle_ms);
-  if (line == NULL)
+    tmr_after (peer->pool->timers, &peer->sweep, IDLE_SWEEP_INTERVAL_MS,
+               peer_sweep, peer);
+  xch_pooled_t *pooled = peer_take_idle (peer, request->max_idle_ms);
+  if (pooled == NULL)
     {
-      line_open (peer, x, request);
+      pooled_open (peer, x, request);
       return;
     }
-  line->x = x;
-  x->line = line;
-  line->expects_no_body = request->expects_no_body;
-  line->conn.expects_no_body = request->expects_no_body;
-  h1_conn_next (&line->conn);
+  pooled->x = x;
+  x->pooled = pooled;
+  pooled->is_head_method = request->is_head_method;
+  pooled->conn.is_head_method = request->is_head_method;
+  h1_conn_next_message (&pooled->conn);
   kb_buf_t bytes = { 0 };
   kb_buf_append (&bytes, request->head.ptr, request->head.len_bytes);
   kb_buf_append (&bytes, request->body.ptr, request->body.len_bytes);
-  line_send (line, kb_buf_slice (&bytes));
+  pooled_send (pooled, kb_buf_slice (&bytes));
   kb_buf_finish (&bytes);
 }
 
 void
 xch_cancel (xch_t *x)
 {
-  xch_line_t *line = x->line;
-  if (line == NULL)
+  xch_pooled_t *pooled = x->pooled;
+  if (pooled == NULL)
     return;
-  x->line = NULL;
-  tmr_cancel (line->peer->pool->timers, &line->timer);
-  line_close (line, true);
+  x->pooled = NULL;
+  tmr_cancel (pooled->peer->pool->timers, &pooled->timer);
+  pooled_close (pooled, true);
 }
 
 void
-xch_skip (xch_t *x)
+xch_discard_response (xch_t *x)
 {
-  x->is_skipping = true;
+  x->is_discarding = true;
 }
 
 void
 xch_pause (xch_t *x)
 {
-  if (x->line != NULL)
-    h1_conn_pause (&x->line->conn);
+  if (x->pooled != NULL)
+    h1_conn_pause (&x->pooled->conn);
 }
 
 void
 xch_resume (xch_t *x)
 {
-  if (x->line != NULL)
-    h1_conn_resume (&x->line->conn);
+  if (x->pooled != NULL)
+    h1_conn_resume (&x->pooled->conn);
 }
 
 const h1_conn_t *
 xch_conn (const xch_t *x)
 {
-  return &x->line->conn;
+  return &x->pooled->conn;
 }
--- a/src/transport/exchange.h
+++ b/src/transport/exchange.h
@@ -11,7 +11,7 @@
 
 typedef struct xch xch_t;
 typedef struct xch_peer xch_peer_t;
-typedef struct xch_line xch_line_t;
+typedef struct xch_line xch_pooled_t;
 
 typedef struct
 {
@@ -25,7 +25,7 @@
 {
   xch_pool_t *pool;
   struct sockaddr_in address;
-  xch_line_t *idle; ///< Newest first.
+  xch_pooled_t *idle; ///< Newest first.
   uint32_t idle_count;
   uint32_t open_count;
   uint32_t max_idle;
@@ -37,17 +37,18 @@
   XCH_NOT_SENT, ///< No connection; the request did not leave.
   XCH_RESET,    ///< Sent; the connection broke before the answer was whole.
   XCH_MALFORMED,
-} xch_fail_t;
+} xch_failure_t;
 
 typedef struct
 {
-  /// The head of an answer; may call xch_skip, xch_pause or xch_cancel.
+  /// The head of an answer; may call xch_discard_response, xch_pause or
+  /// xch_cancel.
   void (*on_head) (xch_t *x);
   void (*on_body) (xch_t *x, kb_slice_t bytes);
   /// The answer is whole. Last callback.
   void (*on_done) (xch_t *x);
   /// No whole answer. Last callback.
-  void (*on_fail) (xch_t *x, xch_fail_t fail);
+  void (*on_fail) (xch_t *x, xch_failure_t fail);
 } xch_events_t;
 
 /// An exchange; memory of the caller.
@@ -55,26 +56,26 @@
 {
   const xch_events_t *events;
   void *owner;
-  xch_line_t *line; ///< NULL when not under way.
-  bool is_skipping;
+  xch_pooled_t *pooled; ///< NULL when not under way.
+  bool is_discarding;
 };
 
 /// What to send and how.
 typedef struct
 {
-  kb_slice_t head; ///< Start line and fields with the blank line.
+  kb_slice_t head; ///< Start pooled and fields with the blank pooled.
   kb_slice_t body;
   /// An idle connection older than this is not used, because the peer may
   /// have dropped it and a request lost on it may have run; zero: always a
   /// new connection.
   uint64_t max_idle_ms;
   uint64_t connect_timeout_ms;
-  bool expects_no_body;
+  bool is_head_method;
 } xch_request_t;
 
 enum
 {
-  XCH_ANY_IDLE = 3600000, ///< Any idle connection will do.
+  XCH_ANY_IDLE_MS = 3600000, ///< Any idle connection will do.
 };
 
 void xch_peer_init (xch_peer_t *peer, xch_pool_t *pool,
@@ -88,13 +89,13 @@
 /// callback follows; harmless when not under way.
 void xch_cancel (xch_t *x);
 /// This answer belongs to another request: drop it and wait for the next.
-void xch_skip (xch_t *x);
+void xch_discard_response (xch_t *x);
 void xch_pause (xch_t *x);
 void xch_resume (xch_t *x);
 static inline bool
 xch_is_active (const xch_t *x)
 {
-  return x->line != NULL;
+  return x->pooled != NULL;
 }
 /// Valid within on_head and on_body.
 const h1_conn_t *xch_conn (const xch_t *x);
--- a/src/transport/h1.c
+++ b/src/transport/h1.c
@@ -11,9 +11,9 @@
   READ_BUFFER_BYTES = 65536,
   /// Unacknowledged data or probes for this long end the connection. Peers
   /// are a few ms away; losses of a few packets are repeated within 1 s.
-  SILENT_PEER_MS = 3000,
+  UNACKED_TIMEOUT_MS = 3000,
   KEEPALIVE_IDLE_S = 2,
-  KEEPALIVE_STEP_S = 1,
+  KEEPALIVE_INTERVAL_S = 1,
   KEEPALIVE_PROBES = 2,
 };
 
@@ -32,8 +32,8 @@
   kb_buf_clear (&head->bytes);
   head->target_bytes = 0;
   head->field_count = 0;
-  head->is_value = false;
-  head->is_done = false;
+  head->is_in_value = false;
+  head->is_complete = false;
 }
 
 static void
@@ -69,25 +69,25 @@
 parse_name (http_parser *parser, const char *at, size_t len_bytes)
 {
   h1_head_t *head = &((h1_conn_t *)parser->data)->head;
-  if (head->is_done)
+  if (head->is_complete)
     return 0;
-  if (head->is_value || head->field_count == 0)
+  if (head->is_in_value || head->field_count == 0)
     {
       if (head->field_count == H1_MAX_FIELDS)
         {
-          ((h1_conn_t *)parser->data)->is_oversized = true;
+          ((h1_conn_t *)parser->data)->is_head_oversized = true;
           return -1;
         }
       head->fields[head->field_count++] = (h1_field_t){
-        .name_at = (uint32_t)head->bytes.len_bytes,
-        .value_at = (uint32_t)head->bytes.len_bytes,
+        .name_offset = (uint32_t)head->bytes.len_bytes,
+        .value_offset = (uint32_t)head->bytes.len_bytes,
       };
-      head->is_value = false;
+      head->is_in_value = false;
     }
   kb_buf_append (&head->bytes, at, len_bytes);
   h1_field_t *field = (h1_field_t *)head_last_field (head);
   field->name_bytes += (uint32_t)len_bytes;
-  field->value_at = (uint32_t)head->bytes.len_bytes;
+  field->value_offset = (uint32_t)head->bytes.len_bytes;
   return 0;
 }
 
@@ -95,9 +95,9 @@
 parse_value (http_parser *parser, const char *at, size_t len_bytes)
 {
   h1_head_t *head = &((h1_conn_t *)parser->data)->head;
-  if (head->is_done)
+  if (head->is_complete)
     return 0;
-  head->is_value = true;
+  head->is_in_value = true;
   kb_buf_append (&head->bytes, at, len_bytes);
   ((h1_field_t *)head_last_field (head))->value_bytes += (uint32_t)len_bytes;
   return 0;
@@ -110,13 +110,13 @@
 {
   enum
   {
-    FIELD_MARKS_BYTES = 4,  ///< ": " and the line end.
-    START_MARKS_BYTES = 16, ///< Method, version, line end.
+    FIELD_OVERHEAD_BYTES = 4,       ///< ": " and the line end.
+    START_LINE_OVERHEAD_BYTES = 16, ///< Method, version, line end.
   };
   const h1_head_t *head = &conn->head;
   size_t wire_bytes = head->bytes.len_bytes
-                      + FIELD_MARKS_BYTES * (size_t)head->field_count
-                      + START_MARKS_BYTES;
+                      + FIELD_OVERHEAD_BYTES * (size_t)head->field_count
+                      + START_LINE_OVERHEAD_BYTES;
   return conn->max_header_bytes > 0 && wire_bytes > conn->max_header_bytes;
 }
 
@@ -130,14 +130,14 @@
     return 0;
   if (head_is_too_long (conn))
     {
-      conn->is_oversized = true;
+      conn->is_head_oversized = true;
       return -1;
     }
-  conn->head.is_done = true;
+  conn->head.is_complete = true;
   conn->events->on_head (conn);
   if (conn->is_closing || conn->is_ended)
     return -1;
-  return conn->is_client && conn->expects_no_body ? 1 : 0;
+  return conn->is_client && conn->is_head_method ? 1 : 0;
 }
 
 static int
@@ -156,7 +156,7 @@
       && parser->status_code < 200)
     return 0;
   conn->is_in_message = false;
-  conn->is_held = true;
+  conn->is_message_complete = true;
   http_parser_pause (parser, 1);
   return 0;
 }
@@ -172,7 +172,7 @@
 };
 
 /// Parse what stands in `bytes`; what lies behind a complete message is kept
-/// for h1_conn_next.
+/// for h1_conn_next_message.
 static void
 conn_parse (h1_conn_t *conn, const char *bytes, size_t len_bytes)
 {
@@ -182,16 +182,16 @@
   conn->is_parsing = false;
   if (conn->is_closing || conn->is_ended)
     return;
-  if (conn->is_held)
+  if (conn->is_message_complete)
     {
       if (used < len_bytes)
-        kb_buf_append (&conn->ahead, bytes + used, len_bytes - used);
+        kb_buf_append (&conn->pipelined, bytes + used, len_bytes - used);
       conn->events->on_message (conn);
       return;
     }
-  bool is_head_open = conn->is_in_message && !conn->head.is_done;
-  if (conn->is_oversized || (is_head_open && head_is_too_long (conn)))
-    conn_end (conn, H1_END_HEADER_SIZE);
+  bool is_head_open = conn->is_in_message && !conn->head.is_complete;
+  if (conn->is_head_oversized || (is_head_open && head_is_too_long (conn)))
+    conn_end (conn, H1_END_HEADER_TOO_LARGE);
   else if (HTTP_PARSER_ERRNO (&conn->parser) != HPE_OK
            || conn->parser.upgrade != 0)
     conn_end (conn, H1_END_MALFORMED);
@@ -202,10 +202,10 @@
 {
   // An answer without a length ends with the connection; the parser concludes
   // it when it sees the end.
-  if (conn->is_in_message && !conn->is_held)
+  if (conn->is_in_message && !conn->is_message_complete)
     {
       http_parser_execute (&conn->parser, &parse_settings, NULL, 0);
-      if (conn->is_held)
+      if (conn->is_message_complete)
         conn->events->on_message (conn);
     }
   conn_end (conn, H1_END_EOF);
@@ -222,7 +222,7 @@
 /// would then look whole though its sender crashed within it. The socket
 /// itself still knows: a read gives the pending error instead of zero bytes.
 static bool
-conn_was_reset (h1_conn_t *conn)
+conn_has_pending_error (h1_conn_t *conn)
 {
   uv_os_fd_t fd;
   char byte;
@@ -232,24 +232,26 @@
 }
 
 static void
-conn_read (uv_stream_t *stream, ssize_t got, const uv_buf_t *buf)
+conn_read (uv_stream_t *stream, ssize_t nread, const uv_buf_t *buf)
 {
   h1_conn_t *conn = stream->data;
-  bool is_reset = got < 0 && (got != UV_EOF || conn_was_reset (conn));
+  bool is_reset
+      = nread < 0 && (nread != UV_EOF || conn_has_pending_error (conn));
   if (is_reset)
     conn_end (conn, H1_END_RESET);
-  else if (got < 0)
+  else if (nread < 0)
     conn_read_eof (conn);
-  else if (got > 0 && conn->is_draining)
+  else if (nread > 0 && conn->is_lingering)
     return;
-  else if (got > 0 && conn->is_held)
+  else if (nread > 0 && conn->is_message_complete)
     {
-      kb_buf_append (&conn->ahead, buf->base, (size_t)got);
-      if (conn->is_client || conn->ahead.len_bytes > H1_MAX_AHEAD_BYTES)
+      kb_buf_append (&conn->pipelined, buf->base, (size_t)nread);
+      if (conn->is_client
+          || conn->pipelined.len_bytes > H1_MAX_PIPELINED_BYTES)
         conn_end (conn, H1_END_MALFORMED);
     }
-  else if (got > 0)
-    conn_parse (conn, buf->base, (size_t)got);
+  else if (nread > 0)
+    conn_parse (conn, buf->base, (size_t)nread);
 }
 
 void
@@ -281,12 +283,12 @@
     return;
   int on = 1;
   int idle_s = KEEPALIVE_IDLE_S;
-  int step_s = KEEPALIVE_STEP_S;
+  int interval_s = KEEPALIVE_INTERVAL_S;
   int probes = KEEPALIVE_PROBES;
-  unsigned timeout_ms = SILENT_PEER_MS;
+  unsigned timeout_ms = UNACKED_TIMEOUT_MS;
   setsockopt (fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle_s, sizeof idle_s);
-  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &step_s, sizeof step_s);
+  setsockopt (fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval_s, sizeof interval_s);
   setsockopt (fd, IPPROTO_TCP, TCP_KEEPCNT, &probes, sizeof probes);
   setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
               sizeof timeout_ms);
@@ -395,10 +397,10 @@
   if (conn->unsent_bytes == 0)
     {
       uv_buf_t buf = uv_buf_init ((char *)bytes, (unsigned)len_bytes);
-      int wrote = uv_try_write ((uv_stream_t *)&conn->tcp, &buf, 1);
-      if (wrote > 0)
-        done = (size_t)wrote;
-      else if (wrote != UV_EAGAIN && wrote < 0)
+      int nwritten = uv_try_write ((uv_stream_t *)&conn->tcp, &buf, 1);
+      if (nwritten > 0)
+        done = (size_t)nwritten;
+      else if (nwritten != UV_EAGAIN && nwritten < 0)
         return false;
     }
   if (done == len_bytes)
@@ -433,42 +435,42 @@
   memcpy (out, head, (size_t)head_bytes);
   memcpy (out + head_bytes, bytes.ptr, bytes.len_bytes);
   memcpy (out + total - sizeof line_end, line_end, sizeof line_end);
-  bool is_taken = h1_conn_write (conn, out, total);
+  bool is_queued = h1_conn_write (conn, out, total);
   if (out != small)
     free (out);
-  return is_taken;
+  return is_queued;
 }
 
 void
-h1_conn_next (h1_conn_t *conn)
+h1_conn_next_message (h1_conn_t *conn)
 {
-  if (conn->is_closing || conn->is_ended || !conn->is_held)
+  if (conn->is_closing || conn->is_ended || !conn->is_message_complete)
     return;
-  conn->is_held = false;
+  conn->is_message_complete = false;
   http_parser_pause (&conn->parser, 0);
-  if (conn->ahead.len_bytes == 0)
+  if (conn->pipelined.len_bytes == 0)
     return;
   kb_buf_t bytes = { 0 };
-  kb_buf_swap (&bytes, &conn->ahead);
+  kb_buf_swap (&bytes, &conn->pipelined);
   conn_parse (conn, bytes.ptr, bytes.len_bytes);
   kb_buf_finish (&bytes);
 }
 
 static void
-conn_drained (uv_shutdown_t *req, int status)
+linger_shutdown_done (uv_shutdown_t *req, int status)
 {
   free (req);
 }
 
 void
-h1_conn_drain (h1_conn_t *conn)
+h1_conn_linger (h1_conn_t *conn)
 {
-  if (conn->is_closing || conn->is_draining)
+  if (conn->is_closing || conn->is_lingering)
     return;
-  conn->is_draining = true;
+  conn->is_lingering = true;
   conn->is_ended = false;
   uv_shutdown_t *req = kb_alloc (sizeof *req);
-  if (uv_shutdown (req, (uv_stream_t *)&conn->tcp, conn_drained) != 0)
+  if (uv_shutdown (req, (uv_stream_t *)&conn->tcp, linger_shutdown_done) != 0)
     free (req);
   h1_conn_resume (conn);
 }
@@ -478,12 +480,12 @@
 {
   h1_conn_t *conn = handle->data;
   kb_buf_finish (&conn->head.bytes);
-  kb_buf_finish (&conn->ahead);
+  kb_buf_finish (&conn->pipelined);
   conn->events->on_closed (conn);
 }
 
 static void
-conn_shut (uv_shutdown_t *req, int status)
+close_shutdown_done (uv_shutdown_t *req, int status)
 {
   uv_handle_t *handle = (uv_handle_t *)req->handle;
   free (req);
@@ -507,7 +509,8 @@
   if (conn->unsent_bytes > 0)
     {
       uv_shutdown_t *req = kb_alloc (sizeof *req);
-      if (uv_shutdown (req, (uv_stream_t *)&conn->tcp, conn_shut) == 0)
+      if (uv_shutdown (req, (uv_stream_t *)&conn->tcp, close_shutdown_done)
+          == 0)
         return;
       free (req);
     }
--- a/src/transport/h1.h
+++ b/src/transport/h1.h
@@ -15,8 +15,8 @@
 enum
 {
   H1_MAX_FIELDS = 96,
-  /// Bytes accepted ahead of their turn while a request is in progress.
-  H1_MAX_AHEAD_BYTES = 65536,
+  /// Bytes accepted pipelined of their turn while a request is in progress.
+  H1_MAX_PIPELINED_BYTES = 65536,
 };
 
 typedef struct h1_conn h1_conn_t;
@@ -24,9 +24,9 @@
 /// One header field; offsets into h1_head_t.bytes.
 typedef struct
 {
-  uint32_t name_at;
+  uint32_t name_offset;
   uint32_t name_bytes;
-  uint32_t value_at;
+  uint32_t value_offset;
   uint32_t value_bytes;
 } h1_field_t;
 
@@ -37,8 +37,8 @@
   uint32_t target_bytes; ///< The request target stands first in `bytes`.
   h1_field_t fields[H1_MAX_FIELDS];
   uint32_t field_count;
-  bool is_value; ///< The last piece read belonged to a value.
-  bool is_done;  ///< Complete; fields behind a chunked body are ignored.
+  bool is_in_value; ///< The last piece read belonged to a value.
+  bool is_complete; ///< Complete; fields behind a chunked body are ignored.
 } h1_head_t;
 
 /// Why a connection ended.
@@ -47,7 +47,7 @@
   H1_END_EOF,       ///< The peer closed in order.
   H1_END_RESET,     ///< Reset, or no longer reachable.
   H1_END_MALFORMED, ///< The peer sent what is no proper message.
-  H1_END_HEADER_SIZE,
+  H1_END_HEADER_TOO_LARGE,
 } h1_end_t;
 
 typedef struct
@@ -56,7 +56,7 @@
   void (*on_head) (h1_conn_t *conn);
   void (*on_body) (h1_conn_t *conn, kb_slice_t bytes);
   /// The message is complete. The connection reads no further message before
-  /// h1_conn_next.
+  /// h1_conn_next_message.
   void (*on_message) (h1_conn_t *conn);
   /// The connection is of no more use; the owner calls h1_conn_close.
   void (*on_end) (h1_conn_t *conn, h1_end_t end);
@@ -76,20 +76,21 @@
   uv_connect_t connect;
   http_parser parser;
   h1_head_t head;
-  kb_buf_t ahead; ///< Received, not parsed yet.
+  kb_buf_t pipelined; ///< Received, not parsed yet.
   uint32_t max_header_bytes;
   size_t unsent_bytes;
   uint64_t began_ms; ///< Loop time at which the present message began.
   bool is_client;
   bool is_reading;
-  bool is_held;       ///< A complete message waits for h1_conn_next.
+  bool is_message_complete; ///< A complete message waits for
+                            ///< h1_conn_next_message.
   bool is_in_message; ///< Between the first byte of a message and its end.
   bool is_parsing;
   bool is_closing;
-  bool is_ended;        ///< on_end was called.
-  bool expects_no_body; ///< Client side: answer to HEAD.
-  bool is_oversized;
-  bool is_draining; ///< Discards what still comes in.
+  bool is_ended;       ///< on_end was called.
+  bool is_head_method; ///< Client side: answer to HEAD.
+  bool is_head_oversized;
+  bool is_lingering; ///< Discards what still comes in.
 };
 
 /// Open a listening socket; `on_connection` gets `data` as its handle's data.
@@ -113,7 +114,7 @@
 /// Write one chunk of a chunked body.
 bool h1_conn_write_chunk (h1_conn_t *conn, kb_slice_t bytes);
 /// Read the next message, which may have arrived already.
-void h1_conn_next (h1_conn_t *conn);
+void h1_conn_next_message (h1_conn_t *conn);
 /// Stop and resume reading from the socket.
 void h1_conn_pause (h1_conn_t *conn);
 void h1_conn_resume (h1_conn_t *conn);
@@ -124,7 +125,7 @@
 /// Say that nothing more will be written, and discard what still comes in
 /// until the peer closes (on_end). Closing a connection with bytes unread
 /// resets it, and the peer may lose the answer that is on its way.
-void h1_conn_drain (h1_conn_t *conn);
+void h1_conn_linger (h1_conn_t *conn);
 /// @return  Value of the first field with that name, or an empty slice with
 ///          a NULL pointer.
 kb_slice_t h1_head_get (const h1_head_t *head, const char *name);
@@ -135,14 +136,14 @@
 /// The request target as received.
 kb_slice_t h1_head_target (const h1_head_t *head);
 /// @return  Whether a comma-separated value holds a token, ignoring case.
-bool h1_has_token (kb_slice_t value, const char *token);
+bool h1_value_has_token (kb_slice_t value, const char *token);
 bool h1_name_is (kb_slice_t name, const char *text);
 /// @return  Whether a request head is safe to relay: proper field names, one
 ///          host, one unambiguous body length.
-bool h1_request_is_proper (const h1_conn_t *conn);
+bool h1_request_is_well_formed (const h1_conn_t *conn);
 /// Parse "a.b.c.d:port".
 kb_status_t h1_parse_address (kb_slice_t text, struct sockaddr_in *out);
 /// Whether the answer ended with the connection instead of a length.
-bool h1_body_is_unframed (const h1_conn_t *conn);
+bool h1_body_is_close_delimited (const h1_conn_t *conn);
 
 #endif
--- a/src/transport/h1_head.c
+++ b/src/transport/h1_head.c
@@ -11,14 +11,14 @@
 h1_field_name (const h1_head_t *head, uint32_t at)
 {
   const h1_field_t *f = &head->fields[at];
-  return (kb_slice_t){ head->bytes.ptr + f->name_at, f->name_bytes };
+  return (kb_slice_t){ head->bytes.ptr + f->name_offset, f->name_bytes };
 }
 
 kb_slice_t
 h1_field_value (const h1_head_t *head, uint32_t at)
 {
   const h1_field_t *f = &head->fields[at];
-  return (kb_slice_t){ head->bytes.ptr + f->value_at, f->value_bytes };
+  return (kb_slice_t){ head->bytes.ptr + f->value_offset, f->value_bytes };
 }
 
 kb_slice_t
@@ -54,9 +54,9 @@
 }
 
 bool
-h1_has_token (kb_slice_t value, const char *token)
+h1_value_has_token (kb_slice_t value, const char *token)
 {
-  size_t want = strlen (token);
+  size_t token_bytes = strlen (token);
   uint32_t at = 0;
   while (at < value.len_bytes)
     {
@@ -68,7 +68,8 @@
       while (end < value.len_bytes && value.ptr[end] != ','
              && value.ptr[end] != ' ' && value.ptr[end] != '\t')
         end++;
-      if (end - at == want && strncasecmp (value.ptr + at, token, want) == 0)
+      if (end - at == token_bytes
+          && strncasecmp (value.ptr + at, token, token_bytes) == 0)
         return true;
       at = end;
       while (at < value.len_bytes && value.ptr[at] != ',')
@@ -95,7 +96,7 @@
 }
 
 bool
-h1_request_is_proper (const h1_conn_t *conn)
+h1_request_is_well_formed (const h1_conn_t *conn)
 {
   const h1_head_t *head = &conn->head;
   for (uint32_t i = 0; i < head->field_count; i++)
@@ -119,7 +120,7 @@
 }
 
 bool
-h1_body_is_unframed (const h1_conn_t *conn)
+h1_body_is_close_delimited (const h1_conn_t *conn)
 {
   return h1_head_count (&conn->head, "content-length") == 0
          && h1_head_count (&conn->head, "transfer-encoding") == 0;
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -6,7 +6,7 @@
 
 enum
 {
-  HTC_IO_TIMEOUT_MS = 3600000
+  H2O_IO_TIMEOUT_MS = 3600000
 };
 
 typedef struct
@@ -24,7 +24,7 @@
   impl->queue = h2o_multithread_create_queue (loop);
   h2o_multithread_register_receiver (impl->queue, &impl->receiver,
                                      h2o_hostinfo_getaddr_receiver);
-  h2o_timeout_init (loop, &impl->io_timeout, HTC_IO_TIMEOUT_MS);
+  h2o_timeout_init (loop, &impl->io_timeout, H2O_IO_TIMEOUT_MS);
   impl->ctx.loop = loop;
   impl->ctx.getaddr_receiver = &impl->receiver;
   impl->ctx.io_timeout = &impl->io_timeout;
@@ -63,7 +63,7 @@
 }
 
 static void
-call_fail_later (void *arg)
+call_report_not_sent (void *arg)
 {
   htc_call_t *call = arg;
   call->events->on_end (call, HTC_END_NOT_SENT);
@@ -71,7 +71,7 @@
 }
 
 static void
-call_expire (void *arg)
+call_on_idle_timeout (void *arg)
 {
   htc_call_t *call = arg;
   h2o_http1client_cancel (call->h2o_client);
@@ -79,10 +79,10 @@
 }
 
 static void
-call_touch (htc_call_t *call)
+call_restart_idle_timer (htc_call_t *call)
 {
   tmr_after (call->client->timers, &call->timer, call->idle_timeout_ms,
-             call_expire, call);
+             call_on_idle_timeout, call);
 }
 
 static int
@@ -91,10 +91,10 @@
   htc_call_t *call = client->data;
   if (errstr != NULL && errstr != h2o_http1client_error_is_eos)
     {
-      call_end (call, HTC_END_BROKEN);
+      call_end (call, HTC_END_INCOMPLETE);
       return -1;
     }
-  call_touch (call);
+  call_restart_idle_timer (call);
   h2o_buffer_t *input = client->sock->input;
   if (input->size > 0)
     {
@@ -110,7 +110,7 @@
       return -1;
     }
   if (errstr == h2o_http1client_error_is_eos)
-    call_end (call, HTC_END_WHOLE);
+    call_end (call, HTC_END_COMPLETE);
   return 0;
 }
 
@@ -134,10 +134,10 @@
   htc_call_t *call = client->data;
   if (errstr != NULL && errstr != h2o_http1client_error_is_eos)
     {
-      call_end (call, HTC_END_BROKEN);
+      call_end (call, HTC_END_INCOMPLETE);
       return NULL;
     }
-  call_touch (call);
+  call_restart_idle_timer (call);
   call->http_status = status;
   call->headers = headers;
   call->header_count = num_headers;
@@ -153,7 +153,7 @@
     }
   if (errstr == h2o_http1client_error_is_eos)
     {
-      call_end (call, HTC_END_WHOLE);
+      call_end (call, HTC_END_COMPLETE);
       return NULL;
     }
   return on_body;
@@ -195,7 +195,7 @@
                  "content-length: %u\r\n%s\r\n",
                  method, path, address, port, body.len_bytes, extra_headers);
   kb_buf_append (&call->request, body.ptr, body.len_bytes);
-  call_touch (call);
+  call_restart_idle_timer (call);
   client_impl_t *impl = client->impl;
   h2o_http1client_t *h2o_client = NULL;
   call->is_starting = true;
@@ -207,7 +207,7 @@
   // h2o reports a lack of descriptors before it returns; the owner has not
   // even stored the call by then, so the end is reported on the next turn.
   if (call->is_ended)
-    tmr_after (client->timers, &call->timer, 0, call_fail_later, call);
+    tmr_after (client->timers, &call->timer, 0, call_report_not_sent, call);
   return call;
 }
 
--- a/src/transport/httpc.h
+++ b/src/transport/httpc.h
@@ -17,10 +17,10 @@
 /// How far a call came before it ended.
 typedef enum
 {
-  HTC_END_WHOLE,    ///< The whole response arrived.
-  HTC_END_NOT_SENT, ///< No connection was made.
-  HTC_END_BROKEN,   ///< Sent, but the response is missing or cut.
-  HTC_END_TIMEOUT,  ///< Sent; nothing came within the time.
+  HTC_END_COMPLETE,   ///< The whole response arrived.
+  HTC_END_NOT_SENT,   ///< No connection was made.
+  HTC_END_INCOMPLETE, ///< Sent, but the response is missing or cut.
+  HTC_END_TIMEOUT,    ///< Sent; nothing came within the time.
 } htc_end_t;
 
 /// Callbacks of one call.
--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -12,7 +12,7 @@
 enum
 {
   HTS_BACKLOG = 1024,
-  HTS_HANGUP_CHECK_MS = 500,
+  HTS_HANGUP_POLL_MS = 500,
   HTTP_TOO_LARGE = 413,
 };
 
@@ -38,7 +38,7 @@
 {
   h2o_logger_t super;
   hts_server_t *server;
-} end_observer_t;
+} request_end_logger_t;
 
 typedef struct
 {
@@ -50,7 +50,7 @@
 typedef struct
 {
   hts_request_t *request;
-} request_anchor_t;
+} request_pool_entry_t;
 
 static void
 request_free (hts_request_t *request)
@@ -62,10 +62,10 @@
 }
 
 static void
-anchor_dispose (void *arg)
+request_on_dispose (void *arg)
 {
-  request_anchor_t *anchor = arg;
-  hts_request_t *request = anchor->request;
+  request_pool_entry_t *pool_entry = arg;
+  hts_request_t *request = pool_entry->request;
   if (!request->is_finished)
     request->server->events->on_abort (request);
   request_free (request);
@@ -87,19 +87,19 @@
   h2o_req_t *req = request->impl;
   int fd = request_fd (req);
   char byte;
-  ssize_t got = fd < 0 ? 1 : recv (fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  bool is_gone = got == 0
-                 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK
-                     && errno != EINTR);
-  if (!is_gone || request->is_finished || request->is_cut)
+  ssize_t nread = fd < 0 ? 1 : recv (fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  bool has_hung_up = nread == 0
+                     || (nread < 0 && errno != EAGAIN && errno != EWOULDBLOCK
+                         && errno != EINTR);
+  if (!has_hung_up || request->is_finished || request->is_aborted)
     return;
-  request->is_cut = true;
+  request->is_aborted = true;
   tmr_cancel (request->server->timers, &request->hangup_timer);
   request->server->events->on_abort (request);
   request->is_finished = true;
   if (request->is_streaming)
     {
-      if (!request->is_busy)
+      if (!request->is_sending)
         h2o_send (req, NULL, 0, H2O_SEND_STATE_ERROR);
       return;
     }
@@ -111,9 +111,9 @@
 
 /// h2o answers a body that is too large without reading it, and closes.
 static void
-observe_end (h2o_logger_t *self, h2o_req_t *req)
+on_request_end (h2o_logger_t *self, h2o_req_t *req)
 {
-  hts_server_t *server = ((end_observer_t *)self)->server;
+  hts_server_t *server = ((request_end_logger_t *)self)->server;
   int fd = request_fd (req);
   if (req->res.status == HTTP_TOO_LARGE && fd >= 0)
     lng_take (server->loop, server->timers, fd);
@@ -130,10 +130,10 @@
       = (kb_slice_t){ req->method.base, (uint32_t)req->method.len };
   request->path = (kb_slice_t){ req->path.base, (uint32_t)req->path.len };
   request->body = (kb_slice_t){ req->entity.base, (uint32_t)req->entity.len };
-  request_anchor_t *anchor
-      = h2o_mem_alloc_shared (&req->pool, sizeof *anchor, anchor_dispose);
-  anchor->request = request;
-  tmr_every (server->timers, &request->hangup_timer, HTS_HANGUP_CHECK_MS,
+  request_pool_entry_t *pool_entry = h2o_mem_alloc_shared (
+      &req->pool, sizeof *pool_entry, request_on_dispose);
+  pool_entry->request = request;
+  tmr_every (server->timers, &request->hangup_timer, HTS_HANGUP_POLL_MS,
              request_check_hangup, request);
   server->events->on_request (server, request);
   return 0;
@@ -220,10 +220,11 @@
   handler->super.on_req = handler_on_req;
   handler->server = server;
   // Requests that h2o refuses itself belong to the fallback path.
-  end_observer_t *observer = (end_observer_t *)h2o_create_logger (
-      &host->fallback_path, sizeof (end_observer_t));
-  observer->super.log_access = observe_end;
-  observer->server = server;
+  request_end_logger_t *end_logger
+      = (request_end_logger_t *)h2o_create_logger (
+          &host->fallback_path, sizeof (request_end_logger_t));
+  end_logger->super.log_access = on_request_end;
+  end_logger->server = server;
   h2o_context_init (&impl->ctx, loop, &impl->config);
   impl->accept_ctx.ctx = &impl->ctx;
   impl->accept_ctx.hosts = impl->config.hosts;
@@ -323,30 +324,30 @@
 stream_flush (hts_request_t *request)
 {
   h2o_req_t *req = request->impl;
-  if (request->is_busy)
+  if (request->is_sending)
     return;
-  if (request->is_cut)
+  if (request->is_aborted)
     {
       h2o_send (req, NULL, 0, H2O_SEND_STATE_ERROR);
       return;
     }
-  if (request->out.len_bytes == 0 && !request->is_finishing)
+  if (request->out.len_bytes == 0 && !request->is_end_queued)
     return;
   kb_buf_clear (&request->sending);
   kb_buf_swap (&request->out, &request->sending);
   h2o_iovec_t vec
       = h2o_iovec_init (request->sending.ptr, request->sending.len_bytes);
-  request->is_busy = true;
+  request->is_sending = true;
   h2o_send (req, &vec, vec.len > 0 ? 1 : 0,
-            request->is_finishing ? H2O_SEND_STATE_FINAL
-                                  : H2O_SEND_STATE_IN_PROGRESS);
+            request->is_end_queued ? H2O_SEND_STATE_FINAL
+                                   : H2O_SEND_STATE_IN_PROGRESS);
 }
 
 static void
 stream_proceed (h2o_generator_t *self, h2o_req_t *req)
 {
   hts_request_t *request = ((stream_generator_t *)self)->request;
-  request->is_busy = false;
+  request->is_sending = false;
   stream_flush (request);
 }
 
@@ -383,18 +384,18 @@
 }
 
 void
-hts_stream_end (hts_request_t *request, bool is_whole)
+hts_stream_end (hts_request_t *request, bool is_complete)
 {
   request->is_finished = true;
   tmr_cancel (request->server->timers, &request->hangup_timer);
-  request->is_finishing = is_whole;
-  request->is_cut = !is_whole;
+  request->is_end_queued = is_complete;
+  request->is_aborted = !is_complete;
   stream_flush (request);
 }
 
 size_t
-hts_stream_pending (const hts_request_t *request)
+hts_stream_unsent_bytes (const hts_request_t *request)
 {
   return request->out.len_bytes
-         + (request->is_busy ? request->sending.len_bytes : 0);
+         + (request->is_sending ? request->sending.len_bytes : 0);
 }
--- a/src/transport/httpd.h
+++ b/src/transport/httpd.h
@@ -57,10 +57,10 @@
   tmr_sub_t hangup_timer;
   void *generator;
   bool is_streaming;
-  bool is_busy;
-  bool is_finishing;
+  bool is_sending;
+  bool is_end_queued;
   bool is_finished;
-  bool is_cut;
+  bool is_aborted;
 };
 
 kb_status_t hts_server_init (hts_server_t *server, uv_loop_t *loop,
@@ -85,8 +85,8 @@
 void hts_stream_write (hts_request_t *request, kb_slice_t bytes);
 /// End a streamed answer; the request is gone afterwards. An answer that is
 /// not whole is cut, so that the caller's library reports it.
-void hts_stream_end (hts_request_t *request, bool is_whole);
+void hts_stream_end (hts_request_t *request, bool is_complete);
 /// Bytes of the stream that the caller has not taken yet.
-size_t hts_stream_pending (const hts_request_t *request);
+size_t hts_stream_unsent_bytes (const hts_request_t *request);
 
 #endif
--- a/src/transport/kv.c
+++ b/src/transport/kv.c
@@ -179,7 +179,7 @@
 call_on_end (htc_call_t *http, htc_end_t end)
 {
   kv_call_t *call = http->owner;
-  if (end == HTC_END_WHOLE)
+  if (end == HTC_END_COMPLETE)
     call_report (call, http->http_status);
   else
     {
--- a/src/transport/pages.c
+++ b/src/transport/pages.c
@@ -29,23 +29,24 @@
 {
   pgs_client_t *client = (pgs_client_t *)conn;
   kb_buf_t body = { 0 };
-  kb_buf_t answer = { 0 };
-  int http_status = client->server->answer (
+  kb_buf_t response = { 0 };
+  int http_status = client->server->handler (
       client->server->owner, h1_head_target (&conn->head), &body);
-  bool is_last = !http_should_keep_alive (&conn->parser);
-  kb_buf_printf (&answer,
+  bool closes_connection = !http_should_keep_alive (&conn->parser);
+  kb_buf_printf (&response,
                  "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\n"
                  "Content-Length: %zu\r\n%s\r\n",
                  http_status, http_status_str ((enum http_status)http_status),
-                 body.len_bytes, is_last ? "Connection: close\r\n" : "");
-  kb_buf_append (&answer, body.ptr, body.len_bytes);
-  h1_conn_write (conn, answer.ptr, answer.len_bytes);
+                 body.len_bytes,
+                 closes_connection ? "Connection: close\r\n" : "");
+  kb_buf_append (&response, body.ptr, body.len_bytes);
+  h1_conn_write (conn, response.ptr, response.len_bytes);
   kb_buf_finish (&body);
-  kb_buf_finish (&answer);
-  if (is_last)
+  kb_buf_finish (&response);
+  if (closes_connection)
     h1_conn_close (conn, false);
   else
-    h1_conn_next (conn);
+    h1_conn_next_message (conn);
 }
 
 static void
@@ -85,10 +86,10 @@
 
 kb_status_t
 pgs_server_init (pgs_server_t *server, uv_loop_t *loop,
-                 const struct sockaddr_in *address, pgs_answer_t answer,
+                 const struct sockaddr_in *address, pgs_handler_t handler,
                  void *owner, kb_error_t *error)
 {
-  *server = (pgs_server_t){ .loop = loop, .answer = answer, .owner = owner };
+  *server = (pgs_server_t){ .loop = loop, .handler = handler, .owner = owner };
   return h1_listen (loop, &server->listener, address, BACKLOG,
                     server_on_connection, server, error);
 }
--- a/src/transport/plist.c
+++ b/src/transport/plist.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  PLS_MAX_BYTES = 8 << 20,
+  PLS_MAX_RESPONSE_BYTES = 8 << 20,
   PLS_ADDRESS_BYTES = 64
 };
 
@@ -15,7 +15,7 @@
 {
   pls_done_t done;
   void *arg;
-  kb_buf_t answer;
+  kb_buf_t response;
 } list_call_t;
 
 static void
@@ -27,12 +27,12 @@
 on_body (htc_call_t *http, kb_slice_t bytes)
 {
   list_call_t *call = http->owner;
-  if (call->answer.len_bytes + bytes.len_bytes < PLS_MAX_BYTES)
-    kb_buf_append (&call->answer, bytes.ptr, bytes.len_bytes);
+  if (call->response.len_bytes + bytes.len_bytes < PLS_MAX_RESPONSE_BYTES)
+    kb_buf_append (&call->response, bytes.ptr, bytes.len_bytes);
 }
 
 static void
-list_report (list_call_t *call, struct json_object *doc)
+list_deliver (list_call_t *call, struct json_object *doc)
 {
   struct json_object *list = jsn_get (doc, "vms");
   size_t count = json_object_is_type (list, json_type_array)
@@ -41,7 +41,7 @@
   pls_vm_t *vms = kb_alloc ((count + 1) * sizeof *vms);
   char (*addresses)[PLS_ADDRESS_BYTES]
       = kb_alloc ((count + 1) * sizeof *addresses);
-  uint32_t used = 0;
+  uint32_t vm_count = 0;
   for (size_t i = 0; i < count; i++)
     {
       struct json_object *vm = json_object_array_get_idx (list, i);
@@ -49,18 +49,18 @@
       int64_t port = jsn_int (vm, "port", 0);
       if (name[0] == '\0' || port <= 0)
         continue;
-      snprintf (addresses[used], PLS_ADDRESS_BYTES, "tcp://%s:%d",
+      snprintf (addresses[vm_count], PLS_ADDRESS_BYTES, "tcp://%s:%d",
                 jsn_str (vm, "address", "127.0.0.1"), (int)port);
-      vms[used] = (pls_vm_t){
+      vms[vm_count] = (pls_vm_t){
         .name = name,
-        .address = addresses[used],
+        .address = addresses[vm_count],
         .role = jsn_str (vm, "role", "agent"),
         .failure_domain = jsn_str (vm, "failure_domain", ""),
         .is_leaving = strcmp (jsn_str (vm, "state", "live"), "leaving") == 0
       };
-      used++;
+      vm_count++;
     }
-  call->done (call->arg, vms, used);
+  call->done (call->arg, vms, vm_count);
   free (addresses);
   free (vms);
 }
@@ -70,14 +70,14 @@
 {
   list_call_t *call = http->owner;
   struct json_object *doc = NULL;
-  if (end == HTC_END_WHOLE && http->http_status == 200)
-    jsn_parse_text ("list", kb_buf_slice (&call->answer), &doc, NULL);
+  if (end == HTC_END_COMPLETE && http->http_status == 200)
+    jsn_parse_text ("list", kb_buf_slice (&call->response), &doc, NULL);
   if (doc != NULL)
-    list_report (call, doc);
+    list_deliver (call, doc);
   else
     call->done (call->arg, NULL, 0);
   json_object_put (doc);
-  kb_buf_finish (&call->answer);
+  kb_buf_finish (&call->response);
   free (call);
 }
 
--- a/src/transport/relay.h
+++ b/src/transport/relay.h
@@ -15,13 +15,14 @@
   kb_slice_t key;        ///< Of a workspace; empty: none.
   uint32_t key_count;    ///< Fields that hold one.
   kb_slice_t model;
-  kb_slice_t adapter; ///< Empty: the model itself.
-  bool states_tokens; ///< Else the two are zero.
+  kb_slice_t adapter;    ///< Empty: the model itself.
+  bool has_token_counts; ///< Else the two are zero.
   uint32_t prompt_tokens;
   uint32_t output_tokens; ///< At most.
-  uint32_t likely_tokens; ///< The caller's guess of the output; zero: none.
+  uint32_t
+      output_tokens_hint; ///< The caller's guess of the output; zero: none.
   bool is_resume;         ///< Goes on behind an event it already has.
-  uint64_t resume_after;
+  uint64_t resume_after_event_id;
 } rly_request_t;
 
 /// What the system adds to a request for one target.
@@ -33,7 +34,7 @@
   uint32_t adapter_version; ///< Zero: any.
   int32_t priority;         ///< Negative: not said.
   bool is_resume;
-  uint64_t resume_after;
+  uint64_t resume_after_event_id;
   uint64_t body_bytes;
 } rly_forward_t;
 
@@ -45,12 +46,12 @@
   bool is_not_run; ///< The target declares that the request did not run.
   bool is_encoded; ///< The body was altered on the way.
   uint64_t retry_after_ms;
-  bool states_limit;
+  bool has_limit;
   double limit_per_s; ///< Requests that it takes from all callers together.
   bool is_limit_malformed;
   bool is_leaving;
-  const char *malformed; ///< A field whose value is none; NULL: none.
-} rly_answer_t;
+  const char *malformed_field; ///< A field whose value is none; NULL: none.
+} rly_response_t;
 
 /// An answer of this system's own.
 typedef struct
@@ -77,10 +78,10 @@
   /// Append the head of the request as it goes to a target.
   void (*write_request) (const h1_conn_t *conn, const rly_forward_t *forward,
                          kb_buf_t *out);
-  void (*read_answer) (const h1_conn_t *conn, rly_answer_t *out);
+  void (*read_response) (const h1_conn_t *conn, rly_response_t *out);
   /// Append the head of a target's answer as it goes to the caller.
-  void (*write_answer) (const h1_conn_t *conn, const rly_framing_t *framing,
-                        kb_buf_t *out);
+  void (*write_response) (const h1_conn_t *conn, const rly_framing_t *framing,
+                          kb_buf_t *out);
   /// Append a whole answer of the system's own.
   void (*write_refusal) (const rly_refusal_t *refusal, kb_buf_t *out);
 } rly_dialect_t;
--- a/test/relay/http_peer.cc
+++ b/test/relay/http_peer.cc
@@ -74,7 +74,7 @@
 }
 
 bool
-Connection::fill ()
+Connection::receive_more ()
 {
   char bytes[16384];
   ssize_t n = fd_ < 0 ? -1 : recv (fd_, bytes, sizeof bytes, 0);
@@ -91,7 +91,7 @@
 {
   size_t end;
   while ((end = buffer_.find ("\r\n\r\n")) == std::string::npos)
-    if (!fill ())
+    if (!receive_more ())
       return false;
   std::string head = buffer_.substr (0, end + 2);
   buffer_.erase (0, end + 4);
@@ -118,11 +118,11 @@
     {
       size_t line_end;
       while ((line_end = buffer_.find ("\r\n")) == std::string::npos)
-        if (!fill ())
+        if (!receive_more ())
           return false;
       size_t size = strtoul (buffer_.c_str (), nullptr, 16);
       while (buffer_.size () < line_end + 2 + size + 2)
-        if (!fill ())
+        if (!receive_more ())
           {
             body->append (buffer_, std::min (buffer_.size (), line_end + 2));
             return false;
@@ -143,17 +143,17 @@
   size_t length
       = strtoul (out->header ("content-length").c_str (), nullptr, 10);
   while (buffer_.size () < length)
-    if (!fill ())
+    if (!receive_more ())
       return false;
   out->body = buffer_.substr (0, length);
   buffer_.erase (0, length);
   out->is_whole = true;
-  out->came = std::chrono::steady_clock::now ();
+  out->received_at = std::chrono::steady_clock::now ();
   return true;
 }
 
 Message
-Connection::read_answer (int timeout_ms)
+Connection::read_response (int timeout_ms)
 {
   timeval limit = { timeout_ms / 1000, timeout_ms % 1000 * 1000 };
   setsockopt (fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
@@ -168,7 +168,7 @@
     }
   if (message.headers.count ("content-length") == 0)
     {
-      while (fill ())
+      while (receive_more ())
         ;
       message.body.swap (buffer_);
       message.is_whole = !was_reset_;
@@ -177,7 +177,7 @@
   size_t length
       = strtoul (message.header ("content-length").c_str (), nullptr, 10);
   while (buffer_.size () < length)
-    if (!fill ())
+    if (!receive_more ())
       return message;
   message.body = buffer_.substr (0, length);
   buffer_.erase (0, length);
@@ -190,14 +190,14 @@
 {
   pollfd in = { fd_, POLLIN, 0 };
   if (buffer_.empty () && poll (&in, 1, timeout_ms) == 1)
-    fill ();
+    receive_more ();
   std::string bytes;
   bytes.swap (buffer_);
   return bytes;
 }
 
 bool
-Connection::peer_is_gone (int timeout_ms)
+Connection::peer_has_closed (int timeout_ms)
 {
   pollfd in = { fd_, POLLIN, 0 };
   if (fd_ < 0 || poll (&in, 1, timeout_ms) != 1)
@@ -274,11 +274,11 @@
       int on = 1;
       setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
       std::lock_guard<std::mutex> lock (threads_mutex_);
-      open_.insert (fd);
+      open_fds_.insert (fd);
       threads_.emplace_back ([this, fd] {
         Connection connection (fd, [this] (int closing) {
           std::lock_guard<std::mutex> guard (threads_mutex_);
-          open_.erase (closing);
+          open_fds_.erase (closing);
         });
         Message request;
         while (connection.read_request (&request)
@@ -289,10 +289,10 @@
 }
 
 void
-Server::reset_open ()
+Server::reset_open_connections ()
 {
   std::lock_guard<std::mutex> lock (threads_mutex_);
-  for (int fd : open_)
+  for (int fd : open_fds_)
     {
       linger at_once = { 1, 0 };
       setsockopt (fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
@@ -301,25 +301,25 @@
 }
 
 void
-Server::end ()
+Server::simulate_exit ()
 {
-  std::lock_guard<std::mutex> lock (life_mutex_);
-  if (has_ended_.exchange (true))
+  std::lock_guard<std::mutex> lock (state_mutex_);
+  if (has_exited_.exchange (true))
     return;
   shutdown (listener_, SHUT_RDWR);
   acceptor_.join ();
   close (listener_);
-  reset_open ();
+  reset_open_connections ();
 }
 
 void
-Server::begin_again ()
+Server::listen_again ()
 {
-  std::lock_guard<std::mutex> lock (life_mutex_);
-  if (!has_ended_)
+  std::lock_guard<std::mutex> lock (state_mutex_);
+  if (!has_exited_)
     return;
   listen_at (port_);
-  has_ended_ = false;
+  has_exited_ = false;
   start ();
 }
 
@@ -328,8 +328,8 @@
 {
   if (is_stopping_.exchange (true))
     return;
-  std::lock_guard<std::mutex> life (life_mutex_);
-  if (!has_ended_)
+  std::lock_guard<std::mutex> life (state_mutex_);
+  if (!has_exited_)
     {
       shutdown (listener_, SHUT_RDWR);
       if (acceptor_.joinable ())
@@ -338,7 +338,7 @@
     }
   {
     std::lock_guard<std::mutex> lock (threads_mutex_);
-    for (int fd : open_)
+    for (int fd : open_fds_)
       shutdown (fd, SHUT_RDWR);
   }
   for (auto &thread : threads_)
@@ -348,7 +348,7 @@
 Server::~Server () { stop (); }
 
 std::string
-answer (int status, const std::string &headers, const std::string &body)
+make_response (int status, const std::string &headers, const std::string &body)
 {
   return "HTTP/1.1 " + std::to_string (status) + " X\r\n" + headers
          + "Content-Length: " + std::to_string (body.size ()) + "\r\n\r\n"
@@ -356,9 +356,9 @@
 }
 
 std::string
-json_answer (const std::string &body)
+json_response (const std::string &body)
 {
-  return answer (200, "Content-Type: application/json\r\n", body);
+  return make_response (200, "Content-Type: application/json\r\n", body);
 }
 
 std::string
--- a/test/relay/http_peer.h
+++ b/test/relay/http_peer.h
@@ -24,7 +24,7 @@
   std::map<std::string, std::string> headers; ///< Names in lower case.
   std::string body;
   int status = 0; ///< Of an answer; zero: none came.
-  std::chrono::steady_clock::time_point came; ///< Of a request: when.
+  std::chrono::steady_clock::time_point received_at; ///< Of a request: when.
   /// The message ended where it said it would. An answer without a length is
   /// whole when its connection closed in order.
   bool is_whole = false;
@@ -48,7 +48,7 @@
   /// @return  False at the end of the connection.
   bool read_request (Message *out);
   /// @param timeout_ms  For each read.
-  Message read_answer (int timeout_ms = 8000);
+  Message read_response (int timeout_ms = 8000);
   /// Read what is there now, up to a time.
   std::string read_some (int timeout_ms);
   bool write (const std::string &bytes);
@@ -56,7 +56,7 @@
   void reset ();
   void close ();
   /// Whether the peer closed or reset; waits up to a time for it.
-  bool peer_is_gone (int timeout_ms);
+  bool peer_has_closed (int timeout_ms);
   int
   fd () const
   {
@@ -64,7 +64,7 @@
   }
 
 private:
-  bool fill ();
+  bool receive_more ();
   bool read_head (Message *out);
   bool read_chunked (std::string *body);
   int fd_;
@@ -92,13 +92,13 @@
   void stop ();
   /// The process ends: all connections are reset, new ones refused. Harmless
   /// when it has ended.
-  void end ();
+  void simulate_exit ();
   /// Listen again at the same address.
-  void begin_again ();
+  void listen_again ();
   bool
-  has_ended () const
+  has_exited () const
   {
-    return has_ended_;
+    return has_exited_;
   }
 
 protected:
@@ -111,22 +111,22 @@
 private:
   void accept_loop ();
   void listen_at (int port);
-  void reset_open ();
+  void reset_open_connections ();
   std::string ip_;
   int port_ = 0;
-  std::atomic<bool> has_ended_{ false };
-  std::mutex life_mutex_;
+  std::atomic<bool> has_exited_{ false };
+  std::mutex state_mutex_;
   int listener_ = -1;
   std::thread acceptor_;
   std::mutex threads_mutex_;
   std::vector<std::thread> threads_;
-  std::set<int> open_;
+  std::set<int> open_fds_;
 };
 
 /// A complete answer with a length.
-std::string answer (int status, const std::string &headers,
-                    const std::string &body);
-std::string json_answer (const std::string &body);
+std::string make_response (int status, const std::string &headers,
+                           const std::string &body);
+std::string json_response (const std::string &body);
 /// One chunk of a chunked body.
 std::string chunk (const std::string &bytes);
 int free_port (const std::string &ip);
--- a/test/relay/load.cc
+++ b/test/relay/load.cc
@@ -75,7 +75,7 @@
 {
   std::vector<Moment> arrivals;
   for (const Message &request : target.requests ())
-    arrivals.push_back (request.came);
+    arrivals.push_back (request.received_at);
   std::sort (arrivals.begin (), arrivals.end ());
   return arrivals;
 }
--- a/test/relay/pause_failure_test.cc
+++ b/test/relay/pause_failure_test.cc
@@ -41,7 +41,7 @@
     {
       // Callers name their gateway in their ids.
       std::string id = request.header ("x-knapweedbay-attempt-id");
-      moments[id.substr (0, id.find ('-'))].push_back (request.came);
+      moments[id.substr (0, id.find ('-'))].push_back (request.received_at);
     }
   for (auto &[gateway, of_gateway] : moments)
     std::sort (of_gateway.begin (), of_gateway.end ());
--- a/test/relay/relay_test.cc
+++ b/test/relay/relay_test.cc
@@ -34,7 +34,7 @@
     EXPECT_LE (e.target->most_held (), 4u);
 }
 
-TEST (Relay, ChunkedBodiesAndKeptConnections)
+TEST (Relay, ChunkedBodiesAndPersistentConnections)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -44,9 +44,9 @@
   call.headers = "Transfer-Encoding: chunked\r\n";
   connection->write (call.text () + chunk ("hello ") + chunk ("world")
                      + "0\r\n\r\n");
-  EXPECT_EQ (connection->read_answer ().status, 200);
+  EXPECT_EQ (connection->read_response ().status, 200);
   connection->write (plain_call ("c2").text ());
-  EXPECT_EQ (connection->read_answer ().status, 200);
+  EXPECT_EQ (connection->read_response ().status, 200);
   auto requests = site.plain[0]->requests ();
   ASSERT_EQ (requests.size (), 2u);
   EXPECT_EQ (requests[0].body, "hello world");
@@ -56,7 +56,7 @@
 // A caller's map is cut in half and looks complete: the target crashed in the
 // middle of an answer without a length, its reset came together with the last
 // bytes, and was taken for the regular end of the connection.
-TEST (Relay, AnAnswerThatEndsByResetIsNotComplete)
+TEST (Relay, ResponseEndedByResetIsIncomplete)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -76,7 +76,7 @@
 
 // A drive-test reading is counted twice: its answer was lost, and the request
 // was sent to a second target although the first had run it.
-TEST (Relay, AnUnsafeRequestNeverRunsTwice)
+TEST (Relay, UnsafeRequestNeverRunsTwice)
 {
   Site site (0, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -95,7 +95,7 @@
     }
 }
 
-TEST (Relay, WhatATargetDidNotRunGoesToAnother)
+TEST (Relay, RequestNotRunIsSentToAnotherTarget)
 {
   Site site (0, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -126,9 +126,9 @@
     }
 }
 
-// A caller gets another caller's answer: one that came late on a kept
+// A caller gets another caller's answer: one that came late on a persistent
 // connection is taken for the answer of the next request there.
-TEST (Relay, AStrayAnswerIsNotPassedOn)
+TEST (Relay, StrayResponseIsNotForwarded)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -146,7 +146,7 @@
 
 // A caption breaks off while it is written. Another engine goes on behind the
 // last whole event, and the caller must see every event once.
-TEST (Relay, ABrokenStreamIsResumedElsewhere)
+TEST (Relay, BrokenStreamIsResumedOnAnotherEngine)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -169,7 +169,7 @@
 // An engine breaks a stream off while the only other one's agent is being
 // restarted. Nobody could take the stream over at that moment, and it was cut,
 // though its caller waits for seconds and the agent is back within one.
-TEST (Relay, ABrokenStreamWaitsForAnEngineToResumeAt)
+TEST (Relay, BrokenStreamWaitsForEngineToResumeOn)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -177,12 +177,12 @@
   // The gateway takes a silent agent for lost after 1.3 s.
   std::this_thread::sleep_for (std::chrono::milliseconds (1600));
   site.engines[0].target->fail_next ({ Fault::CUT_WITHIN_EVENT });
-  std::thread later ([&site] {
+  std::thread restarter ([&site] {
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
     site.start (&site.engines[1].sidecar);
   });
   Message m = send_call (site.gateways[0], stream_call ("w1", "a1"));
-  later.join ();
+  restarter.join ();
   EXPECT_EQ (m.status, 200);
   EXPECT_TRUE (m.is_whole);
   EXPECT_EQ (event_ids (m.body), up_to (10));
@@ -194,7 +194,7 @@
 // stream was cut there and was to go on elsewhere, where a crowd waits as
 // well: no place came before the caller's patience ended, and the caller lost
 // a stream that its engine would have finished.
-TEST (Relay, APausedStreamOfALiveEngineIsNotCut)
+TEST (Relay, PausedStreamOfHealthyEngineIsNotAborted)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -213,7 +213,7 @@
 // Engines answer part of their streams with 500 while their reports look well.
 // A stream that may be resumed may run again from its beginning; its caller
 // got the 500 though another engine would have served it.
-TEST (Relay, AStreamThatAnEngineFailsRunsAtAnother)
+TEST (Relay, FailedStreamRunsOnAnotherEngine)
 {
   Site site (2, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -231,7 +231,7 @@
   EXPECT_GT (failed, 0);
 }
 
-TEST (Relay, AStreamThatMayNotRunTwiceGetsItsEnginesFailure)
+TEST (Relay, NonIdempotentStreamForwardsEngineError)
 {
   Site site (2, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -242,7 +242,7 @@
   EXPECT_EQ (site.runs_of ("h1"), 1);
 }
 
-TEST (Relay, AStreamThatMayNotRunTwiceIsCutNotRepeated)
+TEST (Relay, NonIdempotentBrokenStreamIsAbortedNotRetried)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -254,7 +254,7 @@
 }
 
 // Engines work on for callers that have left, and others wait behind them.
-TEST (Relay, ACallerThatLeavesStopsItsRun)
+TEST (Relay, CallerDisconnectStopsItsRun)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -277,7 +277,7 @@
 
 /// No engine takes requests, and the gateway knows it.
 void
-close_engine (Site &site)
+make_engine_leave (Site &site)
 {
   site.engines[0].target->set_leaving (true);
   ASSERT_TRUE (Site::wait_for ([&] {
@@ -295,7 +295,7 @@
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
-  close_engine (site);
+  make_engine_leave (site);
   std::thread engine ([&] {
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
     site.engines[0].target->set_leaving (false);
@@ -308,33 +308,33 @@
 
 // The wait has an end: engines that stay away are no reason to keep callers,
 // who could do something else.
-TEST (Relay, RequestsAreRefusedWhenNoEngineComes)
+TEST (Relay, RequestsAreRefusedWhenNoEngineReturns)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
-  close_engine (site);
+  make_engine_leave (site);
   Message m = send_call (site.gateways[0], stream_call ("w2", "a1"));
   EXPECT_EQ (m.status, 503);
   EXPECT_NE (m.body.find ("no_target"), std::string::npos) << m.body;
   EXPECT_NE (m.header ("retry-after"), "");
 }
 
-TEST (Relay, AStopServesWhatIsOpenAndSaysClose)
+TEST (Relay, ShutdownCompletesOpenRequestsAndSendsConnectionClose)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
   site.engines[0].target->events = 100;
   site.engines[0].target->event_ms = 10;
-  auto kept = dial (site.gateways[0].address);
-  kept->write (plain_call ("k1").text ());
-  EXPECT_EQ (kept->read_answer ().status, 200);
+  auto persistent = dial (site.gateways[0].address);
+  persistent->write (plain_call ("k1").text ());
+  EXPECT_EQ (persistent->read_response ().status, 200);
   auto connection = dial (site.gateways[0].address);
   connection->write (stream_call ("z1", "a1").text ());
   EXPECT_NE (connection->read_some (5000).find ("200 OK"), std::string::npos);
   kill (site.gateways[0].daemon.pid, SIGTERM);
   EXPECT_TRUE (Site::wait_for ([&] { return site.ready_status () == 503; }));
-  kept->write (plain_call ("k2").text ());
-  Message m = kept->read_answer ();
+  persistent->write (plain_call ("k2").text ());
+  Message m = persistent->read_response ();
   EXPECT_EQ (m.status, 200);
   EXPECT_EQ (m.header ("connection"), "close");
   std::string rest;
@@ -349,7 +349,7 @@
   site.stop (&site.gateways[0].daemon, SIGTERM);
 }
 
-TEST (Relay, OwnAnswers)
+TEST (Relay, GatewayErrorResponses)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -373,7 +373,7 @@
       [&] { return dial (site.gateways[0].address) != nullptr; }));
 }
 
-TEST (Relay, NoConfigurationIsNoReasonForNotFound)
+TEST (Relay, MissingConfigurationGives503Not404)
 {
   Site site (0, 1);
   restart_without_store (site);
@@ -400,10 +400,10 @@
 }
 
 // Requests without a route wait for the first configuration with all others.
-// Their 404 frees them, and the next request of the same connection took the
-// memory; what was still done for the first was done to the second: it was
+// Their 404 frees them, and the next request of the same connection elapsed
+// the memory; what was still done for the first was done to the second: it was
 // sent twice, or the process crashed with all its streams.
-TEST (Relay, RequestsWithoutARouteThatWaitedAreDeniedOnce)
+TEST (Relay, QueuedRequestsWithoutRouteAreDeniedOnce)
 {
   constexpr int kConnections = 20;
   Site site (0, 1);
@@ -421,8 +421,8 @@
   site.store.set_mode (Store::WELL);
   for (int i = 0; i < kConnections; i++)
     {
-      EXPECT_EQ (connections[(size_t)i]->read_answer ().status, 404) << i;
-      EXPECT_EQ (connections[(size_t)i]->read_answer ().status, 200) << i;
+      EXPECT_EQ (connections[(size_t)i]->read_response ().status, 404) << i;
+      EXPECT_EQ (connections[(size_t)i]->read_response ().status, 200) << i;
       EXPECT_EQ (site.runs_of ("u" + std::to_string (i)), 1) << i;
     }
   EXPECT_EQ (site.ready_status (), 200);
@@ -431,7 +431,7 @@
 // A request waits for the first configuration, and its target then hangs. Its
 // route allows 2 s; armed before the route was known, the limit was the 9 s
 // that the caller would have waited.
-TEST (Relay, ARequestThatWaitedKeepsToItsRoutesTimeout)
+TEST (Relay, QueuedRequestUsesItsRouteTimeout)
 {
   Site site (0, 1);
   restart_without_store (site);
@@ -444,13 +444,13 @@
   call.deadline_ms = 9000;
   auto before = std::chrono::steady_clock::now ();
   Message m = send_call (site.gateways[0], call);
-  auto took = std::chrono::steady_clock::now () - before;
+  auto elapsed = std::chrono::steady_clock::now () - before;
   store.join ();
   EXPECT_EQ (m.status, 504);
-  EXPECT_LT (took, std::chrono::seconds (5));
+  EXPECT_LT (elapsed, std::chrono::seconds (5));
 }
 
-TEST (Relay, CallersComeBackLateWhenTheEndOfAnOutageIsNotKnown)
+TEST (Relay, RetryAfterIsLongWhenOutageEndIsUnknown)
 {
   Site site (0, 1);
   restart_without_store (site);
@@ -487,14 +487,14 @@
       auto connection = dial (site.gateways[0].address);
       connection->write ("POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\n" + id
                          + "h\r\n" + head + "\r\n0\r\n\r\n" + hidden);
-      Message m = connection->read_answer (2000);
+      Message m = connection->read_response (2000);
       EXPECT_EQ (m.status, 400) << head;
     }
   std::this_thread::sleep_for (std::chrono::milliseconds (200));
   EXPECT_TRUE (site.plain[0]->requests ().empty ());
 }
 
-TEST (Relay, LimitsOnWhatCallersSend)
+TEST (Relay, LimitsOnCallerRequests)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -509,16 +509,16 @@
   call.headers = "Transfer-Encoding: chunked\r\n";
   auto connection = dial (site.gateways[0].address);
   connection->write (call.text () + chunk (std::string (70000, 'x')));
-  EXPECT_EQ (connection->read_answer ().status, 413);
+  EXPECT_EQ (connection->read_response ().status, 413);
   connection = dial (site.gateways[0].address);
   connection->write ("POST /unsafe/x HTTP/1.1\r\nHost: a.ex");
-  EXPECT_EQ (connection->read_answer ().status, 408);
+  EXPECT_EQ (connection->read_response ().status, 408);
   connection = dial (site.gateways[0].address);
-  EXPECT_TRUE (connection->peer_is_gone (6000));
+  EXPECT_TRUE (connection->peer_has_closed (6000));
   EXPECT_TRUE (site.plain[0]->requests ().empty ());
 }
 
-TEST (Relay, ARouteTimeoutGetsAFinalAnswer)
+TEST (Relay, RouteTimeoutGetsFinalResponse)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
--- a/test/relay/site.cc
+++ b/test/relay/site.cc
@@ -333,7 +333,7 @@
 {
   remove ("servers/" + target->id ());
   target->restart ("i-again" + std::to_string (incarnations_++));
-  target->begin_again ();
+  target->listen_again ();
   target->is_hung = false;
 }
 
@@ -341,13 +341,13 @@
 Site::begin_ended_again ()
 {
   for (size_t i = 0; i < engines.size (); i++)
-    if (engines[i].target->has_ended () || engines[i].target->is_hung)
+    if (engines[i].target->has_exited () || engines[i].target->is_hung)
       {
         begin_again (engines[i].target.get ());
         list_engine (i);
       }
   for (size_t i = 0; i < plain.size (); i++)
-    if (plain[i]->has_ended ())
+    if (plain[i]->has_exited ())
       {
         begin_again (plain[i].get ());
         list_plain (i);
@@ -381,7 +381,7 @@
   if (connection == nullptr)
     return 0;
   connection->write ("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-  return connection->read_answer (1000).status;
+  return connection->read_response (1000).status;
 }
 
 bool
@@ -463,7 +463,7 @@
   auto connection = dial (gateway.address, call.from);
   if (connection == nullptr || !connection->write (call.text ()))
     return Message ();
-  return connection->read_answer ();
+  return connection->read_response ();
 }
 
 std::string
@@ -473,7 +473,7 @@
   if (connection == nullptr
       || !connection->write ("GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n"))
     return "";
-  return connection->read_answer ().body;
+  return connection->read_response ().body;
 }
 
 std::vector<int>
--- a/test/relay/store_standin.cc
+++ b/test/relay/store_standin.cc
@@ -88,13 +88,13 @@
 {
   writes++;
   if (request.target () == "/kv-lease")
-    return connection.write (json_answer ("{\"Lease\":7,\"TtlMs\":600000}"));
+    return connection.write (json_response ("{\"Lease\":7,\"TtlMs\":600000}"));
   std::string key = text_member (request.body, "Key");
   std::string value = unbase64 (text_member (request.body, "Value"));
   put (key, value);
   if (mirror_ != nullptr)
     mirror_->put (key, value);
-  return connection.write (json_answer ("{\"Revision\":2}"));
+  return connection.write (json_response ("{\"Revision\":2}"));
 }
 
 void
@@ -150,7 +150,7 @@
 bool
 Store::swallow (Connection &connection)
 {
-  while (!is_stopping_ && !connection.peer_is_gone (50))
+  while (!is_stopping_ && !connection.peer_has_closed (50))
     ;
   return false;
 }
@@ -245,13 +245,13 @@
       return swallow (connection);
     }
   if (after < compacted_)
-    return connection.write (answer (410, "", "{}"));
+    return connection.write (make_response (410, "", "{}"));
   if (cuts != cuts_)
     return false;
   std::string told = "{\"events\":[" + list
                      + "],\"AsOf\":" + std::to_string (revision_) + "}";
   lock.unlock ();
-  return deliver (connection, json_answer (told));
+  return deliver (connection, json_response (told));
 }
 
 bool
@@ -274,9 +274,9 @@
       return false;
     }
   if (mode == BUSY)
-    return connection.write (answer (503, "", "{}"));
+    return connection.write (make_response (503, "", "{}"));
   if (mode == NONSENSE)
-    return connection.write (json_answer ("{\"map\":\"a body\"}"));
+    return connection.write (json_response ("{\"map\":\"a body\"}"));
   if (request.method () == "POST")
     return serve_write (connection, request);
   auto query = parse_query (request.target ());
@@ -295,7 +295,7 @@
     std::lock_guard<std::mutex> lock (mutex_);
     body = range (query);
   }
-  return deliver (connection, json_answer (body));
+  return deliver (connection, json_response (body));
 }
 
 } // namespace relay
--- a/test/relay/target_standin.cc
+++ b/test/relay/target_standin.cc
@@ -267,7 +267,8 @@
 {
   int delay_ms = late_order_ms;
   if (delay_ms == 0)
-    return connection.write (answer (carry_out (request.body), "", "{}"));
+    return connection.write (
+        make_response (carry_out (request.body), "", "{}"));
   waiting_orders++;
   sleep_ms (delay_ms);
   carry_out (request.body);
@@ -323,7 +324,7 @@
     is_refused = is_refused || (is_engine_ && !has_model_);
   }
   if (is_refused)
-    connection.write (answer (
+    connection.write (make_response (
         421, "X-Knapweedbay-Instance-Id: " + id () + "\r\n" + statements (),
         "misdirected"));
   return is_refused;
@@ -356,7 +357,7 @@
   for (int i = from + 1; i <= events; i++)
     {
       sleep_ms (event_ms);
-      if (!ignores_close && connection.peer_is_gone (0))
+      if (!ignores_close && connection.peer_has_closed (0))
         {
           abandoned++;
           return false;
@@ -390,7 +391,7 @@
       ends++;
       if (!hangs_on_end)
         {
-          end ();
+          simulate_exit ();
           return false;
         }
       is_hung = true;
@@ -404,17 +405,17 @@
       connection.reset ();
       return false;
     case Fault::HANG:
-      connection.peer_is_gone (10000);
+      connection.peer_has_closed (10000);
       return false;
     case Fault::BARE_503:
-      return connection.write (answer (503, head, "busy"));
+      return connection.write (make_response (503, head, "busy"));
     case Fault::ERROR_500:
-      return connection.write (answer (500, head, "failed"));
+      return connection.write (make_response (500, head, "failed"));
     case Fault::STRAY_FIRST:
-      connection.write (answer (200,
-                                "X-Knapweedbay-Attempt-Id: another\r\n"
-                                "X-Knapweedbay-Server-Seal: s\r\n",
-                                "not for you"));
+      connection.write (make_response (200,
+                                       "X-Knapweedbay-Attempt-Id: another\r\n"
+                                       "X-Knapweedbay-Server-Seal: s\r\n",
+                                       "not for you"));
       break;
     case Fault::CUT_UNFRAMED:
     case Fault::END_UNFRAMED:
@@ -438,11 +439,11 @@
   int life = ends;
   sleep_ms (answer_ms);
   // What a process works on ends with it.
-  if (has_ended () || life != ends)
+  if (has_exited () || life != ends)
     return false;
-  connection.write (answer (200, head, body));
+  connection.write (make_response (200, head, body));
   if (fault == Fault::EXTRA_AFTER)
-    connection.write (answer (200, head, "a second answer"));
+    connection.write (make_response (200, head, "a second answer"));
   return true;
 }
 
@@ -452,10 +453,10 @@
   while (is_hung && !is_stopping_)
     sleep_ms (10);
   if (request.target () == "/report")
-    return connection.write (json_answer (report ()));
+    return connection.write (json_response (report ()));
   if (request.target () == "/health")
-    return connection.write (
-        answer (200, "X-Knapweedbay-Instance-Id: " + id () + "\r\n", ""));
+    return connection.write (make_response (
+        200, "X-Knapweedbay-Instance-Id: " + id () + "\r\n", ""));
   if (request.target () == "/order")
     return serve_order (connection, request);
   Fault fault = Fault::NONE;
@@ -476,14 +477,14 @@
     }
   if (asked_s >= 0)
     return connection.write (
-        answer (503,
-                "X-Knapweedbay-Not-Executed: 1\r\nRetry-After: "
-                    + std::to_string (asked_s) + "\r\n" + statements (),
-                "later"));
+        make_response (503,
+                       "X-Knapweedbay-Not-Executed: 1\r\nRetry-After: "
+                           + std::to_string (asked_s) + "\r\n" + statements (),
+                       "later"));
   if (refuse (connection, request))
     return true;
   if (fault == Fault::NOT_RUN)
-    return connection.write (answer (
+    return connection.write (make_response (
         503, "X-Knapweedbay-Not-Executed: 1\r\n" + statements (), "full"));
   return run (connection, request, fault);
 }
--- a/test/relay/workspace_test.cc
+++ b/test/relay/workspace_test.cc
@@ -197,7 +197,7 @@
       call.headers = key_line (text);
       ASSERT_TRUE (connection->write (call.text ()));
       site.store.set_mode (Store::WELL);
-      EXPECT_EQ (connection->read_answer ().status,
+      EXPECT_EQ (connection->read_response ().status,
                  std::string (text) == "k-red" ? 200 : 401);
     }
 }
@@ -277,7 +277,7 @@
   kill (site_.gateways[0].daemon.pid, SIGCONT);
   for (auto &connection : connections)
     {
-      int status = connection->read_answer ().status;
+      int status = connection->read_response ().status;
       EXPECT_TRUE (status == 503 || status == 401) << status;
     }
   EXPECT_TRUE (Site::wait_for ([&] { return status_of (0, "k2") == 200; }));
--- a/test/relay/workspaces.cc
+++ b/test/relay/workspaces.cc
@@ -54,11 +54,11 @@
     // What was turned away with a pause has not run.
     std::set<std::chrono::steady_clock::time_point> turned_away;
     for (const Message &request : target.turned_away ())
-      turned_away.insert (request.came);
+      turned_away.insert (request.received_at);
     for (const Message &request : target.requests ())
       if (request.header ("x-knapweedbay-tenant") == workspace
-          && turned_away.count (request.came) == 0)
-        found.emplace_back (request.came, tokens_in (request));
+          && turned_away.count (request.received_at) == 0)
+        found.emplace_back (request.received_at, tokens_in (request));
   };
   for (Engine &engine : site.engines)
     add (*engine.target);
--- a/test/soak/checks.cc
+++ b/test/soak/checks.cc
@@ -221,8 +221,8 @@
                         == text_in (line, "target")
                     && sender[request.header ("x-knapweedbay-attempt-id")]
                            == gateway.daemon.name
-                    && request.came > from && request.came < to
-                    && target_at (i).born_at (request.came)
+                    && request.received_at > from && request.received_at < to
+                    && target_at (i).born_at (request.received_at)
                            == target_at (i).born_at (moment_of (line));
         if (came > most)
           violate (text_in (line, "id"),
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -449,7 +449,7 @@
           std::this_thread::sleep_for (std::chrono::milliseconds (30));
           continue;
         }
-      record.answer = connection->read_answer (4000);
+      record.answer = connection->read_response (4000);
       bool is_kept = record.answer.is_whole && record.answer.status != 0
                      && record.answer.header ("connection") != "close";
       if (!is_kept)
@@ -477,7 +477,7 @@
       auto connection
           = dial (site_.gateways[random () % site_.gateways.size ()].address);
       if (connection != nullptr && connection->write (call.text ()))
-        connection->read_answer (kFatalTimeoutMs);
+        connection->read_response (kFatalTimeoutMs);
       if (n % kDownPauses == 0)
         site_.begin_ended_again ();
       std::this_thread::sleep_for (std::chrono::milliseconds (kFatalPauseMs));
--- a/test/unit/platform_test.cc
+++ b/test/unit/platform_test.cc
@@ -312,10 +312,10 @@
         size_t end = text.find ("\r\n", at);
         size_t colon = text.find (": ", at);
         h1_field_t field = {};
-        field.name_at = (uint32_t)conn.head.bytes.len_bytes;
+        field.name_offset = (uint32_t)conn.head.bytes.len_bytes;
         field.name_bytes = (uint32_t)(colon - at);
         kb_buf_append (&conn.head.bytes, text.data () + at, colon - at);
-        field.value_at = (uint32_t)conn.head.bytes.len_bytes;
+        field.value_offset = (uint32_t)conn.head.bytes.len_bytes;
         field.value_bytes = (uint32_t)(end - colon - 2);
         kb_buf_append (&conn.head.bytes, text.data () + colon + 2,
                        end - colon - 2);
@@ -406,7 +406,7 @@
   forward.adapter_version = 4;
   forward.priority = 2;
   forward.is_resume = true;
-  forward.resume_after = 17;
+  forward.resume_after_event_id = 17;
   std::string text = written_request (forward);
   EXPECT_NE (text.find ("Expect-Instance: i-7\r\n"), std::string::npos);
   EXPECT_NE (text.find ("Expect-Version: 4\r\n"), std::string::npos);
@@ -432,8 +432,8 @@
   parse ("HTTP/1.1 503 X\r\nX-Knapweedbay-Not-Executed: 1\r\n"
          "Retry-After: 0.25\r\n",
          true);
-  rly_answer_t answer;
-  plt_dialect.read_answer (&conn, &answer);
+  rly_response_t answer;
+  plt_dialect.read_response (&conn, &answer);
   EXPECT_TRUE (answer.is_not_run);
   EXPECT_FALSE (answer.has_seal);
   EXPECT_EQ (answer.retry_after_ms, 250u);
@@ -441,7 +441,7 @@
   parse ("HTTP/1.1 200 OK\r\nX-Knapweedbay-Server-Seal: s\r\n"
          "Content-Encoding: gzip\r\n",
          true);
-  plt_dialect.read_answer (&conn, &answer);
+  plt_dialect.read_response (&conn, &answer);
   EXPECT_TRUE (answer.has_seal);
   EXPECT_TRUE (answer.is_encoded);
   EXPECT_FALSE (answer.is_not_run);
@@ -452,12 +452,12 @@
   auto read = [this] (const std::string &fields) {
     kb_buf_finish (&conn.head.bytes);
     parse ("HTTP/1.1 200 OK\r\n" + fields, true);
-    rly_answer_t answer;
-    plt_dialect.read_answer (&conn, &answer);
+    rly_response_t answer;
+    plt_dialect.read_response (&conn, &answer);
     return answer;
   };
-  EXPECT_FALSE (read ("X: 1\r\n").states_limit);
-  EXPECT_EQ (read ("X: 1\r\n").malformed, nullptr);
+  EXPECT_FALSE (read ("X: 1\r\n").has_limit);
+  EXPECT_EQ (read ("X: 1\r\n").malformed_field, nullptr);
   for (auto [text, per_s] : { std::pair ("4", 4.0),
                               { "4.9", 4.9 },
                               { " 0.25 ", 0.25 },
@@ -465,21 +465,21 @@
                               { "7.", 7.0 },
                               { ".5", 0.5 } })
     {
-      rly_answer_t answer
+      rly_response_t answer
           = read (std::string ("server-limit: ") + text + "\r\n");
-      EXPECT_TRUE (answer.states_limit) << text;
+      EXPECT_TRUE (answer.has_limit) << text;
       EXPECT_DOUBLE_EQ (answer.limit_per_s, per_s) << text;
     }
   for (const char *text :
        { "", "-4", "+4", "4x", "1e9", "0x4", "nan", "inf", ".", "4.5.6", "4,5",
          "4 5", "99999999999999999999999999999999999" })
     {
-      rly_answer_t answer
+      rly_response_t answer
           = read (std::string ("Server-Limit: ") + text + "\r\n");
-      EXPECT_FALSE (answer.states_limit) << text;
-      EXPECT_STREQ (answer.malformed, "Server-Limit") << text;
+      EXPECT_FALSE (answer.has_limit) << text;
+      EXPECT_STREQ (answer.malformed_field, "Server-Limit") << text;
     }
-  EXPECT_FALSE (read ("Server-Limit: 4\r\nServer-Limit: 9\r\n").states_limit);
+  EXPECT_FALSE (read ("Server-Limit: 4\r\nServer-Limit: 9\r\n").has_limit);
 }
 
 TEST_F (DialectTest, LeavingIsSaidByOne)
@@ -489,19 +489,19 @@
     parse ("HTTP/1.1 200 OK\r\nserver-leaving: " + value
                + "\r\nServer-Limit: 4\r\n",
            true);
-    rly_answer_t answer;
-    plt_dialect.read_answer (&conn, &answer);
+    rly_response_t answer;
+    plt_dialect.read_response (&conn, &answer);
     // A field without meaning takes nothing from the others.
-    EXPECT_TRUE (answer.states_limit) << value;
+    EXPECT_TRUE (answer.has_limit) << value;
     return answer;
   };
   EXPECT_TRUE (read ("1").is_leaving);
   EXPECT_FALSE (read ("0").is_leaving);
-  EXPECT_EQ (read ("0").malformed, nullptr);
+  EXPECT_EQ (read ("0").malformed_field, nullptr);
   for (const char *value : { "", "yes", "11", "-1", "1.0" })
     {
       EXPECT_FALSE (read (value).is_leaving) << value;
-      EXPECT_STREQ (read (value).malformed, "Server-Leaving") << value;
+      EXPECT_STREQ (read (value).malformed_field, "Server-Leaving") << value;
     }
 }
 
@@ -510,20 +510,20 @@
   auto read = [this] (const std::string &value) {
     kb_buf_finish (&conn.head.bytes);
     parse ("HTTP/1.1 503 X\r\nRetry-After: " + value + "\r\n", true);
-    rly_answer_t answer;
-    plt_dialect.read_answer (&conn, &answer);
+    rly_response_t answer;
+    plt_dialect.read_response (&conn, &answer);
     return answer;
   };
   EXPECT_EQ (read ("3").retry_after_ms, 3000u);
   EXPECT_EQ (read ("0").retry_after_ms, 0u);
   EXPECT_EQ (read ("0.05").retry_after_ms, 50u);
   EXPECT_EQ (read ("86400").retry_after_ms, 3600000u);
-  EXPECT_EQ (read ("3").malformed, nullptr);
+  EXPECT_EQ (read ("3").malformed_field, nullptr);
   for (const char *value : { "soon", "-3", "3s", "", "nan", "1e3",
                              "Wed, 21 Oct 2026 07:28:00 GMT" })
     {
       EXPECT_EQ (read (value).retry_after_ms, 0u) << value;
-      EXPECT_STREQ (read (value).malformed, "retry-after") << value;
+      EXPECT_STREQ (read (value).malformed_field, "retry-after") << value;
     }
 }
 
@@ -531,19 +531,19 @@
 {
   parse ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
          "Transfer-Encoding: chunked\r\n");
-  EXPECT_FALSE (h1_request_is_proper (&conn));
+  EXPECT_FALSE (h1_request_is_well_formed (&conn));
   kb_buf_finish (&conn.head.bytes);
   parse ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: xchunked\r\n");
-  EXPECT_FALSE (h1_request_is_proper (&conn));
+  EXPECT_FALSE (h1_request_is_well_formed (&conn));
   kb_buf_finish (&conn.head.bytes);
   parse ("POST / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n");
-  EXPECT_FALSE (h1_request_is_proper (&conn));
+  EXPECT_FALSE (h1_request_is_well_formed (&conn));
   kb_buf_finish (&conn.head.bytes);
   parse ("POST / HTTP/1.1\r\nHost: a\r\nHost: b\r\n");
-  EXPECT_FALSE (h1_request_is_proper (&conn));
+  EXPECT_FALSE (h1_request_is_well_formed (&conn));
   kb_buf_finish (&conn.head.bytes);
   parse ("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n");
-  EXPECT_TRUE (h1_request_is_proper (&conn));
+  EXPECT_TRUE (h1_request_is_well_formed (&conn));
 }
 
 // Each entry of a large fleet read the list as often as a small site needs it,
--- a/test/unit/sse_test.cc
+++ b/test/unit/sse_test.cc
@@ -25,13 +25,13 @@
   return has_id ? (int64_t)id : -1;
 }
 
-TEST (Sse, AnEventEndsWithAnEmptyLine)
+TEST (Sse, EventEndsWithEmptyLine)
 {
   EXPECT_EQ (length ("id: 1\ndata: a\n\nid: 2"), 15u);
   EXPECT_EQ (length ("id: 1\r\ndata: a\r\n\r\nid"), 18u);
 }
 
-TEST (Sse, HalfAnEventHasNoLength)
+TEST (Sse, IncompleteEventHasNoLength)
 {
   EXPECT_EQ (length (""), 0u);
   EXPECT_EQ (length ("\n"), 0u);
@@ -39,7 +39,7 @@
   EXPECT_EQ (length ("id: 1\r\ndata: a\r\n\r"), 0u);
 }
 
-TEST (Sse, AnIdStandsInAnyLine)
+TEST (Sse, IdIsFoundOnAnyLine)
 {
   EXPECT_EQ (id_of ("id: 7\ndata: a\n\n"), 7);
   EXPECT_EQ (id_of ("data: id: 9\nid:8\n\n"), 8);
@@ -49,6 +49,6 @@
 }
 
 // A number at the very end may go on in what has not come yet.
-TEST (Sse, ALineThatHasNotEndedHasNoId) { EXPECT_EQ (id_of ("id: 7"), -1); }
+TEST (Sse, UnterminatedLineHasNoId) { EXPECT_EQ (id_of ("id: 7"), -1); }
 
 } // namespace
