--- a/src/transport/exchange.c
+++ b/src/transport/exchange.c
@@ -14,7 +14,7 @@
 };
 
 /// One connection of a peer.
-struct xch_line
+struct xch_pooled
 {
   h1_conn_t conn; ///< First, so that a connection is its pooled.
   xch_peer_t *peer;
--- a/src/transport/exchange.h
+++ b/src/transport/exchange.h
@@ -11,7 +11,7 @@
 
 typedef struct xch xch_t;
 typedef struct xch_peer xch_peer_t;
-typedef struct xch_line xch_pooled_t;
+typedef struct xch_pooled xch_pooled_t;
 
 typedef struct
 {
