--- a/src/transport/h1.h
+++ b/src/transport/h1.h
@@ -139,8 +139,8 @@
 kb_slice_t h1_head_get (const h1_head_t *head, const char *name);
 /// @return  Number of fields with that name.
 uint32_t h1_head_count (const h1_head_t *head, const char *name);
-kb_slice_t h1_field_name (const h1_head_t *head, uint32_t at);
-kb_slice_t h1_field_value (const h1_head_t *head, uint32_t at);
+kb_slice_t h1_field_name (const h1_head_t *head, uint32_t index);
+kb_slice_t h1_field_value (const h1_head_t *head, uint32_t index);
 /// @return  The request target as received.
 kb_slice_t h1_head_target (const h1_head_t *head);
 /// @return  Whether a comma-separated value contains a token, ignoring case.
--- a/src/transport/h1_head.c
+++ b/src/transport/h1_head.c
@@ -8,16 +8,16 @@
 #include "transport/h1.h"
 
 kb_slice_t
-h1_field_name (const h1_head_t *head, uint32_t at)
+h1_field_name (const h1_head_t *head, uint32_t index)
 {
-  const h1_field_t *f = &head->fields[at];
+  const h1_field_t *f = &head->fields[index];
   return (kb_slice_t){ head->bytes.ptr + f->name_offset, f->name_bytes };
 }
 
 kb_slice_t
-h1_field_value (const h1_head_t *head, uint32_t at)
+h1_field_value (const h1_head_t *head, uint32_t index)
 {
-  const h1_field_t *f = &head->fields[at];
+  const h1_field_t *f = &head->fields[index];
   return (kb_slice_t){ head->bytes.ptr + f->value_offset, f->value_bytes };
 }
 
--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -190,11 +190,12 @@
   SSL_CTX *ssl = SSL_CTX_new (TLS_server_method ());
   SSL_CTX_set_min_proto_version (ssl, TLS1_2_VERSION);
   if (SSL_CTX_use_certificate_chain_file (ssl, options->certificate_file) != 1)
-    return kb_error_set (error, KB_EINVAL, "%s: not a PEM certificate",
+    return kb_error_set (error, KB_EINVAL,
+                         "%s: cannot load PEM certificate chain",
                          options->certificate_file);
   if (SSL_CTX_use_PrivateKey_file (ssl, options->key_file, SSL_FILETYPE_PEM)
       != 1)
-    return kb_error_set (error, KB_EINVAL, "%s: not a PEM key",
+    return kb_error_set (error, KB_EINVAL, "%s: cannot load PEM private key",
                          options->key_file);
   impl->accept_ctx.ssl_ctx = ssl;
   return KB_OK;
@@ -239,7 +240,7 @@
     }
   struct sockaddr_in addr;
   if (uv_ip4_addr (options->address, options->port, &addr) != 0)
-    return kb_error_set (error, KB_EINVAL, "\"%s\" is not an IP number",
+    return kb_error_set (error, KB_EINVAL, "\"%s\" is not an IPv4 address",
                          options->address);
   uv_tcp_init (loop, &impl->listener);
   impl->listener.data = impl;
--- a/test/relay/explain_test.cc
+++ b/test/relay/explain_test.cc
@@ -78,7 +78,7 @@
   ASSERT_TRUE (site.wait_ready ());
   site.engines[0].target->fail_next ({ Fault::CUT_WITHIN_EVENT });
   EXPECT_FALSE (send_call (site.gateways[0], stream_call ("cut1", "a1", false))
-                    .is_whole);
+                    .is_complete);
   std::string out = story_with (site, "cut1", "request_end");
   EXPECT_NE (out.find ("attempt_broken"), std::string::npos) << out;
   EXPECT_NE (out.find ("reason=reset target=i-e0"), std::string::npos) << out;
--- a/test/relay/http_peer.cc
+++ b/test/relay/http_peer.cc
@@ -147,7 +147,7 @@
       return false;
   out->body = buffer_.substr (0, length);
   buffer_.erase (0, length);
-  out->is_whole = true;
+  out->is_complete = true;
   out->received_at = std::chrono::steady_clock::now ();
   return true;
 }
@@ -163,7 +163,7 @@
   message.status = atoi (message.start.c_str () + 9);
   if (message.header ("transfer-encoding") == "chunked")
     {
-      message.is_whole = read_chunked (&message.body);
+      message.is_complete = read_chunked (&message.body);
       return message;
     }
   if (message.headers.count ("content-length") == 0)
@@ -171,7 +171,7 @@
       while (receive_more ())
         ;
       message.body.swap (buffer_);
-      message.is_whole = !was_reset_;
+      message.is_complete = !was_reset_;
       return message;
     }
   size_t length
@@ -181,7 +181,7 @@
       return message;
   message.body = buffer_.substr (0, length);
   buffer_.erase (0, length);
-  message.is_whole = true;
+  message.is_complete = true;
   return message;
 }
 
--- a/test/relay/http_peer.h
+++ b/test/relay/http_peer.h
@@ -29,7 +29,7 @@
   std::chrono::steady_clock::time_point received_at; ///< Requests only.
   /// The message is complete by its framing. A close-delimited response is
   /// complete when its connection was closed without a reset.
-  bool is_whole = false;
+  bool is_complete = false;
 
   std::string method () const;
   std::string target () const;
--- a/test/relay/relay_failure_test.cc
+++ b/test/relay/relay_failure_test.cc
@@ -654,7 +654,7 @@
     {
       Message m = send_call (site.gateways[0],
                              stream_call ("k" + std::to_string (i), "a1"));
-      good += m.status == 200 && m.is_whole;
+      good += m.status == 200 && m.is_complete;
     }
   EXPECT_EQ (good, 10);
 }
--- a/test/relay/relay_test.cc
+++ b/test/relay/relay_test.cc
@@ -19,7 +19,7 @@
   ASSERT_TRUE (site.wait_ready ());
   Message m = send_call (site.gateways[0], plain_call ("p1"));
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
   EXPECT_EQ (m.header ("x-knapweedbay-attempt-id"), "p1");
   EXPECT_NE (m.header ("x-knapweedbay-server-seal"), "");
   for (const char *adapter : { "a1", "a2", "a3", "a4", "a5", "a6" })
@@ -27,7 +27,7 @@
       m = send_call (site.gateways[0],
                      stream_call (std::string ("s") + adapter, adapter));
       EXPECT_EQ (m.status, 200) << adapter;
-      EXPECT_TRUE (m.is_whole);
+      EXPECT_TRUE (m.is_complete);
       EXPECT_EQ (event_ids (m.body), up_to (10));
     }
   for (auto &e : site.engines)
@@ -65,13 +65,13 @@
       site.plain[0]->fail_next ({ Fault::CUT_UNFRAMED });
       std::string id = "u" + std::to_string (i);
       Message m = send_call (site.gateways[0], plain_call (id, "/unsafe/x"));
-      EXPECT_FALSE (m.status == 200 && m.is_whole) << m.body;
+      EXPECT_FALSE (m.status == 200 && m.is_complete) << m.body;
       EXPECT_EQ (site.runs_of (id), 1);
     }
   site.plain[0]->fail_next ({ Fault::END_UNFRAMED });
   Message m = send_call (site.gateways[0], plain_call ("ok", "/unsafe/x"));
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
 }
 
 // Guards against double execution: the response is lost, and the request is
@@ -121,7 +121,7 @@
       Message m = send_call (site.gateways[0],
                              plain_call ("s" + std::to_string ((int)fault)));
       EXPECT_EQ (m.status, 200) << (int)fault;
-      EXPECT_TRUE (m.is_whole);
+      EXPECT_TRUE (m.is_complete);
       site.plain[0]->fail_next ({});
     }
 }
@@ -158,7 +158,7 @@
       Message m = send_call (site.gateways[0],
                              stream_call (id, "a" + std::to_string (i)));
       EXPECT_EQ (m.status, 200);
-      EXPECT_TRUE (m.is_whole);
+      EXPECT_TRUE (m.is_complete);
       EXPECT_EQ (event_ids (m.body), up_to (10));
       EXPECT_NE (m.body.find ("data: e10\n\n"), std::string::npos);
       resumed += site.runs_of (id) == 2;
@@ -185,7 +185,7 @@
   Message m = send_call (site.gateways[0], stream_call ("w1", "a1"));
   restarter.join ();
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
   EXPECT_EQ (event_ids (m.body), up_to (10));
   EXPECT_EQ (site.runs_of ("w1"), 2);
 }
@@ -207,7 +207,7 @@
     }
   Message m = send_call (site.gateways[0], stream_call ("p1", "a1"));
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
   EXPECT_EQ (event_ids (m.body), up_to (2));
   EXPECT_EQ (site.runs_of ("p1"), 1);
 }
@@ -251,7 +251,7 @@
   for (auto &e : site.engines)
     e.target->fail_next ({ Fault::CUT_WITHIN_EVENT });
   Message m = send_call (site.gateways[0], stream_call ("o1", "a1", false));
-  EXPECT_FALSE (m.is_whole);
+  EXPECT_FALSE (m.is_complete);
   EXPECT_EQ (site.runs_of ("o1"), 1);
 }
 
@@ -536,7 +536,7 @@
   }));
   site.engines[0].target->events = 1000;
   Message m = send_call (site.gateways[0], stream_call ("t1", "a1"));
-  EXPECT_FALSE (m.is_whole);
+  EXPECT_FALSE (m.is_complete);
   site.plain[0]->fail_next ({ Fault::HANG });
   EXPECT_EQ (
       send_call (site.gateways[0], plain_call ("t2", "/unsafe/x")).status,
--- a/test/soak/checks.cc
+++ b/test/soak/checks.cc
@@ -91,7 +91,8 @@
     violate (record.id, "an answer that no target gave");
   if (record.is_stream)
     check_stream (record);
-  else if (m.is_whole && m.body.find ("some length\"}") == std::string::npos)
+  else if (m.is_complete
+           && m.body.find ("some length\"}") == std::string::npos)
     violate (record.id, "half a body looks whole: " + m.body);
 }
 
@@ -249,7 +250,7 @@
 Soak::check_served ()
 {
   for (const auto &record : records_)
-    if (record.answer.status == 200 && record.answer.is_whole)
+    if (record.answer.status == 200 && record.answer.is_complete)
       return;
   violate ("", "none of " + std::to_string (records_.size ())
                    + " requests was served whole");
@@ -266,7 +267,7 @@
                                 + std::to_string (i + 1));
         break;
       }
-  if (record.answer.is_whole && (int)ids.size () != kEventsOfAStream)
+  if (record.answer.is_complete && (int)ids.size () != kEventsOfAStream)
     violate (record.id, "half a stream looks whole");
 }
 
@@ -331,7 +332,7 @@
     {
       Message m = ask (i, stream_call ("after" + std::to_string (i),
                                        "a" + std::to_string (i % 12)));
-      good += m.status == 200 && m.is_whole;
+      good += m.status == 200 && m.is_complete;
     }
   if (good < kLeastRecovered)
     violate ("after0", "after the last fault " + std::to_string (good) + " of "
@@ -405,7 +406,7 @@
   for (size_t i = 0; i < streams.size (); i++)
     {
       Message m = streams[i].get ();
-      if (m.status == 0 || !m.is_whole)
+      if (m.status == 0 || !m.is_complete)
         violate ("stop" + std::to_string (i), "cut by a graceful stop");
     }
 }
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -450,7 +450,7 @@
           continue;
         }
       record.answer = connection->read_response (4000);
-      bool is_kept = record.answer.is_whole && record.answer.status != 0
+      bool is_kept = record.answer.is_complete && record.answer.status != 0
                      && record.answer.header ("connection") != "close";
       if (!is_kept)
         connection.reset ();
