--- a/src/transport/call.h
+++ b/src/transport/call.h
@@ -25,7 +25,7 @@
 
 typedef void (*cal_done_t) (void *arg, const cal_result_t *result);
 
-/// A call, allocated by the caller. May be reused after it has ended.
+/// A call, allocated by the caller. Runs one request at a time.
 struct cal_call
 {
   xch_t exchange;
--- a/src/transport/engine.h
+++ b/src/transport/engine.h
@@ -12,7 +12,8 @@
 typedef struct eng_run eng_run_t;
 
 /// End of a load or unload order.
-/// @param status  KB_OK; KB_EUNAVAIL: not sent, so not executed; KB_EUNKNOWN:
+/// @param status  KB_OK: done; KB_EUNAVAIL: not sent, so not done;
+/// KB_EUNKNOWN:
 ///                sent, but no complete response; KB_ECONFLICT: refused, for
 ///                example because of an old fencing number; KB_EINVAL: any
 ///                other HTTP status.
@@ -33,8 +34,8 @@
   double limit_per_s;
   bool is_limit_malformed;
   uint64_t retry_after_ms; ///< Zero: not given.
-  const char
-      *malformed_field; ///< Name of a field with an invalid value, or NULL.
+  /// Name of a field with an invalid value, or NULL.
+  const char *malformed_field;
 } eng_head_t;
 
 /// Callbacks of a run.
--- a/src/transport/h1.h
+++ b/src/transport/h1.h
@@ -40,7 +40,7 @@
   h1_field_t fields[H1_MAX_FIELDS];
   uint32_t field_count;
   bool is_in_value; ///< The last fragment parsed belonged to a value.
-  bool is_complete; ///< Trailer fields after a chunked body are ignored.
+  bool is_complete; ///< The head has ended; trailer fields are ignored.
 } h1_head_t;
 
 /// Why a connection ended.
