--- a/src/transport/exchange.c
+++ b/src/transport/exchange.c
@@ -16,8 +16,7 @@
 /// One connection to a peer, in use or idle.
 struct xch_pooled
 {
-  h1_conn_t
-      conn; ///< Must be first: the callbacks cast h1_conn_t to this type.
+  h1_conn_t conn; ///< Must be first: callbacks cast it to this type.
   xch_peer_t *peer;
   xch_t *x;                ///< The exchange in progress; NULL when idle.
   xch_pooled_t *next;      ///< Next in the idle list.
