--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -37,8 +37,8 @@
   if (pause_ms > wait_ms)
     wait_ms = pause_ms;
   if (wait_ms > 0)
-    tmr_after (&agent->daemon->timers, &agent->meter_timer, wait_ms,
-               pump_again, agent);
+    tmr_start_once (&agent->daemon->timers, &agent->meter_timer, wait_ms,
+                    pump_again, agent);
   return wait_ms > 0;
 }
 
@@ -294,8 +294,8 @@
 exit_after_flush (void *arg)
 {
   agt_agent_t *agent = arg;
-  tmr_after (&agent->daemon->timers, &agent->exit_timer, EXIT_FLUSH_MS,
-             exit_now, agent);
+  tmr_start_once (&agent->daemon->timers, &agent->exit_timer, EXIT_FLUSH_MS,
+                  exit_now, agent);
 }
 
 /// Give the memory of claims to entries, so that a rebuild during the window
@@ -322,8 +322,9 @@
   kb_buf_finish (&records);
   // Unless an entry confirms it, the roster must not call this a graceful
   // leave: the next incarnation would claim a memory that nobody has.
-  tmr_after (&agent->daemon->timers, &agent->exit_timer,
-             sent > 0 ? HANDOVER_PATIENCE_MS : 0, exit_after_flush, agent);
+  tmr_start_once (&agent->daemon->timers, &agent->exit_timer,
+                  sent > 0 ? HANDOVER_PATIENCE_MS : 0, exit_after_flush,
+                  agent);
 }
 
 static void
@@ -489,7 +490,7 @@
                    (uint64_t)s->load_timeout_ms);
   agt_fence_start (&agent);
   agt_engine_poll (&agent);
-  tmr_every (&daemon->timers, &agent.tick, TICK_MS, tick, &agent);
-  tmr_every (&daemon->timers, &agent.poll, POLL_MS, poll, &agent);
+  tmr_start_periodic (&daemon->timers, &agent.tick, TICK_MS, tick, &agent);
+  tmr_start_periodic (&daemon->timers, &agent.poll, POLL_MS, poll, &agent);
   return KB_OK;
 }
--- a/src/daemon/agent_admit.c
+++ b/src/daemon/agent_admit.c
@@ -55,7 +55,7 @@
   kb_buf_append (&r->body, d->body.ptr, d->body.len_bytes);
   uint64_t random[2] = { dmn_random (), dmn_random () };
   r->trace = trc_begin (d->traceparent, random);
-  trc_write_parent (&r->trace, r->traceparent);
+  trc_format_traceparent (&r->trace, r->traceparent);
   r->arrived_us = now_us;
   r->arrived_wall_us = tmr_wall_ms () * 1000;
   r->item = (sch_item_t){
--- a/src/daemon/agent_defs.h
+++ b/src/daemon/agent_defs.h
@@ -49,7 +49,7 @@
   char *path;
   kb_buf_t body;
   trc_context_t trace;
-  char traceparent[TRC_PARENT_BYTES];
+  char traceparent[TRC_TRACEPARENT_BYTES];
   uint64_t version;
   uint64_t fingerprint;
   aln_request_t alone;
@@ -118,7 +118,7 @@
   aln_gate_t alone;
   bkp_meter_t meter;        ///< Of the requests that the target takes.
   uint64_t paused_until_ms; ///< The target wants no request before.
-  tmr_sub_t meter_timer;
+  tmr_timer_t meter_timer;
   qrt_table_t quarantine;             ///< Of ends of this target.
   agt_break_t breaks[AGT_MAX_BREAKS]; ///< The newest, in a ring.
   uint32_t break_count;
@@ -151,10 +151,10 @@
   uint64_t drain_started_ms;
   bool is_leaving_said;
   bool is_memory_kept; ///< An entry confirmed the memory of claims.
-  tmr_sub_t tick;
-  tmr_sub_t poll;
-  tmr_sub_t retry_fence;
-  tmr_sub_t exit_timer;
+  tmr_timer_t tick;
+  tmr_timer_t poll;
+  tmr_timer_t retry_fence;
+  tmr_timer_t exit_timer;
   tmr_fn_t on_left; ///< Called when the roster entry says "left".
   uint32_t ticks;
 };
--- a/src/daemon/agent_fence.c
+++ b/src/daemon/agent_fence.c
@@ -42,8 +42,8 @@
 fence_retry (agt_agent_t *agent)
 {
   uint64_t delay = FENCE_RETRY_MS + dmn_random () % FENCE_RETRY_JITTER_MS;
-  tmr_after (&agent->daemon->timers, &agent->retry_fence, delay, fence_read,
-             agent);
+  tmr_start_once (&agent->daemon->timers, &agent->retry_fence, delay,
+                  fence_read, agent);
 }
 
 /// The last step of the registration: learn the epochs in force. A takeover
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -128,18 +128,18 @@
 export_spans (agt_request_t *r, uint64_t now_us, const char *outcome)
 {
   uint64_t started = r->started_us != 0 ? r->started_us : now_us;
-  trc_context_t queue = trc_child (&r->trace, dmn_random ());
+  trc_context_t queue = trc_make_child (&r->trace, dmn_random ());
   trc_export (&queue, "agent.queue", r->arrived_wall_us,
               started - r->arrived_us, outcome);
   if (r->load_us > 0)
     {
-      trc_context_t load = trc_child (&queue, dmn_random ());
+      trc_context_t load = trc_make_child (&queue, dmn_random ());
       trc_export (&load, "adapter.load", r->arrived_wall_us, r->load_us,
                   outcome);
     }
   if (r->started_us == 0)
     return;
-  trc_context_t run = trc_child (&r->trace, dmn_random ());
+  trc_context_t run = trc_make_child (&r->trace, dmn_random ());
   trc_export (&run, "engine.run",
               r->arrived_wall_us + (started - r->arrived_us), now_us - started,
               outcome);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -205,7 +205,7 @@
     return kb_error_set (error, KB_EINVAL,
                          "\"log_level\": unknown level \"%s\"", s->log_level);
   log_level_set (level);
-  trc_enable (s->trace_stdout, s->name);
+  trc_configure (s->trace_stdout, s->name);
   signal (SIGPIPE, SIG_IGN);
   uv_loop_init (&daemon->loop);
   daemon->incarnation = dmn_random () | 1;
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -39,8 +39,8 @@
     }
   uint64_t wait_us = gat_wait_us (&entry->gate, tmr_now_us ());
   if (wait_us > 0)
-    tmr_after (&entry->daemon->timers, &entry->gate_timer, wait_us / 1000 + 1,
-               gate_tick, entry);
+    tmr_start_once (&entry->daemon->timers, &entry->gate_timer,
+                    wait_us / 1000 + 1, gate_tick, entry);
 }
 
 static void
@@ -163,7 +163,7 @@
 static void
 check_drain (ent_entry_t *entry, uint64_t now)
 {
-  if (!entry->daemon->is_draining || entry->exit_timer.heap_at != 0)
+  if (!entry->daemon->is_draining || entry->exit_timer.heap_position != 0)
     return;
   uint64_t limit = (uint64_t)entry->daemon->settings.drain_limit_ms;
   bool is_late = now - entry->drain_started_ms > limit;
@@ -174,8 +174,8 @@
     log_write (LOG_ERROR, "daemon",
                "The drain limit is reached with %u requests in progress.",
                entry->request_count);
-  tmr_after (&entry->daemon->timers, &entry->exit_timer, EXIT_FLUSH_MS,
-             exit_now, entry);
+  tmr_start_once (&entry->daemon->timers, &entry->exit_timer, EXIT_FLUSH_MS,
+                  exit_now, entry);
 }
 
 static void
@@ -300,6 +300,6 @@
   if (status != KB_OK)
     return status;
   ent_members_start (&entry);
-  tmr_every (&daemon->timers, &entry.tick, TICK_MS, tick, &entry);
+  tmr_start_periodic (&daemon->timers, &entry.tick, TICK_MS, tick, &entry);
   return KB_OK;
 }
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -120,8 +120,8 @@
   uint64_t arrived_us;
   uint64_t arrived_wall_us;
   uint64_t first_sent_us;
-  tmr_sub_t deadline;
-  tmr_sub_t retry;
+  tmr_timer_t deadline;
+  tmr_timer_t retry;
 } ent_request_t;
 
 /// One member of the roster that a rebuild waits for.
@@ -211,10 +211,10 @@
   bool is_handed_over;
   bool is_list_known;
   uint64_t ticks;
-  tmr_sub_t tick;
-  tmr_sub_t list_timer;
-  tmr_sub_t gate_timer;
-  tmr_sub_t exit_timer;
+  tmr_timer_t tick;
+  tmr_timer_t list_timer;
+  tmr_timer_t gate_timer;
+  tmr_timer_t exit_timer;
 };
 
 // entry_http.c
--- a/src/daemon/entry_keyed.c
+++ b/src/daemon/entry_keyed.c
@@ -36,8 +36,8 @@
   // The owner that the map names has not answered as one: the map is old.
   if (r->claim_tries > 1)
     ent_claims_read_map (r->entry);
-  tmr_after (&r->entry->daemon->timers, &r->retry, CLAIM_RETRY_MS, claim_retry,
-             r);
+  tmr_start_once (&r->entry->daemon->timers, &r->retry, CLAIM_RETRY_MS,
+                  claim_retry, r);
 }
 
 /// Where an earlier request with the same key ran or runs.
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -268,8 +268,9 @@
 ent_members_start (ent_entry_t *entry)
 {
   list_poll (entry);
-  tmr_every (&entry->daemon->timers, &entry->list_timer,
-             (uint64_t)entry->daemon->settings.list_poll_ms, list_poll, entry);
+  tmr_start_periodic (&entry->daemon->timers, &entry->list_timer,
+                      (uint64_t)entry->daemon->settings.list_poll_ms,
+                      list_poll, entry);
 }
 
 static void
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -68,7 +68,7 @@
   uint64_t now_us = tmr_now_us ();
   if (r->first_sent_us != 0)
     {
-      trc_context_t route = trc_child (&r->trace, dmn_random ());
+      trc_context_t route = trc_make_child (&r->trace, dmn_random ());
       trc_export (&route, "entry.route", r->arrived_wall_us,
                   r->first_sent_us - r->arrived_us, outcome);
     }
@@ -244,8 +244,8 @@
 {
   ent_entry_t *entry = r->entry;
   uint64_t now = tmr_now_ms ();
-  char parent[TRC_PARENT_BYTES];
-  trc_write_parent (&r->trace, parent);
+  char parent[TRC_TRACEPARENT_BYTES];
+  trc_format_traceparent (&r->trace, parent);
   msg_t msg = { .type = MSG_DISPATCH };
   msg.dispatch = (msg_dispatch_t){
     .attempt = r->attempt,
@@ -343,8 +343,8 @@
   lim_retry_note_first (&entry->retries);
   uint64_t now = tmr_now_ms ();
   uint64_t left = r->deadline_at_ms > now ? r->deadline_at_ms - now : 0;
-  tmr_after (&entry->daemon->timers, &r->deadline, left + DEADLINE_GRACE_MS,
-             deadline_passed, r);
+  tmr_start_once (&entry->daemon->timers, &r->deadline,
+                  left + DEADLINE_GRACE_MS, deadline_passed, r);
   ent_request_next (r);
 }
 
@@ -369,8 +369,8 @@
                          kb_slice_str (r->model));
   hts_response_header (r->http, "x-knapweedbay-outcome",
                        kb_slice_str ("done"));
-  char parent[TRC_PARENT_BYTES];
-  trc_write_parent (&r->trace, parent);
+  char parent[TRC_TRACEPARENT_BYTES];
+  trc_format_traceparent (&r->trace, parent);
   hts_response_header (r->http, "traceparent", kb_slice_str (parent));
 }
 
--- a/src/gateway/gateway.c
+++ b/src/gateway/gateway.c
@@ -56,7 +56,7 @@
 static void
 source_on_reachable (void *owner, bool is_reachable)
 {
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, is_reachable ? LOG_INFO : LOG_WARN, "gateway",
                  is_reachable ? "store_regained" : "store_lost"))
     log_end (&line);
@@ -126,8 +126,8 @@
 {
   gtw_gateway_t *gateway = (gtw_gateway_t *)host;
   gateway->stop_ms = gtw_now_ms (gateway);
-  tmr_every (&host->timers, &gateway->exit_timer, STOP_CHECK_MS, check_stop,
-             gateway);
+  tmr_start_periodic (&host->timers, &gateway->exit_timer, STOP_CHECK_MS,
+                      check_stop, gateway);
 }
 
 static void
@@ -185,13 +185,13 @@
   if (gateway->source == NULL || open_ready_page (gateway, error) != KB_OK
       || gtw_listen (gateway, error) != KB_OK)
     return NULL;
-  gateway->born_ms = gateway->alone_ms = tmr_boot_ms ();
+  gateway->born_ms = gateway->alone_ms = tmr_boottime_ms ();
   gtw_peers_init (gateway);
   gtw_keeps_init (gateway);
   gateway->source->vtable->set_peers (gateway->source, &gateway->peers.peers);
   gateway->source->vtable->start (gateway->source, &source_events, gateway);
-  tmr_every (&gateway->host.timers, &gateway->tick, GTW_TICK_MS, gateway_tick,
-             gateway);
+  tmr_start_periodic (&gateway->host.timers, &gateway->tick, GTW_TICK_MS,
+                      gateway_tick, gateway);
   return gateway;
 }
 
--- a/src/gateway/gateway_access.c
+++ b/src/gateway/gateway_access.c
@@ -28,7 +28,7 @@
 freshness_of (const gtw_gateway_t *gateway)
 {
   uint64_t known_ms = gateway->source->vtable->known_boot_ms (gateway->source);
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   uint64_t bound_ms = (uint64_t)gateway->host.settings.revoke_bound_ms;
   return (acc_freshness_t){ .age_ms = known_ms == 0       ? UINT64_MAX
                                       : now_ms > known_ms ? now_ms - known_ms
@@ -40,7 +40,7 @@
 log_refusal (const gtw_request_t *r, const gtw_refusal_t *refusal,
              const uint8_t *digest, const acc_freshness_t *freshness)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "request_unauthorized"))
     return;
   char key[SCT_TEXT_BYTES] = "";
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -112,8 +112,8 @@
   uint64_t left_ms = gtw_left_ms (end_ms, now_ms);
   if (left_ms <= RESUME_MS)
     return false;
-  tmr_after (&r->gateway->host.timers, &r->silence, left_ms - RESUME_MS,
-             answer_silent, r);
+  tmr_start_once (&r->gateway->host.timers, &r->silence, left_ms - RESUME_MS,
+                  answer_silent, r);
   return true;
 }
 
@@ -140,8 +140,8 @@
     limit_ms = SILENT_OBJECTIVES * (r->objective_ms - r->arrived_ms);
   else if (!r->has_event)
     limit_ms = FIRST_SILENCE_MS;
-  tmr_after (&r->gateway->host.timers, &r->silence, limit_ms, answer_silent,
-             r);
+  tmr_start_once (&r->gateway->host.timers, &r->silence, limit_ms,
+                  answer_silent, r);
 }
 
 /// Pass bytes of the body on.
@@ -176,7 +176,7 @@
 note_gap (gtw_request_t *r, uint64_t gap_ms)
 {
   r->longest_gap_ms = gap_ms;
-  log_event_t line;
+  log_line_t line;
   if (gap_ms < LOGGED_GAP_MS
       || !log_begin (&line, LOG_INFO, "gateway", "stream_paused"))
     return;
@@ -486,7 +486,7 @@
   r->sends++;
   r->is_permit_used = true;
   r->sent_ms = gtw_now_ms (gateway);
-  r->sent_boot_ms = tmr_boot_ms ();
+  r->sent_boot_ms = tmr_boottime_ms ();
   r->runs++;
   r->is_begun = false;
   xch_start (&r->exchange, &r->target->peer, &answer_events, r, &request);
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -14,7 +14,7 @@
 static void
 log_limit (const gtw_request_t *r, const gtw_stated_t *stated)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_limit"))
     return;
   log_text (&line, "target", stated->who.id);
@@ -28,7 +28,7 @@
 log_malformed (const gtw_request_t *r, const char *field)
 {
   MET_INC ("knapweedbay_answer_fields_ignored_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "gateway", "answer_field_ignored"))
     return;
   log_text (&line, "id", r->attempt_id);
@@ -81,7 +81,7 @@
   double per_s = answer->states_limit ? answer->limit_per_s : -1;
   if (answer->is_limit_malformed
       || !bkp_limit_heard (&stated->limit, per_s, r->sent_boot_ms,
-                           tmr_boot_ms ()))
+                           tmr_boottime_ms ()))
     return;
   log_limit (r, stated);
   // Its sidecar is to know with the next tick.
@@ -95,7 +95,7 @@
   if (stated->is_leaving)
     return;
   stated->is_leaving = true;
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_states_leaving"))
     return;
   log_text (&line, "target", stated->who.id);
@@ -109,12 +109,12 @@
 static void
 note_pause (const gtw_request_t *r, gtw_stated_t *stated, uint64_t pause_ms)
 {
-  uint64_t until_ms = tmr_boot_ms () + pause_ms;
+  uint64_t until_ms = tmr_boottime_ms () + pause_ms;
   if (until_ms <= stated->paused_until_ms)
     return;
   stated->paused_until_ms = until_ms;
   MET_INC ("knapweedbay_target_pauses_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_paused"))
     return;
   log_text (&line, "target", stated->who.id);
--- a/src/gateway/gateway_births.c
+++ b/src/gateway/gateway_births.c
@@ -17,7 +17,7 @@
                       const char *from)
 {
   MET_INC ("knapweedbay_stale_births_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "birth_stale"))
     return;
   log_text (&line, "target", target->told.who.id);
--- a/src/gateway/gateway_client.c
+++ b/src/gateway/gateway_client.c
@@ -31,7 +31,7 @@
   client->gateway->dialect->write_refusal (&refusal, &out);
   h1_conn_write (&client->conn, out.ptr, out.len_bytes);
   kb_buf_finish (&out);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "gateway", "request_refused"))
     {
       log_text (&line, "id", client->refusal_id);
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -193,8 +193,8 @@
   uint64_t limit_wait_ms; ///< Until a limited target takes one; zero: none was
                           ///< asked.
   xch_t exchange;
-  tmr_sub_t timer;   ///< Deadline and timeout.
-  tmr_sub_t silence; ///< No answer, no event, or a pause.
+  tmr_timer_t timer;   ///< Deadline and timeout.
+  tmr_timer_t silence; ///< No answer, no event, or a pause.
 
   // The answer.
   int http_status;
@@ -260,7 +260,7 @@
   uint32_t due_count;
   uint64_t writing;  ///< Zero: nothing is.
   uint64_t pause_ms; ///< Before the next try; zero: the last one went well.
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } gtw_keeps_t;
 
 /// The question for changes of the store that is open at a sidecar.
@@ -272,7 +272,7 @@
   uint64_t id; ///< Zero: none is open.
   uint64_t link_key;
   uint64_t asked_ms;
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } gtw_peers_t;
 
 struct gtw_gateway
@@ -304,7 +304,7 @@
   kb_map_t quotas;        ///< gtw_quota_t by the key of their workspace.
   gtw_charge_t *decided;  ///< Wait for credit no longer.
   tmr_fn_t on_decided;    ///< Goes on with them.
-  tmr_sub_t decided_timer;
+  tmr_timer_t decided_timer;
   uint64_t unlinked_ms; ///< When a sidecar left the list last, as below.
   uint64_t alone_ms;    ///< When no sidecar was heard last, by the boot clock.
   uint64_t born_ms;     ///< By the boot clock.
@@ -320,8 +320,8 @@
   uint64_t rated_ms;
   uint32_t gateway_count; ///< As sidecars see it.
   uint64_t stop_ms;       ///< When the stop began; zero: it did not.
-  tmr_sub_t tick;
-  tmr_sub_t exit_timer;
+  tmr_timer_t tick;
+  tmr_timer_t exit_timer;
 };
 
 /// @return  The moment at which a request is of no more use: its caller's
@@ -375,7 +375,7 @@
 gtw_target_pause_ms (const gtw_target_t *target)
 {
   uint64_t until_ms = target->stated.paused_until_ms;
-  return until_ms == 0 ? 0 : gtw_left_ms (until_ms, tmr_boot_ms ());
+  return until_ms == 0 ? 0 : gtw_left_ms (until_ms, tmr_boottime_ms ());
 }
 
 /// Key of a sidecar's name in `links`.
--- a/src/gateway/gateway_keep.c
+++ b/src/gateway/gateway_keep.c
@@ -61,8 +61,8 @@
   if (keeps->pause_ms > PAUSE_MOST_MS)
     keeps->pause_ms = PAUSE_MOST_MS;
   gtw_keep (keeps->gateway, request);
-  tmr_after (&keeps->gateway->host.timers, &keeps->timer, keeps->pause_ms,
-             keep_again, keeps);
+  tmr_start_once (&keeps->gateway->host.timers, &keeps->timer, keeps->pause_ms,
+                  keep_again, keeps);
 }
 
 /// @return  False: nothing is known of the request any more.
@@ -149,10 +149,10 @@
   if (is_good)
     return;
   MET_INC ("knapweedbay_entries_ignored_total", "reason=\"record\"");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "store", "entry_ignored"))
     return;
-  log_str (&line, "key", given->key);
+  log_slice (&line, "key", given->key);
   log_text (&line, "reason", "not a record of requests that end targets");
   log_end (&line);
 }
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -58,22 +58,22 @@
       gateway, gtw_link_key (kb_slice_str (target->link)), &elsewhere);
   target->told_ms = gtw_now_ms (gateway);
   const bkp_limit_t *limit = &target->stated.limit;
-  msg_t msg
-      = { .type = MSG_GATEWAY_STATE,
-          .gateway_state
-          = { .incarnation = gateway->host.incarnation,
-              .revision = revision_of (gateway),
-              .versions_known = gateway->versions.changes,
-              .engine_count
-              = gtw_targets_count (gateway, target->told.service),
-              .list_stamp = target->list_stamp,
-              .quarantine_stamp = qrt_stamp (&gateway->quarantine),
-              .gateway_peak = gateway->peak.count,
-              .gateway_peak_age_ms = tmr_boot_ms () - gateway->peak.seen_ms,
-              .limit_milli = limit_milli (limit),
-              .limit_age_ms = tmr_boot_ms () - limit->at_ms,
-              .lent_elsewhere = kb_buf_slice (&elsewhere),
-              .places = kb_buf_slice (&places) } };
+  msg_t msg = {
+    .type = MSG_GATEWAY_STATE,
+    .gateway_state
+    = { .incarnation = gateway->host.incarnation,
+        .revision = revision_of (gateway),
+        .versions_known = gateway->versions.changes,
+        .engine_count = gtw_targets_count (gateway, target->told.service),
+        .list_stamp = target->list_stamp,
+        .quarantine_stamp = qrt_stamp (&gateway->quarantine),
+        .gateway_peak = gateway->peak.count,
+        .gateway_peak_age_ms = tmr_boottime_ms () - gateway->peak.seen_ms,
+        .limit_milli = limit_milli (limit),
+        .limit_age_ms = tmr_boottime_ms () - limit->at_ms,
+        .lent_elsewhere = kb_buf_slice (&elsewhere),
+        .places = kb_buf_slice (&places) }
+  };
   if (hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
   kb_buf_finish (&places);
@@ -176,7 +176,7 @@
   gateway->config = config;
   kb_buf_clear (&gateway->document);
   kb_buf_append (&gateway->document, document.ptr, document.len_bytes);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
     {
       log_int (&line, "revision", (int64_t)config->revision);
@@ -196,10 +196,10 @@
       = ver_learn (&gateway->versions, model, adapter, version);
   if (item == NULL)
     return;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "config", "adapter_version"))
     {
-      log_str (&line, "adapter", adapter);
+      log_slice (&line, "adapter", adapter);
       log_int (&line, "version", version);
       log_end (&line);
     }
@@ -328,7 +328,7 @@
   target->sidecar_versions = state->versions_known;
   target->quarantine_stamp = state->quarantine_stamp;
   qof_peak_take (&gateway->peak, (uint32_t)state->gateway_peak,
-                 state->gateway_peak_age_ms, tmr_boot_ms ());
+                 state->gateway_peak_age_ms, tmr_boottime_ms ());
   target->condition = (msg_engine_condition_t)state->condition;
   target->slots = (uint32_t)state->slots;
   target->granted = (uint32_t)state->granted;
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -19,7 +19,7 @@
   gtw_observe_end (r, http_status);
   uint64_t now_ms = gtw_now_ms (r->gateway);
   bool is_good = http_status >= 200 && http_status < 300;
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, is_good ? LOG_INFO : LOG_WARN, "gateway",
                   "request_end"))
     return;
@@ -49,7 +49,7 @@
 
 /// @return  Whether the line is wanted.
 static bool
-begin_step (log_event_t *line, const gtw_request_t *r, const char *event,
+begin_step (log_line_t *line, const gtw_request_t *r, const char *event,
             const char *reason)
 {
   if (!log_begin (line, LOG_INFO, "gateway", event))
@@ -63,7 +63,7 @@
 void
 gtw_log_step (const gtw_request_t *r, const char *event, const char *reason)
 {
-  log_event_t line;
+  log_line_t line;
   if (!begin_step (&line, r, event, reason))
     return;
   log_int (&line, "word_age_ms", word_age_ms (r));
@@ -74,7 +74,7 @@
 void
 gtw_log_attempt (gtw_request_t *r, const char *event, const char *reason)
 {
-  log_event_t line;
+  log_line_t line;
   if (!begin_step (&line, r, event, reason))
     return;
   log_int (&line, "send", r->sends);
@@ -95,7 +95,7 @@
 gtw_log_choice (const gtw_request_t *r)
 {
   const gtw_target_t *t = r->target;
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_DEBUG, "gateway", "target_chosen"))
     return;
   log_text (&line, "id", r->attempt_id);
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -108,7 +108,7 @@
   gtw_target_t *target = kb_map_get (&gateway->links, peers->link_key);
   if (target != NULL)
     target->ask_failed_ms = now_ms;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "store", "shared_read_failed"))
     {
       log_text (&line, "sidecar", target == NULL ? "" : target->link);
@@ -154,9 +154,9 @@
                                .pause_ms = ask->pause_ms } };
       is_sent = hst_send (&gateway->host, target->link, &msg) == KB_OK;
     }
-  tmr_after (&gateway->host.timers, &peers->timer,
-             is_sent ? ask->timeout_ms : 0, is_sent ? ask_late : ask_unsent,
-             peers);
+  tmr_start_once (&gateway->host.timers, &peers->timer,
+                  is_sent ? ask->timeout_ms : 0,
+                  is_sent ? ask_late : ask_unsent, peers);
 }
 
 /// @return  False: these bytes are no changes.
--- a/src/gateway/gateway_probe.c
+++ b/src/gateway/gateway_probe.c
@@ -25,7 +25,7 @@
   uint64_t target; ///< Key; the target may be gone meanwhile.
   uint32_t refusals;
   bool is_refused; ///< The present try.
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } probe_t;
 
 static void probe_try (void *arg);
@@ -48,8 +48,8 @@
   probe_t *probe = (probe_t *)handle;
   probe->refusals += probe->is_refused;
   if (probe->is_refused && probe->refusals < REFUSALS)
-    tmr_after (&probe->gateway->host.timers, &probe->timer, PAUSE_MS,
-               probe_try, probe);
+    tmr_start_once (&probe->gateway->host.timers, &probe->timer, PAUSE_MS,
+                    probe_try, probe);
   else
     probe_end (probe);
 }
@@ -86,8 +86,8 @@
       probe_end (probe);
       return;
     }
-  tmr_after (&gateway->host.timers, &probe->timer, TIMEOUT_MS, probe_close,
-             probe);
+  tmr_start_once (&gateway->host.timers, &probe->timer, TIMEOUT_MS,
+                  probe_close, probe);
   uv_tcp_init (&gateway->host.loop, &probe->tcp);
   int status = uv_tcp_connect (&probe->connect, &probe->tcp,
                                (const struct sockaddr *)&target->told.address,
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -172,7 +172,7 @@
       = qrt_judge (&gateway->quarantine, request, broken->caller,
                    gtw_now_ms (gateway), &hold_ms);
   static const char *const names[] = { "free", "alone", "held" };
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, verdict == QRT_HELD ? LOG_WARN : LOG_INFO, "gateway",
                   "request_suspected"))
     return;
@@ -271,7 +271,7 @@
   target->ended_ms = gtw_now_ms (gateway);
   uint32_t count = suspect_all (gateway, target);
   MET_INC ("knapweedbay_targets_ended_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "gateway", "target_ended"))
     return;
   log_text (&line, "target", target->told.who.id);
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -30,7 +30,8 @@
 static uint64_t
 revision_to_send (const gtw_quota_t *quota, const qln_ask_t *ask)
 {
-  return quota->is_of_target ? tmr_boot_ms () - ask->revision : ask->revision;
+  return quota->is_of_target ? tmr_boottime_ms () - ask->revision
+                             : ask->revision;
 }
 
 static void
@@ -59,7 +60,7 @@
                     .ledger = ask->ledger,
                     .gateway_peak = gateway->peak.count,
                     .gateway_peak_age_ms
-                    = tmr_boot_ms () - gateway->peak.seen_ms } };
+                    = tmr_boottime_ms () - gateway->peak.seen_ms } };
   MET_INC ("knapweedbay_quota_asks_total", "");
   // One that can not be sent is sent again by the next tick.
   if (target == NULL || hst_send (&gateway->host, target->link, &msg) != KB_OK)
@@ -72,15 +73,15 @@
   gtw_gateway_t *gateway = ((gtw_quota_t *)purse)->gateway;
   gtw_charge_t *charge = charge_of (waiter);
   charge->verdict = verdict;
-  charge->taken_ms = tmr_boot_ms ();
+  charge->taken_ms = tmr_boottime_ms ();
   charge->is_decided = true;
   charge->next_decided = NULL;
   gtw_charge_t **at = &gateway->decided;
   while (*at != NULL)
     at = &(*at)->next_decided;
   *at = charge;
-  tmr_after (&gateway->host.timers, &gateway->decided_timer, DECIDED_MS,
-             gateway->on_decided, gateway);
+  tmr_start_once (&gateway->host.timers, &gateway->decided_timer, DECIDED_MS,
+                  gateway->on_decided, gateway);
 }
 
 static const qsp_events_t purse_events = { send_ask, note_decided };
@@ -123,7 +124,7 @@
 static bool
 is_young (const gtw_gateway_t *gateway, const quo_tolerance_t *tolerance)
 {
-  return tmr_boot_ms () - gateway->born_ms < quo_window_ms (tolerance);
+  return tmr_boottime_ms () - gateway->born_ms < quo_window_ms (tolerance);
 }
 
 static gtw_quota_t *
@@ -142,7 +143,8 @@
           .born_ms = gateway->born_ms };
   options.past
       = is_young (gateway, &options.tolerance) ? QLN_PAST_LOST : QLN_PAST_NONE;
-  qsp_init (&quota->purse, &purse_events, gateway, &options, tmr_boot_ms ());
+  qsp_init (&quota->purse, &purse_events, gateway, &options,
+            tmr_boottime_ms ());
   kb_map_put (&gateway->quotas, subject->key, quota);
   return quota;
 }
@@ -214,7 +216,7 @@
     return;
   tell_soon (gateway, before);
   tell_soon (gateway, quota->next);
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "quota_lender"))
     return;
   const gtw_target_t *lender = kb_map_get (&gateway->links, first.link);
@@ -236,7 +238,7 @@
     quota = quota_open (gateway, subject);
   qsp_set_limit (&quota->purse, &subject->limit, subject->revision);
   if (is_new)
-    follow_lender (quota, tmr_boot_ms ());
+    follow_lender (quota, tmr_boottime_ms ());
   quota->users++;
   *charge = (gtw_charge_t){
     .quota = quota, .request = r, .amount = amount, .verdict = QSP_WAITS
@@ -267,7 +269,7 @@
   if (charge->is_asked)
     return charge->verdict;
   charge->is_asked = true;
-  charge->taken_ms = tmr_boot_ms ();
+  charge->taken_ms = tmr_boottime_ms ();
   charge->verdict = qsp_enter (&charge->quota->purse, &charge->waiter,
                                charge->amount, charge->taken_ms);
   return charge->verdict;
@@ -282,14 +284,14 @@
 uint64_t
 gtw_quota_wait_ms (const gtw_charge_t *charge)
 {
-  return qsp_wait_ms (&charge->quota->purse, tmr_boot_ms ());
+  return qsp_wait_ms (&charge->quota->purse, tmr_boottime_ms ());
 }
 
 uint64_t
 gtw_quota_subject_wait_ms (const gtw_gateway_t *gateway, uint64_t subject)
 {
   const gtw_quota_t *quota = kb_map_get (&gateway->quotas, subject);
-  return quota == NULL ? 0 : qsp_wait_ms (&quota->purse, tmr_boot_ms ());
+  return quota == NULL ? 0 : qsp_wait_ms (&quota->purse, tmr_boottime_ms ());
 }
 
 void
@@ -320,7 +322,7 @@
                         .is_pause = given->is_pause != 0,
                         .is_refused = given->is_refused != 0 };
   qsp_take_grant (&quota->purse, given->id, &grant, given->ledger,
-                  tmr_boot_ms ());
+                  tmr_boottime_ms ());
 }
 
 static void
@@ -369,7 +371,7 @@
 void
 gtw_quotas_tick (gtw_gateway_t *gateway)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   follow_heard (gateway, now_ms);
   gtw_quota_t *idle = find_idle (gateway, now_ms);
   if (idle != NULL)
@@ -390,7 +392,7 @@
 gtw_quotas_pack_elsewhere (const gtw_gateway_t *gateway, uint64_t link,
                            kb_buf_t *out)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   const gtw_target_t *target = kb_map_get (&gateway->links, link);
   // One that is not heard here may lend to others.
   bool is_silent = target == NULL || !gtw_target_is_heard (gateway, target);
--- a/src/gateway/gateway_request.c
+++ b/src/gateway/gateway_request.c
@@ -300,7 +300,8 @@
 {
   uint64_t left_ms
       = gtw_left_ms (gtw_request_end_ms (r), gtw_now_ms (r->gateway));
-  tmr_after (&r->gateway->host.timers, &r->timer, left_ms, request_late, r);
+  tmr_start_once (&r->gateway->host.timers, &r->timer, left_ms, request_late,
+                  r);
 }
 
 void
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -136,14 +136,14 @@
   target->is_linked = false;
   target->heard_ms = 0;
   target->heard_since_ms = 0;
-  gateway->unlinked_ms = tmr_boot_ms ();
+  gateway->unlinked_ms = tmr_boottime_ms ();
   target->condition = MSG_ENGINE_DOWN;
 }
 
 void
 gtw_target_log (const gtw_target_t *target, const char *event)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", event))
     return;
   log_text (&line, "target", target->told.who.id);
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -122,7 +122,7 @@
   void (*keep) (src_source_t *source, const src_record_t *record,
                 uint64_t lasts_ms, src_keep_done_t done, void *arg);
   /// @return  When the newest read of the store that was answered began, as
-  ///          tmr_boot_ms tells it; zero: none was.
+  ///          tmr_boottime_ms tells it; zero: none was.
   uint64_t (*known_boot_ms) (const src_source_t *source);
   /// Set the gauges of the metrics page.
   void (*set_gauges) (src_source_t *source);
--- a/src/relay/host.c
+++ b/src/relay/host.c
@@ -60,7 +60,7 @@
     }
   host->settings = fresh;
   apply_log_settings (host);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "daemon", "reload"))
     {
       log_text (&line, "settings", host->settings_path);
@@ -89,7 +89,7 @@
   if (host->is_stopping)
     return;
   host->is_stopping = true;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "daemon", "stop_begins"))
     {
       log_int (&line, "signal", number);
@@ -122,7 +122,7 @@
   uv_resident_set_memory (&rss_bytes);
   met_set (met_counter ("knapweedbay_resident_bytes", ""), (int64_t)rss_bytes);
   met_set (met_counter ("knapweedbay_log_lines_left_out_total", ""),
-           (int64_t)log_dropped ());
+           (int64_t)log_dropped_count ());
   met_set (met_counter ("knapweedbay_connections_opened_total", ""),
            (int64_t)host->pool.opened_total);
   met_write (body);
@@ -172,16 +172,17 @@
   if (status != KB_OK)
     return status;
   host_start_signals (host);
-  tmr_every (&host->timers, &host->flush_timer, FLUSH_MS, host_flush, host);
-  tmr_every (&host->timers, &host->reload_timer, RELOAD_CHECK_MS,
-             host_check_settings, host);
+  tmr_start_periodic (&host->timers, &host->flush_timer, FLUSH_MS, host_flush,
+                      host);
+  tmr_start_periodic (&host->timers, &host->reload_timer, RELOAD_CHECK_MS,
+                      host_check_settings, host);
   return KB_OK;
 }
 
 int
 hst_host_run (hst_host_t *host)
 {
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "daemon", "start"))
     {
       log_text (&line, "role", host->settings.role_name);
@@ -198,7 +199,7 @@
 hst_host_exit (hst_host_t *host, int exit_code)
 {
   host->exit_code = exit_code;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "daemon", "stop"))
     {
       log_int (&line, "exit_code", exit_code);
--- a/src/relay/host.h
+++ b/src/relay/host.h
@@ -35,8 +35,8 @@
   plk_link_t link;
   pgs_server_t metrics;
   uv_signal_t signals[3];
-  tmr_sub_t flush_timer;
-  tmr_sub_t reload_timer;
+  tmr_timer_t flush_timer;
+  tmr_timer_t reload_timer;
   uint64_t settings_stamp; ///< Of the file, to see it change.
   uint64_t incarnation;
   bool is_stopping;
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -38,7 +38,7 @@
           i++;
           continue;
         }
-      log_event_t line;
+      log_line_t line;
       if (log_begin (&line, LOG_WARN, "sidecar", "gateway_lost"))
         {
           log_text (&line, "gateway", gateway->name);
@@ -69,7 +69,7 @@
   s->table.is_open = false;
   scr_tell_state (s, NULL);
   scr_pump (s);
-  tmr_after (&host->timers, &s->exit_timer, EXIT_MS, sidecar_exit, s);
+  tmr_start_once (&host->timers, &s->exit_timer, EXIT_MS, sidecar_exit, s);
 }
 
 static void
@@ -142,9 +142,9 @@
       || plk_link_bind (&s->host.link, settings->listen_address, &port, error)
              != KB_OK)
     return NULL;
-  tmr_every (&s->host.timers, &s->watch_timer, TRN_HEARTBEAT_MS, sidecar_watch,
-             s);
-  tmr_after (&s->host.timers, &s->poll_timer, 0, scr_poll, s);
+  tmr_start_periodic (&s->host.timers, &s->watch_timer, TRN_HEARTBEAT_MS,
+                      sidecar_watch, s);
+  tmr_start_once (&s->host.timers, &s->poll_timer, 0, scr_poll, s);
   return s;
 }
 
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -69,15 +69,15 @@
   lto_orders_t late_orders; ///< Without an answer.
   rdr_reader_t *reader;     ///< Of the store; NULL: it has none.
   shr_cache_t *share;       ///< NULL: no gateway asks for changes.
-  tmr_sub_t share_timer;
-  tmr_sub_t share_idle_timer;
+  tmr_timer_t share_timer;
+  tmr_timer_t share_idle_timer;
   bool is_state_due;
   uint64_t told_ms;
-  tmr_sub_t poll_timer;
-  tmr_sub_t tell_timer;
-  tmr_sub_t watch_timer;
-  tmr_sub_t pace_timer;
-  tmr_sub_t exit_timer;
+  tmr_timer_t poll_timer;
+  tmr_timer_t tell_timer;
+  tmr_timer_t watch_timer;
+  tmr_timer_t pace_timer;
+  tmr_timer_t exit_timer;
 };
 
 static inline uint64_t
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -38,7 +38,7 @@
 log_order (const scr_sidecar_t *s, const adm_adapter_t *adapter,
            egn_order_end_t end)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, end <= EGN_ORDER_HOLDS ? LOG_DEBUG : LOG_WARN,
                   "sidecar", "order"))
     return;
@@ -118,8 +118,8 @@
   // The report tells what holds: whether an order without an answer was
   // accepted shows in the count of orders.
   if (!s->is_calling)
-    tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_COMING_MS : 0,
-               scr_poll, s);
+    tmr_start_once (&s->host.timers, &s->poll_timer,
+                    is_done ? POLL_COMING_MS : 0, scr_poll, s);
 }
 
 /// Order the engine to fetch or drop an adapter.
@@ -168,8 +168,8 @@
         {
         case ADM_DO_NOTHING:
           if (s->table.waiting > 0)
-            tmr_after (&s->host.timers, &s->pace_timer, PACE_MS, pump_again,
-                       s);
+            tmr_start_once (&s->host.timers, &s->pace_timer, PACE_MS,
+                            pump_again, s);
           return;
         case ADM_DO_GRANT:
           scr_grant (s, action.ask);
@@ -246,7 +246,7 @@
   if (instance.len_bytes == 0)
     return;
   kb_slice_copy (instance, s->who.id, sizeof s->who.id);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "engine_identified"))
     {
       log_text (&line, "instance", s->who.id);
@@ -273,7 +273,7 @@
 static void
 engine_restarted (scr_sidecar_t *s)
 {
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_WARN, "sidecar", "engine_restarted"))
     {
       log_text (&line, "instance", s->who.id);
@@ -285,7 +285,7 @@
   s->identified_ms = 0;
   lto_restarted (&s->late_orders);
   adm_engine_restarted (&s->table);
-  bkp_limit_t none = { .at_ms = tmr_boot_ms () };
+  bkp_limit_t none = { .at_ms = tmr_boottime_ms () };
   bkp_meter_told (&s->table.meter, &none, scr_now_ms (s));
   scr_state_changed (s);
 }
@@ -365,7 +365,7 @@
                       : s->table.granted > 0 || s->table.waiting > 0
                           ? POLL_BUSY_MS
                           : POLL_IDLE_MS;
-  tmr_after (&s->host.timers, &s->poll_timer, pause_ms, scr_poll, s);
+  tmr_start_once (&s->host.timers, &s->poll_timer, pause_ms, scr_poll, s);
 }
 
 void
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -64,7 +64,7 @@
   apply_config (s);
   // Two thousand routes take 0.8 MB, at each of hundreds of engines.
   svc_config_drop_callers (config);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
     {
       log_int (&line, "revision", (int64_t)config->revision);
@@ -108,7 +108,7 @@
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, item->key);
   if (adapter != NULL)
     adm_adapter_want (adapter, item->version);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "adapter_version"))
     {
       log_text (&line, "adapter", item->adapter);
@@ -194,11 +194,11 @@
       made_good++;
     }
   uint32_t released = adm_compare_end (&s->table, owner);
-  log_event_t line;
+  log_line_t line;
   if (made_good + released == 0
       || !log_begin (&line, LOG_INFO, "sidecar", "places_reconciled"))
     return;
-  log_str (&line, "gateway", peer);
+  log_slice (&line, "gateway", peer);
   log_int (&line, "answered", made_good);
   log_int (&line, "released", released);
   log_end (&line);
@@ -208,7 +208,7 @@
 static void
 take_limit (scr_sidecar_t *s, const msg_gateway_state_t *state)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   bkp_limit_t told
       = { .is_limited = state->limit_milli > 0,
           .per_s = (double)state->limit_milli / MILLI,
@@ -217,7 +217,7 @@
   if (!bkp_meter_told (&s->table.meter, &told, scr_now_ms (s)))
     return;
   scr_state_changed (s);
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "sidecar", "engine_limit"))
     return;
   log_int (&line, "is_limited", told.is_limited);
@@ -259,10 +259,10 @@
 log_decline (const scr_sidecar_t *s, kb_slice_t attempt, const char *reason,
              uint64_t wait_ms)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "sidecar", "place_refused"))
     return;
-  log_str (&line, "id", attempt);
+  log_slice (&line, "id", attempt);
   log_text (&line, "reason", reason);
   log_int (&line, "wait_ms", (int64_t)wait_ms);
   log_int (&line, "fetch_ms", (int64_t)s->table.lanes.fetch_ms);
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -17,18 +17,18 @@
   quo_tolerance_t tolerance = { .window_s = settings->quota_window_s,
                                 .overshoot = settings->quota_overshoot,
                                 .slack = settings->quota_slack };
-  qln_init (&s->lender, &tolerance, s->host.incarnation, tmr_boot_ms ());
+  qln_init (&s->lender, &tolerance, s->host.incarnation, tmr_boottime_ms ());
   qln_init (&s->limits, &bkp_limit_tolerance, s->host.incarnation,
-            tmr_boot_ms ());
+            tmr_boottime_ms ());
   s->limits.keeps_to_reach = true;
-  qof_init (&s->office, tmr_boot_ms ());
+  qof_init (&s->office, tmr_boottime_ms ());
 }
 
 void
 scr_quota_take_state (scr_sidecar_t *s, uint64_t gateway,
                       const msg_gateway_state_t *state)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   qof_peak_take (&s->office.peak, (uint32_t)state->gateway_peak,
                  state->gateway_peak_age_ms, now_ms);
   if (qof_note_elsewhere (&s->office, gateway, state->lent_elsewhere, now_ms))
@@ -42,10 +42,10 @@
 log_refusal (kb_slice_t peer, const msg_quota_ask_t *given)
 {
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"quota_ask\"");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "sidecar", "quota_ask_refused"))
     return;
-  log_str (&line, "gateway", peer);
+  log_slice (&line, "gateway", peer);
   log_int (&line, "subject", (int64_t)given->subject);
   log_int (&line, "rate_milli", (int64_t)given->rate_milli);
   log_int (&line, "least_milli", (int64_t)given->least_milli);
@@ -92,7 +92,7 @@
 void
 scr_quota_ask (scr_sidecar_t *s, kb_slice_t peer, const msg_quota_ask_t *given)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   qln_ask_t ask = ask_of (s, scr_name_id (peer), given, now_ms);
   if (!qln_ask_is_sound (&ask))
     {
--- a/src/sidecar/sidecar_share.c
+++ b/src/sidecar/sidecar_share.c
@@ -89,12 +89,12 @@
   else
     {
       MET_INC ("knapweedbay_shared_reads_total", "result=\"failed\"");
-      log_event_t line;
+      log_line_t line;
       if (log_begin (&line, LOG_INFO, "store", "store_read_failed"))
         {
           log_int (&line, "behind", (int64_t)s->share->as_of);
           log_int (&line, "waited_ms",
-                   (int64_t)(tmr_boot_ms () - s->share->reading_since_ms));
+                   (int64_t)(tmr_boottime_ms () - s->share->reading_since_ms));
           log_int (&line, "asked_by", s->share->ask_count);
           log_end (&line);
         }
@@ -108,7 +108,7 @@
 share_update (scr_sidecar_t *s)
 {
   shr_cache_t *cache = s->share;
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   shr_ask_t ask;
   shr_verdict_t verdict;
   while (shr_ask_take (cache, now_ms, &ask, &verdict))
@@ -118,8 +118,8 @@
     s->reader->vtable->read (s->reader, after, share_read_done, s);
   uint64_t due_ms = shr_due_ms (cache);
   if (due_ms != UINT64_MAX)
-    tmr_after (&s->host.timers, &s->share_timer,
-               due_ms > now_ms ? due_ms - now_ms : 0, share_wake, s);
+    tmr_start_once (&s->host.timers, &s->share_timer,
+                    due_ms > now_ms ? due_ms - now_ms : 0, share_wake, s);
 }
 
 static void
@@ -128,8 +128,8 @@
   scr_sidecar_t *s = arg;
   if (s->share->is_reading)
     {
-      tmr_after (&s->host.timers, &s->share_idle_timer, IDLE_MS, share_idle,
-                 s);
+      tmr_start_once (&s->host.timers, &s->share_idle_timer, IDLE_MS,
+                      share_idle, s);
       return;
     }
   tmr_cancel (&s->host.timers, &s->share_timer);
@@ -164,7 +164,7 @@
                     .after = given->after,
                     .known_age_ms = given->known_age_ms,
                     .pause_ms = given->pause_ms,
-                    .arrived_ms = tmr_boot_ms () };
+                    .arrived_ms = tmr_boottime_ms () };
   kb_slice_copy (peer, ask.gateway, sizeof ask.gateway);
   bool is_open = s->reader != NULL && !s->host.is_stopping && given->after > 0
                  && is_same_store (s, given->store);
@@ -178,6 +178,7 @@
       share_refuse (s, ask.gateway, ask.id);
       return;
     }
-  tmr_after (&s->host.timers, &s->share_idle_timer, IDLE_MS, share_idle, s);
+  tmr_start_once (&s->host.timers, &s->share_idle_timer, IDLE_MS, share_idle,
+                  s);
   share_update (s);
 }
--- a/src/sidecar/sidecar_tell.c
+++ b/src/sidecar/sidecar_tell.c
@@ -105,7 +105,7 @@
         .born_ms = s->who.born_ms,
         .quarantine_stamp = qrt_stamp (&s->quarantine),
         .gateway_peak = s->office.peak.count,
-        .gateway_peak_age_ms = tmr_boot_ms () - s->office.peak.seen_ms,
+        .gateway_peak_age_ms = tmr_boottime_ms () - s->office.peak.seen_ms,
         .list_stamp = kb_hash (adapters.ptr, adapters.len_bytes, 1) | 1 }
   };
   if (only != NULL)
@@ -134,8 +134,9 @@
   s->is_state_due = true;
   uint64_t since_ms = scr_now_ms (s) - s->told_ms;
   uint64_t pause_ms = trn_tell_pause_ms (s->gateway_count);
-  tmr_after (&s->host.timers, &s->tell_timer,
-             since_ms >= pause_ms ? 0 : pause_ms - since_ms, tell_on_time, s);
+  tmr_start_once (&s->host.timers, &s->tell_timer,
+                  since_ms >= pause_ms ? 0 : pause_ms - since_ms, tell_on_time,
+                  s);
 }
 
 void
@@ -144,7 +145,7 @@
   static const char *const names[] = { "?", "down", "ready", "leaving" };
   if (s->condition == condition)
     return;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "engine_condition"))
     {
       log_text (&line, "from", names[s->condition]);
--- a/src/transport/call.c
+++ b/src/transport/call.c
@@ -40,9 +40,9 @@
     return;
   uint64_t took_ms = uv_now (call->timers->loop) - call->began_ms;
   uint64_t left_ms = call->most_ms > took_ms ? call->most_ms - took_ms : 0;
-  tmr_after (call->timers, &call->timer,
-             left_ms < call->stall_ms ? left_ms : call->stall_ms, call_late,
-             call);
+  tmr_start_once (call->timers, &call->timer,
+                  left_ms < call->stall_ms ? left_ms : call->stall_ms,
+                  call_late, call);
 }
 
 static void
@@ -120,7 +120,8 @@
                          .connect_timeout_ms = CONNECT_TIMEOUT_MS };
   xch_start (&call->exchange, peer, &call_events, call, &sent);
   kb_buf_finish (&head);
-  tmr_after (call->timers, &call->timer, request->timeout_ms, call_late, call);
+  tmr_start_once (call->timers, &call->timer, request->timeout_ms, call_late,
+                  call);
 }
 
 void
--- a/src/transport/call.h
+++ b/src/transport/call.h
@@ -28,7 +28,7 @@
 struct cal_call
 {
   xch_t exchange;
-  tmr_sub_t timer;
+  tmr_timer_t timer;
   tmr_service_t *timers;
   kb_buf_t body;
   char instance[64];
--- a/src/transport/exchange.c
+++ b/src/transport/exchange.c
@@ -18,10 +18,10 @@
 {
   h1_conn_t conn; ///< First, so that a connection is its line.
   xch_peer_t *peer;
-  xch_t *x;         ///< The exchange under way; NULL when idle.
-  xch_line_t *next; ///< In the idle list.
-  kb_buf_t to_send; ///< Until the connection is made.
-  tmr_sub_t timer;  ///< Connect timeout, or a failure to be reported.
+  xch_t *x;          ///< The exchange under way; NULL when idle.
+  xch_line_t *next;  ///< In the idle list.
+  kb_buf_t to_send;  ///< Until the connection is made.
+  tmr_timer_t timer; ///< Connect timeout, or a failure to be reported.
   uint64_t idle_since_ms;
   uint64_t lifetime_ms;
   bool is_sent;
@@ -223,7 +223,8 @@
       line_close (line, false);
     }
   if (peer->idle != NULL)
-    tmr_after (peer->pool->timers, &peer->sweep, SWEEP_MS, peer_sweep, peer);
+    tmr_start_once (peer->pool->timers, &peer->sweep, SWEEP_MS, peer_sweep,
+                    peer);
 }
 
 void
@@ -281,8 +282,8 @@
   line->conn.expects_no_body = request->expects_no_body;
   // A refusal is reported from the loop, as every other failure.
   uint64_t timeout_ms = status == KB_OK ? request->connect_timeout_ms : 0;
-  tmr_after (peer->pool->timers, &line->timer, timeout_ms, line_connect_late,
-             line);
+  tmr_start_once (peer->pool->timers, &line->timer, timeout_ms,
+                  line_connect_late, line);
 }
 
 void
@@ -290,8 +291,9 @@
            const xch_request_t *request)
 {
   *x = (xch_t){ .events = events, .owner = owner };
-  if (peer->sweep.heap_at == 0)
-    tmr_after (peer->pool->timers, &peer->sweep, SWEEP_MS, peer_sweep, peer);
+  if (peer->sweep.heap_position == 0)
+    tmr_start_once (peer->pool->timers, &peer->sweep, SWEEP_MS, peer_sweep,
+                    peer);
   xch_line_t *line = peer_take_idle (peer, request->max_idle_ms);
   if (line == NULL)
     {
--- a/src/transport/exchange.h
+++ b/src/transport/exchange.h
@@ -29,7 +29,7 @@
   uint32_t idle_count;
   uint32_t open_count;
   uint32_t max_idle;
-  tmr_sub_t sweep;
+  tmr_timer_t sweep;
 };
 
 typedef enum
--- a/src/transport/httpc.c
+++ b/src/transport/httpc.c
@@ -81,8 +81,8 @@
 static void
 call_touch (htc_call_t *call)
 {
-  tmr_after (call->client->timers, &call->timer, call->idle_timeout_ms,
-             call_expire, call);
+  tmr_start_once (call->client->timers, &call->timer, call->idle_timeout_ms,
+                  call_expire, call);
 }
 
 static int
@@ -207,7 +207,7 @@
   // h2o reports a lack of descriptors before it returns; the owner has not
   // even stored the call by then, so the end is reported on the next turn.
   if (call->is_ended)
-    tmr_after (client->timers, &call->timer, 0, call_fail_later, call);
+    tmr_start_once (client->timers, &call->timer, 0, call_fail_later, call);
   return call;
 }
 
--- a/src/transport/httpc.h
+++ b/src/transport/httpc.h
@@ -42,7 +42,7 @@
   size_t header_count;
   kb_buf_t request;
   void *iovec; ///< The request in h2o's form.
-  tmr_sub_t timer;
+  tmr_timer_t timer;
   uint64_t idle_timeout_ms;
   int http_status;
   bool is_sent;
--- a/src/transport/httpd.c
+++ b/src/transport/httpd.c
@@ -116,7 +116,7 @@
   hts_server_t *server = ((end_observer_t *)self)->server;
   int fd = request_fd (req);
   if (req->res.status == HTTP_TOO_LARGE && fd >= 0)
-    lng_take (server->loop, server->timers, fd);
+    lng_start (server->loop, server->timers, fd);
 }
 
 static int
@@ -133,8 +133,8 @@
   request_anchor_t *anchor
       = h2o_mem_alloc_shared (&req->pool, sizeof *anchor, anchor_dispose);
   anchor->request = request;
-  tmr_every (server->timers, &request->hangup_timer, HTS_HANGUP_CHECK_MS,
-             request_check_hangup, request);
+  tmr_start_periodic (server->timers, &request->hangup_timer,
+                      HTS_HANGUP_CHECK_MS, request_check_hangup, request);
   server->events->on_request (server, request);
   return 0;
 }
--- a/src/transport/httpd.h
+++ b/src/transport/httpd.h
@@ -54,7 +54,7 @@
   kb_slice_t body;
   kb_buf_t out;     ///< Waits to be sent.
   kb_buf_t sending; ///< Owned by h2o until it asks for more.
-  tmr_sub_t hangup_timer;
+  tmr_timer_t hangup_timer;
   void *generator;
   bool is_streaming;
   bool is_busy;
--- a/src/transport/kv.c
+++ b/src/transport/kv.c
@@ -10,9 +10,9 @@
 
 enum
 {
-  KVC_ANSWER_MAX_BYTES = 64 << 20,
-  KVC_BURST = 128,
-  KVC_WATCH_IDLE_MS = 86400000
+  KVC_RESPONSE_MAX_BYTES = 64 << 20,
+  KVC_BURST_CALLS = 128,
+  KVC_WATCH_IDLE_TIMEOUT_MS = 86400000
 };
 
 /// One call in progress.
@@ -21,7 +21,7 @@
   kvc_client_t *client;
   kvc_done_t done;
   void *arg;
-  kb_buf_t answer;
+  kb_buf_t response;
   bool is_cas;
 } kv_call_t;
 
@@ -36,19 +36,20 @@
 
 void
 kvc_client_init (kvc_client_t *client, htc_client_t *http, const char *address,
-                 uint16_t port, uint64_t timeout_ms, double ceiling_per_s)
+                 uint16_t port, uint64_t timeout_ms, double max_calls_per_s)
 {
   *client
       = (kvc_client_t){ .http = http, .port = port, .timeout_ms = timeout_ms };
   snprintf (client->address, sizeof client->address, "%s", address);
-  lim_bucket_init (&client->bucket, ceiling_per_s, KVC_BURST, tmr_now_ms ());
+  lim_bucket_init (&client->bucket, max_calls_per_s, KVC_BURST_CALLS,
+                   tmr_now_ms ());
 }
 
 static void
 append_base64 (kb_buf_t *out, kb_slice_t bytes)
 {
-  size_t need = 4 * (((size_t)bytes.len_bytes + 2) / 3) + 1;
-  char *text = kb_alloc (need);
+  size_t size_bytes = 4 * (((size_t)bytes.len_bytes + 2) / 3) + 1;
+  char *text = kb_alloc (size_bytes);
   int len = EVP_EncodeBlock ((unsigned char *)text,
                              (const unsigned char *)bytes.ptr,
                              (int)bytes.len_bytes);
@@ -57,27 +58,28 @@
 }
 
 static bool
-append_decoded (kb_buf_t *out, const char *text)
+append_from_base64 (kb_buf_t *out, const char *text)
 {
   size_t len = strlen (text);
   if (len % 4 != 0)
     return false;
   unsigned char *bytes = kb_alloc (len / 4 * 3 + 1);
-  int got = EVP_DecodeBlock (bytes, (const unsigned char *)text, (int)len);
-  if (got >= 0)
+  int decoded_bytes
+      = EVP_DecodeBlock (bytes, (const unsigned char *)text, (int)len);
+  if (decoded_bytes >= 0)
     {
       if (len > 0 && text[len - 1] == '=')
-        got--;
+        decoded_bytes--;
       if (len > 1 && text[len - 2] == '=')
-        got--;
-      kb_buf_append (out, bytes, (size_t)got);
+        decoded_bytes--;
+      kb_buf_append (out, bytes, (size_t)decoded_bytes);
     }
   free (bytes);
-  return got >= 0;
+  return decoded_bytes >= 0;
 }
 
 static void
-append_member (kb_buf_t *out, const char *name, kb_slice_t bytes)
+append_base64_member (kb_buf_t *out, const char *name, kb_slice_t bytes)
 {
   kb_buf_printf (out, "\"%s\":\"", name);
   append_base64 (out, bytes);
@@ -86,18 +88,18 @@
 
 /// The end of the range of keys with a prefix: its last byte plus one.
 static void
-append_range (kb_buf_t *out, const char *prefix)
+append_prefix_range (kb_buf_t *out, const char *prefix)
 {
   char end[KVC_KEY_BYTES];
   snprintf (end, sizeof end, "%s", prefix);
   end[strlen (end) - 1]++;
-  append_member (out, "key", kb_slice_str (prefix));
+  append_base64_member (out, "key", kb_slice_str (prefix));
   kb_buf_append_str (out, ",");
-  append_member (out, "range_end", kb_slice_str (end));
+  append_base64_member (out, "range_end", kb_slice_str (end));
 }
 
 static uint64_t
-jsn_u64 (struct json_object *obj, const char *key)
+kv_json_u64 (struct json_object *obj, const char *key)
 {
   struct json_object *value = jsn_get (obj, key);
   return value == NULL ? 0
@@ -110,14 +112,14 @@
 {
   kb_buf_t key;
   kb_buf_init (&key);
-  bool is_good = append_decoded (&key, jsn_str (kv, "key", ""))
-                 && append_decoded (value, jsn_str (kv, "value", ""));
-  *out = (kvc_item_t){ .mod_revision = jsn_u64 (kv, "mod_revision") };
-  if (is_good)
+  bool is_valid = append_from_base64 (&key, jsn_str (kv, "key", ""))
+                  && append_from_base64 (value, jsn_str (kv, "value", ""));
+  *out = (kvc_item_t){ .mod_revision = kv_json_u64 (kv, "mod_revision") };
+  if (is_valid)
     kb_slice_copy (kb_buf_slice (&key), out->key, sizeof out->key);
   out->value = kb_buf_slice (value);
   kb_buf_finish (&key);
-  return is_good;
+  return is_valid;
 }
 
 static void
@@ -145,10 +147,10 @@
 {
   struct json_object *doc = NULL;
   if (http_status == 200)
-    jsn_parse_text ("kv", kb_buf_slice (&call->answer), &doc, NULL);
+    jsn_parse_text ("kv", kb_buf_slice (&call->response), &doc, NULL);
   if (doc == NULL)
     {
-      // An answer that cannot be read proves nothing about the write.
+      // An response that cannot be read proves nothing about the write.
       call->done (call->arg, call->is_cas ? KB_EUNKNOWN : KB_EUNAVAIL, NULL,
                   0);
       return;
@@ -171,8 +173,8 @@
 call_on_body (htc_call_t *http, kb_slice_t bytes)
 {
   kv_call_t *call = http->owner;
-  if (call->answer.len_bytes + bytes.len_bytes < KVC_ANSWER_MAX_BYTES)
-    kb_buf_append (&call->answer, bytes.ptr, bytes.len_bytes);
+  if (call->response.len_bytes + bytes.len_bytes < KVC_RESPONSE_MAX_BYTES)
+    kb_buf_append (&call->response, bytes.ptr, bytes.len_bytes);
 }
 
 static void
@@ -187,7 +189,7 @@
       bool is_unknown = call->is_cas && end != HTC_END_NOT_SENT;
       call->done (call->arg, is_unknown ? KB_EUNKNOWN : KB_EUNAVAIL, NULL, 0);
     }
-  kb_buf_finish (&call->answer);
+  kb_buf_finish (&call->response);
   free (call);
 }
 
@@ -227,7 +229,7 @@
   MET_INC ("knapweedbay_kv_calls_total", "kind=\"read\"");
   kb_buf_t body = { 0 };
   kb_buf_append_str (&body, "{");
-  append_member (&body, "key", kb_slice_str (key));
+  append_base64_member (&body, "key", kb_slice_str (key));
   kb_buf_append_str (&body, "}");
   call_start (client, "/v3/kv/range", &body, false, done, arg);
 }
@@ -239,7 +241,7 @@
   MET_INC ("knapweedbay_kv_calls_total", "kind=\"read\"");
   kb_buf_t body = { 0 };
   kb_buf_append_str (&body, "{");
-  append_range (&body, prefix);
+  append_prefix_range (&body, prefix);
   kb_buf_append_str (&body, "}");
   call_start (client, "/v3/kv/range", &body, false, done, arg);
 }
@@ -251,28 +253,28 @@
   MET_INC ("knapweedbay_kv_calls_total", "kind=\"write\"");
   kb_buf_t body = { 0 };
   kb_buf_append_str (&body, "{");
-  append_member (&body, "key", kb_slice_str (key));
+  append_base64_member (&body, "key", kb_slice_str (key));
   kb_buf_append_str (&body, ",");
-  append_member (&body, "value", value);
+  append_base64_member (&body, "value", value);
   kb_buf_append_str (&body, "}");
   call_start (client, "/v3/kv/put", &body, false, done, arg);
 }
 
 void
-kvc_cas (kvc_client_t *client, const char *key, uint64_t expected,
+kvc_cas (kvc_client_t *client, const char *key, uint64_t expected_revision,
          kb_slice_t value, kvc_done_t done, void *arg)
 {
   MET_INC ("knapweedbay_kv_calls_total", "kind=\"write\"");
   kb_buf_t body = { 0 };
   kb_buf_append_str (&body, "{\"compare\":[{");
-  append_member (&body, "key", kb_slice_str (key));
+  append_base64_member (&body, "key", kb_slice_str (key));
   kb_buf_printf (&body,
                  ",\"target\":\"MOD\",\"result\":\"EQUAL\","
                  "\"mod_revision\":\"%llu\"}],\"success\":[{\"request_put\":{",
-                 (unsigned long long)expected);
-  append_member (&body, "key", kb_slice_str (key));
+                 (unsigned long long)expected_revision);
+  append_base64_member (&body, "key", kb_slice_str (key));
   kb_buf_append_str (&body, ",");
-  append_member (&body, "value", value);
+  append_base64_member (&body, "value", value);
   kb_buf_append_str (&body, "}}],\"failure\":[]}");
   call_start (client, "/v3/kv/txn", &body, true, done, arg);
 }
@@ -356,12 +358,12 @@
   watch->arg = arg;
   kb_buf_t body = { 0 };
   kb_buf_append_str (&body, "{\"create_request\":{");
-  append_range (&body, prefix);
+  append_prefix_range (&body, prefix);
   kb_buf_append_str (&body, "}}");
   watch->call = htc_call_start (
       client->http, &watch_call_events, watch, client->address, client->port,
       "POST", "/v3/watch", "content-type: application/json\r\n",
-      kb_buf_slice (&body), KVC_WATCH_IDLE_MS);
+      kb_buf_slice (&body), KVC_WATCH_IDLE_TIMEOUT_MS);
   kb_buf_finish (&body);
   return watch;
 }
--- a/src/transport/kv.h
+++ b/src/transport/kv.h
@@ -31,7 +31,7 @@
 } kvc_item_t;
 
 /// Result of a call. A compare-and-swap ends with KB_OK, KB_ECONFLICT,
-/// KB_EUNAVAIL (certainly not done) or KB_EUNKNOWN (the answer was lost).
+/// KB_EUNAVAIL (certainly not done) or KB_EUNKNOWN (the response was lost).
 /// @param items  What was read; gone after the callback.
 typedef void (*kvc_done_t) (void *arg, kb_status_t status,
                             const kvc_item_t *items, uint32_t count);
@@ -47,10 +47,10 @@
   void (*on_lost) (void *arg);
 } kvc_watch_events_t;
 
-/// @param ceiling_per_s  Calls a second this process may make.
+/// @param max_calls_per_s  Calls a second this process may make.
 void kvc_client_init (kvc_client_t *client, htc_client_t *http,
                       const char *address, uint16_t port, uint64_t timeout_ms,
-                      double ceiling_per_s);
+                      double max_calls_per_s);
 void kvc_get (kvc_client_t *client, const char *key, kvc_done_t done,
               void *arg);
 /// Read all keys that begin with a prefix.
@@ -58,9 +58,11 @@
                 void *arg);
 void kvc_put (kvc_client_t *client, const char *key, kb_slice_t value,
               kvc_done_t done, void *arg);
-/// @param expected  mod_revision the key must have; zero: must be absent.
-void kvc_cas (kvc_client_t *client, const char *key, uint64_t expected,
-              kb_slice_t value, kvc_done_t done, void *arg);
+/// @param expected_revision  mod_revision the key must have; zero: must be
+/// absent.
+void kvc_cas (kvc_client_t *client, const char *key,
+              uint64_t expected_revision, kb_slice_t value, kvc_done_t done,
+              void *arg);
 /// Watch all keys that begin with a prefix, from now on.
 kvc_watch_t *kvc_watch_start (kvc_client_t *client, const char *prefix,
                               const kvc_watch_events_t *events, void *arg);
--- a/src/transport/linger.c
+++ b/src/transport/linger.c
@@ -21,7 +21,7 @@
 {
   uv_poll_t poll; ///< First.
   tmr_service_t *timers;
-  tmr_sub_t limit;
+  tmr_timer_t timeout_timer;
   int fd;
 } linger_t;
 
@@ -34,26 +34,27 @@
 }
 
 static void
-linger_end (void *arg)
+linger_close (void *arg)
 {
   linger_t *linger = arg;
-  tmr_cancel (linger->timers, &linger->limit);
+  tmr_cancel (linger->timers, &linger->timeout_timer);
   uv_close ((uv_handle_t *)&linger->poll, linger_on_closed);
 }
 
 static void
 linger_on_readable (uv_poll_t *poll, int status, int events)
 {
-  static char dropped[READ_BYTES];
+  static char discarded[READ_BYTES];
   linger_t *linger = (linger_t *)poll;
-  ssize_t got = recv (linger->fd, dropped, sizeof dropped, MSG_DONTWAIT);
-  bool is_open = got > 0 || (got < 0 && (errno == EAGAIN || errno == EINTR));
+  ssize_t nread = recv (linger->fd, discarded, sizeof discarded, MSG_DONTWAIT);
+  bool is_open
+      = nread > 0 || (nread < 0 && (errno == EAGAIN || errno == EINTR));
   if (status != 0 || !is_open)
-    linger_end (linger);
+    linger_close (linger);
 }
 
 void
-lng_take (uv_loop_t *loop, tmr_service_t *timers, int fd)
+lng_start (uv_loop_t *loop, tmr_service_t *timers, int fd)
 {
   int own_fd = dup (fd);
   if (own_fd < 0)
@@ -67,5 +68,6 @@
   *linger = (linger_t){ .timers = timers, .fd = own_fd };
   uv_poll_init (loop, &linger->poll, own_fd);
   uv_poll_start (&linger->poll, UV_READABLE, linger_on_readable);
-  tmr_after (timers, &linger->limit, LINGER_MS, linger_end, linger);
+  tmr_start_once (timers, &linger->timeout_timer, LINGER_MS, linger_close,
+                  linger);
 }
--- a/src/transport/linger.h
+++ b/src/transport/linger.h
@@ -13,6 +13,6 @@
 
 /// Take over the end of a connection that its owner is about to close.
 /// @param fd  Socket of the connection; stays its owner's to close.
-void lng_take (uv_loop_t *loop, tmr_service_t *timers, int fd);
+void lng_start (uv_loop_t *loop, tmr_service_t *timers, int fd);
 
 #endif
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -11,13 +11,13 @@
 
 enum
 {
-  LNK_QUEUE_MESSAGES = 4000,
-  LNK_DRAIN_BATCH = 256,
-  LNK_RECONNECT_MS = 50,
+  LNK_MAX_QUEUED_MESSAGES = 4000,
+  LNK_MAX_DRAIN_MESSAGES = 256,
+  LNK_RECONNECT_MIN_MS = 50,
   LNK_RECONNECT_MAX_MS = 1000,
-  LNK_HANDSHAKE_MS = 5000,
+  LNK_HANDSHAKE_TIMEOUT_MS = 5000,
   LNK_KEY_BYTES = 32,
-  LNK_KEY_TEXT_BYTES = 41
+  LNK_KEY_Z85_BYTES = 41
 };
 
 static void link_drain (lnk_link_t *link);
@@ -27,24 +27,24 @@
 /// that arrives only with the next one. A check handle drains after every
 /// loop turn; the idle handle keeps the loop turning while work remains.
 static void
-link_idle (uv_idle_t *idle)
+link_on_idle (uv_idle_t *idle)
 {
 }
 
 static void
-link_check (uv_check_t *check)
+link_on_check (uv_check_t *check)
 {
   link_drain (check->data);
 }
 
 static void
-link_readable (uv_poll_t *poll, int status, int events)
+link_on_readable (uv_poll_t *poll, int status, int events)
 {
   link_drain (poll->data);
 }
 
 static void
-link_handle_frame (lnk_link_t *link, zmq_msg_t *peer, zmq_msg_t *body)
+link_handle_message (lnk_link_t *link, zmq_msg_t *peer, zmq_msg_t *body)
 {
   kb_slice_t bytes = { zmq_msg_data (body), (uint32_t)zmq_msg_size (body) };
   kb_slice_t from = { zmq_msg_data (peer), (uint32_t)zmq_msg_size (peer) };
@@ -80,17 +80,18 @@
   zmq_msg_init (&body);
   if (has_body && zmq_msg_recv (&body, link->socket, ZMQ_DONTWAIT) >= 0)
     {
-      bool is_odd = zmq_msg_more (&body) != 0;
-      if (!is_odd)
-        link_handle_frame (link, &peer, &body);
+      bool has_extra_frame = zmq_msg_more (&body) != 0;
+      if (!has_extra_frame)
+        link_handle_message (link, &peer, &body);
       else
         MET_INC ("knapweedbay_inner_dropped_total", "reason=\"frames\"");
-      while (is_odd)
+      while (has_extra_frame)
         {
           zmq_msg_t extra;
           zmq_msg_init (&extra);
-          is_odd = zmq_msg_recv (&extra, link->socket, ZMQ_DONTWAIT) >= 0
-                   && zmq_msg_more (&extra);
+          has_extra_frame
+              = zmq_msg_recv (&extra, link->socket, ZMQ_DONTWAIT) >= 0
+                && zmq_msg_more (&extra);
           zmq_msg_close (&extra);
         }
     }
@@ -105,18 +106,18 @@
   if (link->is_draining || link->socket == NULL)
     return;
   link->is_draining = true;
-  int left = LNK_DRAIN_BATCH;
-  while (left > 0 && link_receive_one (link))
-    left--;
+  int budget = LNK_MAX_DRAIN_MESSAGES;
+  while (budget > 0 && link_receive_one (link))
+    budget--;
   link->is_draining = false;
-  if (left == 0)
-    uv_idle_start (&link->idle, link_idle);
+  if (budget == 0)
+    uv_idle_start (&link->idle, link_on_idle);
   else
     uv_idle_stop (&link->idle);
 }
 
 static void
-monitor_readable (uv_poll_t *poll, int status, int events)
+monitor_on_readable (uv_poll_t *poll, int status, int events)
 {
   lnk_link_t *link = poll->data;
   for (;;)
@@ -161,7 +162,7 @@
 static bool
 zap_key_is_allowed (const lnk_link_t *link, const uint8_t *key)
 {
-  char text[LNK_KEY_TEXT_BYTES];
+  char text[LNK_KEY_Z85_BYTES];
   if (zmq_z85_encode (text, key, LNK_KEY_BYTES) == NULL)
     return false;
   for (int i = 0; i < 2; i++)
@@ -174,13 +175,13 @@
 /// One authentication request: frames version, request id, domain, address,
 /// identity, mechanism, then the client's key.
 static void
-zap_readable (uv_poll_t *poll, int status, int events)
+zap_on_readable (uv_poll_t *poll, int status, int events)
 {
   enum
   {
     FRAME_REQUEST_ID = 1,
     FRAME_KEY = 6,
-    FRAME_MAX = 8
+    MAX_FRAMES = 8
   };
   lnk_link_t *link = poll->data;
   for (;;)
@@ -189,7 +190,7 @@
       uint8_t key[LNK_KEY_BYTES] = { 0 };
       bool has_key = false;
       int more = 1;
-      for (int i = 0; more && i < FRAME_MAX; i++)
+      for (int i = 0; more && i < MAX_FRAMES; i++)
         {
           zmq_msg_t frame;
           zmq_msg_init (&frame);
@@ -222,7 +223,8 @@
 }
 
 static void
-poll_start (lnk_link_t *link, uv_poll_t *poll, void *socket, uv_poll_cb fn)
+link_start_poll (lnk_link_t *link, uv_poll_t *poll, void *socket,
+                 uv_poll_cb fn)
 {
   int fd;
   size_t size = sizeof fd;
@@ -233,7 +235,7 @@
 }
 
 static void
-set_int (void *socket, int option, int value)
+socket_set_int (void *socket, int option, int value)
 {
   zmq_setsockopt (socket, option, &value, sizeof value);
 }
@@ -252,7 +254,7 @@
   if (zmq_bind (link->zap, "inproc://zeromq.zap.01") != 0)
     return kb_error_set (error, KB_ESYS, "cannot start authentication: %s",
                          zmq_strerror (errno));
-  poll_start (link, &link->zap_poll, link->zap, zap_readable);
+  link_start_poll (link, &link->zap_poll, link->zap, zap_on_readable);
   return KB_OK;
 }
 
@@ -261,10 +263,10 @@
 {
   void *s = link->socket;
   if (zmq_setsockopt (s, ZMQ_CURVE_PUBLICKEY, link->options.public_key,
-                      LNK_KEY_TEXT_BYTES)
+                      LNK_KEY_Z85_BYTES)
           != 0
       || zmq_setsockopt (s, ZMQ_CURVE_SECRETKEY, link->options.secret_key,
-                         LNK_KEY_TEXT_BYTES)
+                         LNK_KEY_Z85_BYTES)
              != 0)
     return kb_error_set (error, KB_EINVAL, "the CURVE keys are not valid Z85");
   return KB_OK;
@@ -293,16 +295,16 @@
                   strlen (options->name));
   // Without the mandatory flag a message to an absent peer vanishes and the
   // request waits for its deadline; with it the sender learns at once.
-  set_int (link->socket, ZMQ_ROUTER_MANDATORY, 1);
+  socket_set_int (link->socket, ZMQ_ROUTER_MANDATORY, 1);
   // A restarted peer comes back under the same name before the old
   // connection is known to be dead; it must win over the dead one.
-  set_int (link->socket, ZMQ_ROUTER_HANDOVER, 1);
-  set_int (link->socket, ZMQ_LINGER, 0);
-  set_int (link->socket, ZMQ_SNDHWM, LNK_QUEUE_MESSAGES);
-  set_int (link->socket, ZMQ_RCVHWM, LNK_QUEUE_MESSAGES);
-  set_int (link->socket, ZMQ_RECONNECT_IVL, LNK_RECONNECT_MS);
-  set_int (link->socket, ZMQ_RECONNECT_IVL_MAX, LNK_RECONNECT_MAX_MS);
-  set_int (link->socket, ZMQ_HANDSHAKE_IVL, LNK_HANDSHAKE_MS);
+  socket_set_int (link->socket, ZMQ_ROUTER_HANDOVER, 1);
+  socket_set_int (link->socket, ZMQ_LINGER, 0);
+  socket_set_int (link->socket, ZMQ_SNDHWM, LNK_MAX_QUEUED_MESSAGES);
+  socket_set_int (link->socket, ZMQ_RCVHWM, LNK_MAX_QUEUED_MESSAGES);
+  socket_set_int (link->socket, ZMQ_RECONNECT_IVL, LNK_RECONNECT_MIN_MS);
+  socket_set_int (link->socket, ZMQ_RECONNECT_IVL_MAX, LNK_RECONNECT_MAX_MS);
+  socket_set_int (link->socket, ZMQ_HANDSHAKE_IVL, LNK_HANDSHAKE_TIMEOUT_MS);
   if (link_has_curve (link))
     {
       kb_status_t status = link_set_curve (link, error);
@@ -316,15 +318,16 @@
                           | ZMQ_EVENT_HANDSHAKE_FAILED_NO_DETAIL);
   link->monitor = zmq_socket (link->context, ZMQ_PAIR);
   zmq_connect (link->monitor, "inproc://monitor");
-  poll_start (link, &link->monitor_poll, link->monitor, monitor_readable);
+  link_start_poll (link, &link->monitor_poll, link->monitor,
+                   monitor_on_readable);
   // A pipe signals its descriptor only to a reader that has found it empty
   // before. Without this first read no disconnect was ever reported, and a
   // killed agent was noticed by an unanswered ping, seconds later.
-  monitor_readable (&link->monitor_poll, 0, 0);
-  poll_start (link, &link->poll, link->socket, link_readable);
+  monitor_on_readable (&link->monitor_poll, 0, 0);
+  link_start_poll (link, &link->poll, link->socket, link_on_readable);
   uv_check_init (loop, &link->check);
   link->check.data = link;
-  uv_check_start (&link->check, link_check);
+  uv_check_start (&link->check, link_on_check);
   uv_idle_init (loop, &link->idle);
   return KB_OK;
 }
@@ -361,11 +364,12 @@
     snprintf (endpoint, sizeof endpoint, "tcp://%s:*", address);
   else
     snprintf (endpoint, sizeof endpoint, "tcp://%s:%u", address, *port);
-  set_int (link->socket, ZMQ_CURVE_SERVER, link_has_curve (link) ? 1 : 0);
+  socket_set_int (link->socket, ZMQ_CURVE_SERVER,
+                  link_has_curve (link) ? 1 : 0);
   if (zmq_bind (link->socket, endpoint) != 0)
     return kb_error_set (error, KB_ESYS, "cannot listen on %s: %s", endpoint,
                          zmq_strerror (errno));
-  set_int (link->socket, ZMQ_CURVE_SERVER, 0);
+  socket_set_int (link->socket, ZMQ_CURVE_SERVER, 0);
   char bound[128];
   size_t size = sizeof bound;
   zmq_getsockopt (link->socket, ZMQ_LAST_ENDPOINT, bound, &size);
@@ -381,11 +385,11 @@
     {
       link_set_curve (link, NULL);
       zmq_setsockopt (link->socket, ZMQ_CURVE_SERVERKEY, server_key,
-                      LNK_KEY_TEXT_BYTES);
+                      LNK_KEY_Z85_BYTES);
     }
   // Without this a pipe exists before its connection does, and messages wait
   // in it for a VM that may never come back.
-  set_int (link->socket, ZMQ_IMMEDIATE, 1);
+  socket_set_int (link->socket, ZMQ_IMMEDIATE, 1);
   return zmq_connect (link->socket, address) == 0 ? KB_OK : KB_EINVAL;
 }
 
@@ -416,6 +420,6 @@
     }
   link->bytes_out += link->scratch.len_bytes;
   // The check handle runs only when the loop turns; make it turn.
-  uv_idle_start (&link->idle, link_idle);
+  uv_idle_start (&link->idle, link_on_idle);
   return KB_OK;
 }
--- a/src/transport/log.c
+++ b/src/transport/log.c
@@ -13,10 +13,10 @@
   /// Written at once when this much waits; otherwise by log_flush.
   FLUSH_BYTES = 4096,
   /// A pipe that can be written at all takes this much without blocking.
-  PIECE_BYTES = 4096,
+  MAX_WRITE_BYTES = 4096,
   MAX_EVENTS = 64,
   /// One event may use up to this part of the lines of a second.
-  EVENT_SHARE = 2,
+  EVENT_RATE_DIVISOR = 2,
   DEFAULT_LINES_PER_S = 1000,
   NODE_BYTES = 64,
   MS_PER_S = 1000,
@@ -28,26 +28,26 @@
 {
   const char *event;
   uint32_t count;
-} log_rate_t;
+} log_event_rate_t;
 
 static const char *const level_names[] = { "debug", "info", "warn", "error" };
-static log_level_t log_lowest = LOG_INFO;
+static log_level_t log_min_level = LOG_INFO;
 static char log_node[NODE_BYTES];
-static uint32_t log_limit = DEFAULT_LINES_PER_S;
-static char waiting[BUFFER_BYTES];
-static size_t waiting_bytes;
-static log_rate_t rates[MAX_EVENTS];
-static uint32_t rate_count;
-static uint32_t lines_now;
-static uint32_t warnings_now;
-static time_t rate_second;
-static uint64_t dropped;
-static uint64_t dropped_told;
+static uint32_t log_max_lines_per_s = DEFAULT_LINES_PER_S;
+static char pending_text[BUFFER_BYTES];
+static size_t pending_bytes;
+static log_event_rate_t event_rates[MAX_EVENTS];
+static uint32_t event_rate_count;
+static uint32_t lines_this_second;
+static uint32_t warnings_this_second;
+static time_t current_second;
+static uint64_t dropped_lines;
+static uint64_t dropped_lines_reported;
 
 void
 log_level_set (log_level_t level)
 {
-  log_lowest = level;
+  log_min_level = level;
 }
 
 kb_status_t
@@ -66,79 +66,82 @@
 log_configure (const char *node, uint32_t lines_per_s)
 {
   snprintf (log_node, sizeof log_node, "%s", node);
-  log_limit = lines_per_s;
+  log_max_lines_per_s = lines_per_s;
 }
 
 uint64_t
-log_dropped (void)
+log_dropped_count (void)
 {
-  return dropped;
+  return dropped_lines;
 }
 
 void
 log_flush (void)
 {
-  size_t done = 0;
-  while (done < waiting_bytes)
+  size_t written_bytes = 0;
+  while (written_bytes < pending_bytes)
     {
       // A reader that stands still must not stop the loop.
       struct pollfd out = { .fd = STDOUT_FILENO, .events = POLLOUT };
       if (poll (&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0)
         break;
-      size_t piece = waiting_bytes - done;
-      if (piece > PIECE_BYTES)
-        piece = PIECE_BYTES;
-      ssize_t wrote = write (STDOUT_FILENO, waiting + done, piece);
-      if (wrote <= 0)
+      size_t chunk_bytes = pending_bytes - written_bytes;
+      if (chunk_bytes > MAX_WRITE_BYTES)
+        chunk_bytes = MAX_WRITE_BYTES;
+      ssize_t nwritten
+          = write (STDOUT_FILENO, pending_text + written_bytes, chunk_bytes);
+      if (nwritten <= 0)
         break;
-      done += (size_t)wrote;
+      written_bytes += (size_t)nwritten;
     }
-  memmove (waiting, waiting + done, waiting_bytes - done);
-  waiting_bytes -= done;
+  memmove (pending_text, pending_text + written_bytes,
+           pending_bytes - written_bytes);
+  pending_bytes -= written_bytes;
 }
 
 static void
-buffer_add (const char *text, size_t len_bytes)
+buffer_append (const char *text, size_t len_bytes)
 {
-  if (waiting_bytes + len_bytes > BUFFER_BYTES)
+  if (pending_bytes + len_bytes > BUFFER_BYTES)
     log_flush ();
-  if (waiting_bytes + len_bytes > BUFFER_BYTES)
+  if (pending_bytes + len_bytes > BUFFER_BYTES)
     {
-      dropped++;
+      dropped_lines++;
       return;
     }
-  memcpy (waiting + waiting_bytes, text, len_bytes);
-  waiting_bytes += len_bytes;
-  if (waiting_bytes >= FLUSH_BYTES)
+  memcpy (pending_text + pending_bytes, text, len_bytes);
+  pending_bytes += len_bytes;
+  if (pending_bytes >= FLUSH_BYTES)
     log_flush ();
 }
 
-static log_rate_t *
-rate_of (const char *event)
+static log_event_rate_t *
+event_rate_find (const char *event)
 {
-  for (uint32_t i = 0; i < rate_count; i++)
-    if (rates[i].event == event || strcmp (rates[i].event, event) == 0)
-      return &rates[i];
-  if (rate_count == MAX_EVENTS)
-    return &rates[MAX_EVENTS - 1];
-  rates[rate_count] = (log_rate_t){ .event = event };
-  return &rates[rate_count++];
+  for (uint32_t i = 0; i < event_rate_count; i++)
+    if (event_rates[i].event == event
+        || strcmp (event_rates[i].event, event) == 0)
+      return &event_rates[i];
+  if (event_rate_count == MAX_EVENTS)
+    return &event_rates[MAX_EVENTS - 1];
+  event_rates[event_rate_count] = (log_event_rate_t){ .event = event };
+  return &event_rates[event_rate_count++];
 }
 
 /// Begin a new second: reset the counts and tell what was left out.
 static void
-rates_turn (time_t second)
+rates_reset (time_t second)
 {
-  rate_second = second;
-  lines_now = 0;
-  warnings_now = 0;
-  for (uint32_t i = 0; i < rate_count; i++)
-    rates[i].count = 0;
-  if (dropped == dropped_told)
+  current_second = second;
+  lines_this_second = 0;
+  warnings_this_second = 0;
+  for (uint32_t i = 0; i < event_rate_count; i++)
+    event_rates[i].count = 0;
+  if (dropped_lines == dropped_lines_reported)
     return;
-  uint64_t lines = dropped - dropped_told;
-  dropped_told = dropped;
-  log_event_t line;
+  uint64_t lines = dropped_lines - dropped_lines_reported;
+  dropped_lines_reported = dropped_lines;
+  log_line_t line;
   if (log_begin (&line, LOG_WARN, "log", "lines_left_out"))
     {
       log_int (&line, "lines", (int64_t)lines);
@@ -146,15 +149,17 @@
     }
 }
 
-/// Whether the rates allow one more line.
+/// Whether the event_rates allow one more line.
 static bool
-rate_take (log_level_t level, const char *event)
+rates_admit_line (log_level_t level, const char *event)
 {
-  log_rate_t *rate = rate_of (event);
-  uint32_t *total = level >= LOG_WARN ? &warnings_now : &lines_now;
-  if (*total >= log_limit || rate->count >= log_limit / EVENT_SHARE + 1)
+  log_event_rate_t *rate = event_rate_find (event);
+  uint32_t *total
+      = level >= LOG_WARN ? &warnings_this_second : &lines_this_second;
+  if (*total >= log_max_lines_per_s
+      || rate->count >= log_max_lines_per_s / EVENT_RATE_DIVISOR + 1)
     {
-      dropped++;
+      dropped_lines++;
       return false;
     }
   rate->count++;
@@ -165,15 +170,15 @@
 /// Append as far as it fits; a piece that does not fit leaves the line as it
 /// was, so that it stays proper JSON.
 static bool
-line_append (log_event_t *line, const char *text, size_t len_bytes)
+line_append (log_line_t *line, const char *text, size_t len_bytes)
 {
   enum
   {
-    END_BYTES = 32, ///< For the closing fields.
+    CLOSING_BYTES = 32, ///< For the closing fields.
   };
-  if (line->len_bytes + len_bytes + END_BYTES > LOG_LINE_BYTES)
+  if (line->len_bytes + len_bytes + CLOSING_BYTES > LOG_LINE_BYTES)
     {
-      line->is_cut = true;
+      line->is_truncated = true;
       return false;
     }
   memcpy (line->text + line->len_bytes, text, len_bytes);
@@ -182,7 +187,7 @@
 }
 
 static size_t
-escape (char *out, char c)
+json_escape_char (char *out, char c)
 {
   if (c == '"' || c == '\\')
     {
@@ -197,53 +202,53 @@
 }
 
 void
-log_str (log_event_t *line, const char *name, kb_slice_t value)
+log_slice (log_line_t *line, const char *name, kb_slice_t value)
 {
-  char piece[LOG_LINE_BYTES];
+  char field[LOG_LINE_BYTES];
   enum
   {
     MAX_VALUE_BYTES = 240,
-    WIDEST_ESCAPE = 8,
+    MAX_ESCAPE_BYTES = 8,
   };
-  size_t len = (size_t)snprintf (piece, sizeof piece / 4, ",\"%s\":\"", name);
+  size_t len = (size_t)snprintf (field, sizeof field / 4, ",\"%s\":\"", name);
   uint32_t count = value.len_bytes;
   if (count > MAX_VALUE_BYTES)
     count = MAX_VALUE_BYTES;
-  for (uint32_t i = 0; i < count && len + WIDEST_ESCAPE < sizeof piece; i++)
-    len += escape (piece + len, value.ptr[i]);
-  piece[len++] = '"';
-  line_append (line, piece, len);
+  for (uint32_t i = 0; i < count && len + MAX_ESCAPE_BYTES < sizeof field; i++)
+    len += json_escape_char (field + len, value.ptr[i]);
+  field[len++] = '"';
+  line_append (line, field, len);
 }
 
 void
-log_text (log_event_t *line, const char *name, const char *value)
+log_text (log_line_t *line, const char *name, const char *value)
 {
-  log_str (line, name, kb_slice_str (value));
+  log_slice (line, name, kb_slice_str (value));
 }
 
 void
-log_int (log_event_t *line, const char *name, int64_t value)
+log_int (log_line_t *line, const char *name, int64_t value)
 {
-  char piece[96];
+  char field[96];
   int len
-      = snprintf (piece, sizeof piece, ",\"%s\":%lld", name, (long long)value);
-  line_append (line, piece, (size_t)len);
+      = snprintf (field, sizeof field, ",\"%s\":%lld", name, (long long)value);
+  line_append (line, field, (size_t)len);
 }
 
 bool
-log_begin (log_event_t *line, log_level_t level, const char *part,
+log_begin (log_line_t *line, log_level_t level, const char *part,
            const char *event)
 {
-  if (level < log_lowest)
+  if (level < log_min_level)
     return false;
   struct timespec now;
   clock_gettime (CLOCK_REALTIME, &now);
-  if (now.tv_sec != rate_second)
-    rates_turn (now.tv_sec);
-  if (!rate_take (level, event))
+  if (now.tv_sec != current_second)
+    rates_reset (now.tv_sec);
+  if (!rates_admit_line (level, event))
     return false;
   int64_t wall_ms = (int64_t)now.tv_sec * MS_PER_S + now.tv_nsec / NS_PER_MS;
-  line->is_cut = false;
+  line->is_truncated = false;
   line->len_bytes = (uint32_t)snprintf (
       line->text, sizeof line->text,
       "{\"ts\":%lld,\"level\":\"%s\",\"node\":\"%s\",\"part\":\"%s\","
@@ -253,20 +258,20 @@
 }
 
 void
-log_end (log_event_t *line)
+log_end (log_line_t *line)
 {
-  if (line->is_cut)
+  if (line->is_truncated)
     line->len_bytes
         += (uint32_t)sprintf (line->text + line->len_bytes, ",\"cut\":true");
   line->text[line->len_bytes++] = '}';
   line->text[line->len_bytes++] = '\n';
-  buffer_add (line->text, line->len_bytes);
+  buffer_append (line->text, line->len_bytes);
 }
 
 void
 log_write (log_level_t level, const char *part, const char *format, ...)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, level, part, "message"))
     return;
   char text[1024];
--- a/src/transport/log.h
+++ b/src/transport/log.h
@@ -33,8 +33,8 @@
 {
   char text[LOG_LINE_BYTES];
   uint32_t len_bytes;
-  bool is_cut; ///< A field did not fit.
-} log_event_t;
+  bool is_truncated; ///< A field did not fit.
+} log_line_t;
 
 /// Set the lowest level that is written.
 void log_level_set (log_level_t level);
@@ -47,18 +47,18 @@
 /// @param part   The part that speaks, such as "gateway".
 /// @param event  Constant name of what happened.
 /// @return       False when it is not to be written; compose nothing then.
-bool log_begin (log_event_t *line, log_level_t level, const char *part,
+bool log_begin (log_line_t *line, log_level_t level, const char *part,
                 const char *event);
-void log_str (log_event_t *line, const char *name, kb_slice_t value);
-void log_text (log_event_t *line, const char *name, const char *value);
-void log_int (log_event_t *line, const char *name, int64_t value);
-void log_end (log_event_t *line);
+void log_slice (log_line_t *line, const char *name, kb_slice_t value);
+void log_text (log_line_t *line, const char *name, const char *value);
+void log_int (log_line_t *line, const char *name, int64_t value);
+void log_end (log_line_t *line);
 /// A line whose only field is a sentence.
 void log_write (log_level_t level, const char *part, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
 /// Give what waits to the system, as far as it takes it without blocking.
 void log_flush (void);
 /// Lines left out so far: over a rate, or nobody read them.
-uint64_t log_dropped (void);
+uint64_t log_dropped_count (void);
 
 #endif
--- a/src/transport/metrics.c
+++ b/src/transport/metrics.c
@@ -3,7 +3,7 @@
 #include <assert.h>
 #include <string.h>
 
-static met_counter_t counters[MET_MAX];
+static met_counter_t counters[MET_MAX_COUNTERS];
 static uint32_t counter_count;
 
 met_counter_t *
@@ -13,7 +13,7 @@
     if (strcmp (counters[i].name, name) == 0
         && strcmp (counters[i].labels, labels) == 0)
       return &counters[i];
-  assert (counter_count < MET_MAX);
+  assert (counter_count < MET_MAX_COUNTERS);
   met_counter_t *counter = &counters[counter_count++];
   counter->name = name;
   counter->labels = labels;
@@ -59,15 +59,15 @@
 histogram_write (const met_histogram_t *h, kb_buf_t *out)
 {
   const char *comma = h->labels[0] == '\0' ? "" : ",";
-  uint64_t below = 0;
+  uint64_t cumulative_count = 0;
   for (uint32_t i = 0; i + 1 < MET_BUCKETS; i++)
     {
-      below += h->buckets[i];
+      cumulative_count += h->buckets[i];
       if (h->buckets[i] > 0)
         kb_buf_printf (out, "%s_bucket{%s%sle=\"%llu\"} %llu\n", h->name,
                        h->labels, comma,
                        (unsigned long long)met_bucket_bound_ms (i),
-                       (unsigned long long)below);
+                       (unsigned long long)cumulative_count);
     }
   kb_buf_printf (out, "%s_bucket{%s%sle=\"+Inf\"} %llu\n", h->name, h->labels,
                  comma, (unsigned long long)h->count);
--- a/src/transport/metrics.h
+++ b/src/transport/metrics.h
@@ -9,7 +9,7 @@
 
 enum
 {
-  MET_MAX = 192
+  MET_MAX_COUNTERS = 192
 };
 
 typedef struct
@@ -61,10 +61,10 @@
 #define MET_INC(name, labels)                                                 \
   do                                                                          \
     {                                                                         \
-      static met_counter_t *met_here;                                         \
-      if (met_here == NULL)                                                   \
-        met_here = met_counter (name, labels);                                \
-      met_here->value++;                                                      \
+      static met_counter_t *met_cached;                                       \
+      if (met_cached == NULL)                                                 \
+        met_cached = met_counter (name, labels);                              \
+      met_cached->value++;                                                    \
     }                                                                         \
   while (0)
 
--- a/src/transport/peerlink.c
+++ b/src/transport/peerlink.c
@@ -9,9 +9,9 @@
 
 enum
 {
-  BACKLOG = 512,
-  RETRY_FIRST_MS = 50,
-  RETRY_MOST_MS = 1000,
+  LISTEN_BACKLOG = 512,
+  RECONNECT_MIN_MS = 50,
+  RECONNECT_MAX_MS = 1000,
 };
 
 /// An address that is kept connected.
@@ -19,13 +19,13 @@
 {
   plk_link_t *link;
   char address[PLK_NAME_BYTES];
-  struct sockaddr_in to;
+  struct sockaddr_in remote_addr;
   plk_conn_t *conn; ///< NULL: waits for its next try.
-  uint64_t retry_ms;
-  tmr_sub_t timer;
-} plk_dial_t;
+  uint64_t reconnect_delay_ms;
+  tmr_timer_t timer;
+} plk_dialer_t;
 
-static void dial_try (void *arg);
+static void dialer_connect (void *arg);
 
 static void
 listener_on_connection (uv_stream_t *listener, int status)
@@ -33,63 +33,65 @@
   plk_link_t *link = listener->data;
   if (status != 0)
     return;
-  plk_conn_t *conn = plk_conn_add (link);
+  plk_conn_t *conn = plk_conn_create (link);
   if (uv_accept (listener, (uv_stream_t *)&conn->tcp) == 0)
-    plk_conn_begin (conn);
+    plk_conn_start_read (conn);
   else
-    plk_conn_end (conn);
+    plk_conn_close (conn);
 }
 
-/// The connection of a dial ended: try again, each time a little later.
+/// The connection of a dialer ended: try again, each time a little later.
 static void
-dial_on_end (plk_conn_t *conn)
+dialer_on_conn_close (plk_conn_t *conn)
 {
-  plk_dial_t *dial = conn->owner;
-  dial->conn = NULL;
-  tmr_after (dial->link->timers, &dial->timer, dial->retry_ms, dial_try, dial);
-  dial->retry_ms *= 2;
-  if (dial->retry_ms > RETRY_MOST_MS)
-    dial->retry_ms = RETRY_MOST_MS;
+  plk_dialer_t *dialer = conn->owner;
+  dialer->conn = NULL;
+  tmr_start_once (dialer->link->timers, &dialer->timer,
+                  dialer->reconnect_delay_ms, dialer_connect, dialer);
+  dialer->reconnect_delay_ms *= 2;
+  if (dialer->reconnect_delay_ms > RECONNECT_MAX_MS)
+    dialer->reconnect_delay_ms = RECONNECT_MAX_MS;
 }
 
 static void
-dial_on_connect (uv_connect_t *request, int status)
+dialer_on_connect (uv_connect_t *request, int status)
 {
   plk_conn_t *conn = request->data;
   free (request);
-  if (conn->is_ended)
+  if (conn->is_closing)
     return;
   if (status != 0)
     {
-      plk_conn_end (conn);
+      plk_conn_close (conn);
       return;
     }
-  plk_dial_t *dial = conn->owner;
-  dial->retry_ms = RETRY_FIRST_MS;
-  plk_conn_begin (conn);
+  plk_dialer_t *dialer = conn->owner;
+  dialer->reconnect_delay_ms = RECONNECT_MIN_MS;
+  plk_conn_start_read (conn);
   if (plk_conn_send_hello (conn) == KB_OK)
-    plk_conn_set_name (conn, kb_slice_str (dial->address));
+    plk_conn_set_name (conn, kb_slice_str (dialer->address));
   else
-    plk_conn_end (conn);
+    plk_conn_close (conn);
 }
 
 static void
-dial_try (void *arg)
+dialer_connect (void *arg)
 {
-  plk_dial_t *dial = arg;
-  plk_conn_t *conn = plk_conn_add (dial->link);
-  conn->on_end = dial_on_end;
-  conn->owner = dial;
-  dial->conn = conn;
-  // It outlives the dial when that is given up while connecting.
+  plk_dialer_t *dialer = arg;
+  plk_conn_t *conn = plk_conn_create (dialer->link);
+  conn->on_close = dialer_on_conn_close;
+  conn->owner = dialer;
+  dialer->conn = conn;
+  // It outlives the dialer when that is given up while connecting.
   uv_connect_t *connect = kb_alloc (sizeof *connect);
   connect->data = conn;
-  if (uv_tcp_connect (connect, &conn->tcp, (const struct sockaddr *)&dial->to,
-                      dial_on_connect)
+  if (uv_tcp_connect (connect, &conn->tcp,
+                      (const struct sockaddr *)&dialer->remote_addr,
+                      dialer_on_connect)
       == 0)
     return;
   free (connect);
-  plk_conn_end (conn);
+  plk_conn_close (conn);
 }
 
 void
@@ -105,28 +107,28 @@
 }
 
 static void
-dial_free (plk_dial_t *dial)
+dialer_free (plk_dialer_t *dialer)
 {
-  plk_conn_t *conn = dial->conn;
+  plk_conn_t *conn = dialer->conn;
   if (conn != NULL)
     {
-      conn->on_end = NULL;
-      plk_conn_end (conn);
+      conn->on_close = NULL;
+      plk_conn_close (conn);
     }
-  tmr_cancel (dial->link->timers, &dial->timer);
-  free (dial);
+  tmr_cancel (dialer->link->timers, &dialer->timer);
+  free (dialer);
 }
 
 void
 plk_link_finish (plk_link_t *link)
 {
-  uint32_t at = 0;
-  for (plk_dial_t *dial = kb_map_next (&link->dials, &at); dial != NULL;
-       dial = kb_map_next (&link->dials, &at))
-    dial_free (dial);
-  kb_map_finish (&link->dials);
+  uint32_t cursor = 0;
+  for (plk_dialer_t *dialer = kb_map_next (&link->dialers, &cursor);
+       dialer != NULL; dialer = kb_map_next (&link->dialers, &cursor))
+    dialer_free (dialer);
+  kb_map_finish (&link->dialers);
   while (link->conns != NULL)
-    plk_conn_end (link->conns);
+    plk_conn_close (link->conns);
   kb_map_finish (&link->peers);
   if (link->is_listening)
     uv_close ((uv_handle_t *)&link->listener, NULL);
@@ -138,24 +140,25 @@
 plk_link_bind (plk_link_t *link, const char *address, uint16_t *port,
                kb_error_t *error)
 {
-  struct sockaddr_in at;
-  if (uv_ip4_addr (address, *port, &at) != 0)
+  struct sockaddr_in listen_addr;
+  if (uv_ip4_addr (address, *port, &listen_addr) != 0)
     return kb_error_set (error, KB_EINVAL, "\"%s\" is no IP number", address);
   uv_tcp_init (link->loop, &link->listener);
   link->listener.data = link;
   link->is_listening = true;
-  int failed = uv_tcp_bind (&link->listener, (const struct sockaddr *)&at, 0);
-  if (failed == 0)
-    failed = uv_listen ((uv_stream_t *)&link->listener, BACKLOG,
-                        listener_on_connection);
-  int size = sizeof at;
-  if (failed == 0)
-    failed
-        = uv_tcp_getsockname (&link->listener, (struct sockaddr *)&at, &size);
-  if (failed != 0)
+  int error_code = uv_tcp_bind (&link->listener,
+                                (const struct sockaddr *)&listen_addr, 0);
+  if (error_code == 0)
+    error_code = uv_listen ((uv_stream_t *)&link->listener, LISTEN_BACKLOG,
+                            listener_on_connection);
+  int size = sizeof listen_addr;
+  if (error_code == 0)
+    error_code = uv_tcp_getsockname (&link->listener,
+                                     (struct sockaddr *)&listen_addr, &size);
+  if (error_code != 0)
     return kb_error_set (error, KB_ESYS, "cannot listen on %s:%u: %s", address,
-                         *port, uv_strerror (failed));
-  *port = ntohs (at.sin_port);
+                         *port, uv_strerror (error_code));
+  *port = ntohs (listen_addr.sin_port);
   return KB_OK;
 }
 
@@ -163,27 +166,29 @@
 plk_link_connect (plk_link_t *link, const char *address)
 {
   uint64_t key = plk_name_key (kb_slice_str (address));
-  struct sockaddr_in to;
+  struct sockaddr_in remote_addr;
   if (strlen (address) >= PLK_NAME_BYTES
-      || h1_parse_address (kb_slice_str (address), &to) != KB_OK)
+      || h1_parse_address (kb_slice_str (address), &remote_addr) != KB_OK)
     return KB_EINVAL;
-  if (kb_map_get (&link->dials, key) != NULL)
+  if (kb_map_get (&link->dialers, key) != NULL)
     return KB_OK;
-  plk_dial_t *dial = kb_alloc (sizeof *dial);
-  *dial = (plk_dial_t){ .link = link, .to = to, .retry_ms = RETRY_FIRST_MS };
-  snprintf (dial->address, sizeof dial->address, "%s", address);
-  kb_map_put (&link->dials, key, dial);
-  dial_try (dial);
+  plk_dialer_t *dialer = kb_alloc (sizeof *dialer);
+  *dialer = (plk_dialer_t){ .link = link,
+                            .remote_addr = remote_addr,
+                            .reconnect_delay_ms = RECONNECT_MIN_MS };
+  snprintf (dialer->address, sizeof dialer->address, "%s", address);
+  kb_map_put (&link->dialers, key, dialer);
+  dialer_connect (dialer);
   return KB_OK;
 }
 
 void
 plk_link_disconnect (plk_link_t *link, const char *address)
 {
-  plk_dial_t *dial
-      = kb_map_remove (&link->dials, plk_name_key (kb_slice_str (address)));
-  if (dial != NULL)
-    dial_free (dial);
+  plk_dialer_t *dialer
+      = kb_map_remove (&link->dialers, plk_name_key (kb_slice_str (address)));
+  if (dialer != NULL)
+    dialer_free (dialer);
 }
 
 kb_status_t
--- a/src/transport/peerlink.h
+++ b/src/transport/peerlink.h
@@ -45,9 +45,9 @@
   uv_tcp_t listener;
   bool is_listening;
   kb_map_t peers;    ///< plk_conn_t that carry messages, by their names.
-  kb_map_t dials;    ///< Addresses that are kept connected.
+  kb_map_t dialers;  ///< Addresses that are kept connected.
   plk_conn_t *conns; ///< All, with those that are being made or closed.
-  char *read_buffer; ///< Shared: what is read is taken at once.
+  char *read_buffer; ///< Shared: what is read is consumed at once.
   kb_buf_t scratch;
 };
 
--- a/src/transport/peerlink_conn.c
+++ b/src/transport/peerlink_conn.c
@@ -8,12 +8,12 @@
 
 enum
 {
-  LENGTH_BYTES = 4,
+  FRAME_LENGTH_BYTES = 4,
   /// Values of the store have 1 MB at most; a message holds a few of them.
-  FRAME_MOST_BYTES = 8 << 20,
+  MAX_FRAME_BYTES = 8 << 20,
   /// What may wait for a peer that does not read. Heartbeats and loads are
   /// said again; a peer that is this far behind is better off without.
-  QUEUE_MOST_BYTES = 4 << 20,
+  MAX_QUEUED_BYTES = 4 << 20,
   /// Connecting, and the first frame: links take a few ms, and a VM without
   /// power never answers.
   OPEN_TIMEOUT_MS = 1500,
@@ -23,7 +23,7 @@
 };
 
 /// Begins the first frame; the name follows.
-static const char hello_mark[] = "knapweedbay-peer/1 ";
+static const char hello_prefix[] = "knapweedbay-peer/1 ";
 
 /// Bytes that the system did not take at once.
 typedef struct
@@ -36,17 +36,17 @@
 conn_on_closed (uv_handle_t *handle)
 {
   plk_conn_t *conn = handle->data;
-  kb_buf_finish (&conn->ahead);
+  kb_buf_finish (&conn->partial_frame);
   free (conn);
 }
 
 void
-plk_conn_end (plk_conn_t *conn)
+plk_conn_close (plk_conn_t *conn)
 {
   plk_link_t *link = conn->link;
-  if (conn->is_ended)
+  if (conn->is_closing)
     return;
-  conn->is_ended = true;
+  conn->is_closing = true;
   tmr_cancel (link->timers, &conn->open_timer);
   uint64_t key = plk_name_key (kb_slice_str (conn->name));
   if (conn->name[0] != '\0' && kb_map_get (&link->peers, key) == conn)
@@ -57,19 +57,19 @@
     link->conns = conn->next;
   if (conn->next != NULL)
     conn->next->prev = conn->prev;
-  if (conn->on_end != NULL)
-    conn->on_end (conn);
+  if (conn->on_close != NULL)
+    conn->on_close (conn);
   uv_close ((uv_handle_t *)&conn->tcp, conn_on_closed);
 }
 
 static void
-conn_open_late (void *arg)
+conn_on_open_timeout (void *arg)
 {
-  plk_conn_end (arg);
+  plk_conn_close (arg);
 }
 
 plk_conn_t *
-plk_conn_add (plk_link_t *link)
+plk_conn_create (plk_link_t *link)
 {
   plk_conn_t *conn = kb_alloc (sizeof *conn);
   *conn = (plk_conn_t){ .link = link, .next = link->conns };
@@ -78,8 +78,8 @@
   link->conns = conn;
   uv_tcp_init (link->loop, &conn->tcp);
   conn->tcp.data = conn;
-  tmr_after (link->timers, &conn->open_timer, OPEN_TIMEOUT_MS, conn_open_late,
-             conn);
+  tmr_start_once (link->timers, &conn->open_timer, OPEN_TIMEOUT_MS,
+                  conn_on_open_timeout, conn);
   return conn;
 }
 
@@ -100,10 +100,10 @@
   plk_link_t *link = conn->link;
   kb_slice_copy (name, conn->name, sizeof conn->name);
   uint64_t key = plk_name_key (kb_slice_str (conn->name));
-  plk_conn_t *older = kb_map_get (&link->peers, key);
+  plk_conn_t *previous = kb_map_get (&link->peers, key);
   kb_map_put (&link->peers, key, conn);
-  if (older != NULL)
-    plk_conn_end (older);
+  if (previous != NULL)
+    plk_conn_close (previous);
   tmr_cancel (link->timers, &conn->open_timer);
 }
 
@@ -114,7 +114,7 @@
   plk_conn_t *conn = request->handle->data;
   free (write);
   if (status != 0 && status != UV_ECANCELED)
-    plk_conn_end (conn);
+    plk_conn_close (conn);
 }
 
 /// Send bytes that must stay in one piece and in order.
@@ -123,31 +123,31 @@
 {
   uv_stream_t *stream = (uv_stream_t *)&conn->tcp;
   size_t queued_bytes = uv_stream_get_write_queue_size (stream);
-  if (queued_bytes + bytes.len_bytes > QUEUE_MOST_BYTES + FRAME_MOST_BYTES
-      || queued_bytes > QUEUE_MOST_BYTES)
+  if (queued_bytes + bytes.len_bytes > MAX_QUEUED_BYTES + MAX_FRAME_BYTES
+      || queued_bytes > MAX_QUEUED_BYTES)
     return KB_EUNAVAIL;
   int sent = 0;
   if (queued_bytes == 0)
     {
-      uv_buf_t now = uv_buf_init ((char *)bytes.ptr, bytes.len_bytes);
-      sent = uv_try_write (stream, &now, 1);
+      uv_buf_t chunk = uv_buf_init ((char *)bytes.ptr, bytes.len_bytes);
+      sent = uv_try_write (stream, &chunk, 1);
       if (sent < 0 && sent != UV_EAGAIN)
         return KB_EUNAVAIL;
       if (sent < 0)
         sent = 0;
     }
-  uint32_t left_bytes = bytes.len_bytes - (uint32_t)sent;
-  if (left_bytes == 0)
+  uint32_t unsent_bytes = bytes.len_bytes - (uint32_t)sent;
+  if (unsent_bytes == 0)
     return KB_OK;
-  plk_write_t *write = kb_alloc (sizeof *write + left_bytes);
-  memcpy (write->bytes, bytes.ptr + sent, left_bytes);
+  plk_write_t *write = kb_alloc (sizeof *write + unsent_bytes);
+  memcpy (write->bytes, bytes.ptr + sent, unsent_bytes);
   write->request.data = write;
-  uv_buf_t rest = uv_buf_init (write->bytes, left_bytes);
-  if (uv_write (&write->request, stream, &rest, 1, write_done) == 0)
+  uv_buf_t unsent = uv_buf_init (write->bytes, unsent_bytes);
+  if (uv_write (&write->request, stream, &unsent, 1, write_done) == 0)
     return KB_OK;
   free (write);
   // A part of the frame may be out: nothing good can follow it.
-  plk_conn_end (conn);
+  plk_conn_close (conn);
   return KB_EUNAVAIL;
 }
 
@@ -155,16 +155,16 @@
 static void
 frame_end (kb_buf_t *out)
 {
-  size_t len_bytes = out->len_bytes - LENGTH_BYTES;
-  for (int i = 0; i < LENGTH_BYTES; i++)
+  size_t len_bytes = out->len_bytes - FRAME_LENGTH_BYTES;
+  for (int i = 0; i < FRAME_LENGTH_BYTES; i++)
     out->ptr[i] = (char)(len_bytes >> (8 * i) & 0xFF);
 }
 
 static uint32_t
-get_length (const char *bytes)
+frame_read_length (const char *bytes)
 {
   uint32_t len_bytes = 0;
-  for (int i = 0; i < LENGTH_BYTES; i++)
+  for (int i = 0; i < FRAME_LENGTH_BYTES; i++)
     len_bytes |= (uint32_t)(uint8_t)bytes[i] << (8 * i);
   return len_bytes;
 }
@@ -180,35 +180,35 @@
 static void
 frame_begin (kb_buf_t *out)
 {
-  static const char room[LENGTH_BYTES] = { 0 };
+  static const char placeholder[FRAME_LENGTH_BYTES] = { 0 };
   kb_buf_clear (out);
-  kb_buf_append (out, room, sizeof room);
+  kb_buf_append (out, placeholder, sizeof placeholder);
 }
 
 /// The first frame of a peer that connected.
 static void
-take_hello (plk_conn_t *conn, kb_slice_t frame)
+conn_receive_hello (plk_conn_t *conn, kb_slice_t frame)
 {
-  uint32_t mark_bytes = sizeof hello_mark - 1;
-  bool is_hello = frame.len_bytes > mark_bytes
-                  && frame.len_bytes - mark_bytes < PLK_NAME_BYTES
-                  && memcmp (frame.ptr, hello_mark, mark_bytes) == 0;
+  uint32_t prefix_bytes = sizeof hello_prefix - 1;
+  bool is_hello = frame.len_bytes > prefix_bytes
+                  && frame.len_bytes - prefix_bytes < PLK_NAME_BYTES
+                  && memcmp (frame.ptr, hello_prefix, prefix_bytes) == 0;
   if (!is_hello)
     {
       MET_INC ("knapweedbay_inner_handshake_failures_total", "");
-      plk_conn_end (conn);
+      plk_conn_close (conn);
       return;
     }
-  plk_conn_set_name (conn, (kb_slice_t){ frame.ptr + mark_bytes,
-                                         frame.len_bytes - mark_bytes });
+  plk_conn_set_name (conn, (kb_slice_t){ frame.ptr + prefix_bytes,
+                                         frame.len_bytes - prefix_bytes });
 }
 
 static void
-take_frame (plk_conn_t *conn, kb_slice_t frame)
+conn_receive_frame (plk_conn_t *conn, kb_slice_t frame)
 {
   if (conn->name[0] == '\0')
     {
-      take_hello (conn, frame);
+      conn_receive_hello (conn, frame);
       return;
     }
   msg_t msg;
@@ -229,46 +229,48 @@
 }
 
 /// Take all whole frames.
-/// @return  How many bytes were taken. A message may end the connection.
+/// @return  How many bytes were consumed. A message may end the connection.
 static size_t
-take_frames (plk_conn_t *conn, const char *bytes, size_t len_bytes)
+conn_parse_frames (plk_conn_t *conn, const char *bytes, size_t len_bytes)
 {
-  size_t at = 0;
-  while (!conn->is_ended && len_bytes - at >= LENGTH_BYTES)
+  size_t offset = 0;
+  while (!conn->is_closing && len_bytes - offset >= FRAME_LENGTH_BYTES)
     {
-      uint32_t frame_bytes = get_length (bytes + at);
-      if (frame_bytes > FRAME_MOST_BYTES)
+      uint32_t frame_bytes = frame_read_length (bytes + offset);
+      if (frame_bytes > MAX_FRAME_BYTES)
         {
           MET_INC ("knapweedbay_inner_dropped_total", "reason=\"too_long\"");
-          plk_conn_end (conn);
+          plk_conn_close (conn);
           break;
         }
-      if (len_bytes - at - LENGTH_BYTES < frame_bytes)
+      if (len_bytes - offset - FRAME_LENGTH_BYTES < frame_bytes)
         break;
-      kb_slice_t frame = { bytes + at + LENGTH_BYTES, frame_bytes };
-      at += LENGTH_BYTES + frame_bytes;
-      take_frame (conn, frame);
+      kb_slice_t frame = { bytes + offset + FRAME_LENGTH_BYTES, frame_bytes };
+      offset += FRAME_LENGTH_BYTES + frame_bytes;
+      conn_receive_frame (conn, frame);
     }
-  return at;
+  return offset;
 }
 
 static void
-conn_take (plk_conn_t *conn, const char *bytes, size_t len_bytes)
+conn_receive_bytes (plk_conn_t *conn, const char *bytes, size_t len_bytes)
 {
-  if (conn->ahead.len_bytes == 0)
+  if (conn->partial_frame.len_bytes == 0)
     {
-      size_t taken = take_frames (conn, bytes, len_bytes);
-      if (!conn->is_ended && taken < len_bytes)
-        kb_buf_append (&conn->ahead, bytes + taken, len_bytes - taken);
+      size_t consumed = conn_parse_frames (conn, bytes, len_bytes);
+      if (!conn->is_closing && consumed < len_bytes)
+        kb_buf_append (&conn->partial_frame, bytes + consumed,
+                       len_bytes - consumed);
       return;
     }
-  kb_buf_append (&conn->ahead, bytes, len_bytes);
-  size_t taken = take_frames (conn, conn->ahead.ptr, conn->ahead.len_bytes);
-  if (conn->is_ended)
+  kb_buf_append (&conn->partial_frame, bytes, len_bytes);
+  size_t consumed = conn_parse_frames (conn, conn->partial_frame.ptr,
+                                       conn->partial_frame.len_bytes);
+  if (conn->is_closing)
     return;
-  kb_buf_consume (&conn->ahead, taken);
-  if (conn->ahead.len_bytes == 0)
-    kb_buf_finish (&conn->ahead);
+  kb_buf_consume (&conn->partial_frame, consumed);
+  if (conn->partial_frame.len_bytes == 0)
+    kb_buf_finish (&conn->partial_frame);
 }
 
 static void
@@ -279,17 +281,17 @@
 }
 
 static void
-read_done (uv_stream_t *stream, ssize_t got, const uv_buf_t *buffer)
+read_done (uv_stream_t *stream, ssize_t nread, const uv_buf_t *buffer)
 {
   plk_conn_t *conn = stream->data;
-  if (got < 0)
-    plk_conn_end (conn);
-  else if (got > 0)
-    conn_take (conn, buffer->base, (size_t)got);
+  if (nread < 0)
+    plk_conn_close (conn);
+  else if (nread > 0)
+    conn_receive_bytes (conn, buffer->base, (size_t)nread);
 }
 
 void
-plk_conn_begin (plk_conn_t *conn)
+plk_conn_start_read (plk_conn_t *conn)
 {
   conn_set_options (conn);
   uv_read_start ((uv_stream_t *)&conn->tcp, read_alloc, read_done);
@@ -300,7 +302,7 @@
 {
   kb_buf_t *scratch = &conn->link->scratch;
   frame_begin (scratch);
-  kb_buf_append_str (scratch, hello_mark);
+  kb_buf_append_str (scratch, hello_prefix);
   kb_buf_append_str (scratch, conn->link->name);
   frame_end (scratch);
   return conn_write (conn, kb_buf_slice (scratch));
@@ -314,7 +316,7 @@
   msg_encode (msg, scratch);
   frame_end (scratch);
   kb_status_t status = KB_EUNAVAIL;
-  if (scratch->len_bytes <= FRAME_MOST_BYTES)
+  if (scratch->len_bytes <= MAX_FRAME_BYTES)
     status = conn_write (conn, kb_buf_slice (scratch));
   scratch_trim (scratch);
   return status;
--- a/src/transport/peerlink_conn.h
+++ b/src/transport/peerlink_conn.h
@@ -19,11 +19,11 @@
   plk_conn_t *next;
   plk_conn_t *prev;
   char name[PLK_NAME_BYTES]; ///< Of the peer; empty until it said it.
-  kb_buf_t ahead;            ///< A part of a frame.
-  tmr_sub_t open_timer;
-  bool is_ended;
-  void (*on_end) (plk_conn_t *conn); ///< NULL: nobody cares.
-  void *owner;                       ///< Of on_end.
+  kb_buf_t partial_frame;    ///< A part of a frame.
+  tmr_timer_t open_timer;
+  bool is_closing;
+  void (*on_close) (plk_conn_t *conn); ///< NULL: nobody cares.
+  void *owner;                         ///< Of on_close.
 };
 
 /// Key of a name in the maps of a link.
@@ -34,12 +34,12 @@
 }
 
 /// A connection that is not open yet; it ends when it gets no name in time.
-plk_conn_t *plk_conn_add (plk_link_t *link);
+plk_conn_t *plk_conn_create (plk_link_t *link);
 /// Its socket is open: read from it.
-void plk_conn_begin (plk_conn_t *conn);
+void plk_conn_start_read (plk_conn_t *conn);
 /// Close it. Its memory goes when the loop has closed it.
-void plk_conn_end (plk_conn_t *conn);
-/// From now on messages to this name take this connection. A peer that was
+void plk_conn_close (plk_conn_t *conn);
+/// From chunk on messages to this name take this connection. A peer that was
 /// restarted comes back under its name before the old connection is known to
 /// be dead.
 void plk_conn_set_name (plk_conn_t *conn, kb_slice_t name);
--- a/src/transport/timer.c
+++ b/src/transport/timer.c
@@ -6,71 +6,71 @@
 #include "state/buf.h"
 
 static void
-heap_place (tmr_service_t *s, uint32_t at, tmr_sub_t *sub)
+heap_set (tmr_service_t *s, uint32_t index, tmr_timer_t *timer)
 {
-  s->heap[at] = sub;
-  sub->heap_at = at + 1;
+  s->heap[index] = timer;
+  timer->heap_position = index + 1;
 }
 
 static void
-heap_up (tmr_service_t *s, uint32_t at)
+heap_sift_up (tmr_service_t *s, uint32_t index)
 {
-  tmr_sub_t *sub = s->heap[at];
-  while (at > 0 && s->heap[(at - 1) / 2]->due_ms > sub->due_ms)
+  tmr_timer_t *timer = s->heap[index];
+  while (index > 0 && s->heap[(index - 1) / 2]->due_ms > timer->due_ms)
     {
-      heap_place (s, at, s->heap[(at - 1) / 2]);
-      at = (at - 1) / 2;
+      heap_set (s, index, s->heap[(index - 1) / 2]);
+      index = (index - 1) / 2;
     }
-  heap_place (s, at, sub);
+  heap_set (s, index, timer);
 }
 
 static void
-heap_down (tmr_service_t *s, uint32_t at)
+heap_sift_down (tmr_service_t *s, uint32_t index)
 {
-  tmr_sub_t *sub = s->heap[at];
+  tmr_timer_t *timer = s->heap[index];
   for (;;)
     {
-      uint32_t child = 2 * at + 1;
+      uint32_t child = 2 * index + 1;
       if (child >= s->len)
         break;
       if (child + 1 < s->len
           && s->heap[child + 1]->due_ms < s->heap[child]->due_ms)
         child++;
-      if (s->heap[child]->due_ms >= sub->due_ms)
+      if (s->heap[child]->due_ms >= timer->due_ms)
         break;
-      heap_place (s, at, s->heap[child]);
-      at = child;
+      heap_set (s, index, s->heap[child]);
+      index = child;
     }
-  heap_place (s, at, sub);
+  heap_set (s, index, timer);
 }
 
 static void
-heap_remove (tmr_service_t *s, tmr_sub_t *sub)
+heap_remove (tmr_service_t *s, tmr_timer_t *timer)
 {
-  uint32_t at = sub->heap_at - 1;
-  sub->heap_at = 0;
-  tmr_sub_t *last = s->heap[--s->len];
-  if (last == sub)
+  uint32_t index = timer->heap_position - 1;
+  timer->heap_position = 0;
+  tmr_timer_t *last = s->heap[--s->len];
+  if (last == timer)
     return;
-  heap_place (s, at, last);
-  heap_down (s, at);
-  heap_up (s, last->heap_at - 1);
+  heap_set (s, index, last);
+  heap_sift_down (s, index);
+  heap_sift_up (s, last->heap_position - 1);
 }
 
 static void service_rearm (tmr_service_t *s);
 
 static void
-service_fire (uv_timer_t *timer)
+service_on_timeout (uv_timer_t *uv_timer)
 {
-  tmr_service_t *s = timer->data;
+  tmr_service_t *s = uv_timer->data;
   uint64_t now = uv_now (s->loop);
   while (s->len > 0 && s->heap[0]->due_ms <= now)
     {
-      tmr_sub_t *sub = s->heap[0];
-      heap_remove (s, sub);
-      if (sub->period_ms > 0)
-        tmr_every (s, sub, sub->period_ms, sub->fn, sub->arg);
-      sub->fn (sub->arg);
+      tmr_timer_t *timer = s->heap[0];
+      heap_remove (s, timer);
+      if (timer->period_ms > 0)
+        tmr_start_periodic (s, timer, timer->period_ms, timer->fn, timer->arg);
+      timer->fn (timer->arg);
     }
   service_rearm (s);
 }
@@ -80,38 +80,39 @@
 {
   if (s->len == 0)
     {
-      uv_timer_stop (&s->timer);
+      uv_timer_stop (&s->uv_timer);
       return;
     }
   uint64_t now = uv_now (s->loop);
   uint64_t due = s->heap[0]->due_ms;
-  uv_timer_start (&s->timer, service_fire, due > now ? due - now : 0, 0);
+  uv_timer_start (&s->uv_timer, service_on_timeout, due > now ? due - now : 0,
+                  0);
 }
 
 void
 tmr_service_init (tmr_service_t *service, uv_loop_t *loop)
 {
   *service = (tmr_service_t){ .loop = loop };
-  uv_timer_init (loop, &service->timer);
-  service->timer.data = service;
+  uv_timer_init (loop, &service->uv_timer);
+  service->uv_timer.data = service;
 }
 
 void
 tmr_service_finish (tmr_service_t *service)
 {
-  uv_timer_stop (&service->timer);
-  uv_close ((uv_handle_t *)&service->timer, NULL);
+  uv_timer_stop (&service->uv_timer);
+  uv_close ((uv_handle_t *)&service->uv_timer, NULL);
   free (service->heap);
   service->heap = NULL;
   service->len = 0;
 }
 
 static void
-service_arm (tmr_service_t *s, tmr_sub_t *sub, uint64_t delay_ms)
+service_arm_timer (tmr_service_t *s, tmr_timer_t *timer, uint64_t delay_ms)
 {
-  if (sub->heap_at != 0)
-    heap_remove (s, sub);
-  sub->due_ms = uv_now (s->loop) + delay_ms;
+  if (timer->heap_position != 0)
+    heap_remove (s, timer);
+  timer->due_ms = uv_now (s->loop) + delay_ms;
   if (s->len == s->cap)
     {
       s->cap = s->cap == 0 ? 64 : s->cap * 2;
@@ -119,38 +120,38 @@
       // NOLINTNEXTLINE(bugprone-sizeof-expression)
       s->heap = kb_realloc (s->heap, s->cap * sizeof *s->heap);
     }
-  heap_place (s, s->len++, sub);
-  heap_up (s, s->len - 1);
+  heap_set (s, s->len++, timer);
+  heap_sift_up (s, s->len - 1);
   service_rearm (s);
 }
 
 void
-tmr_every (tmr_service_t *service, tmr_sub_t *sub, uint64_t period_ms,
-           tmr_fn_t fn, void *arg)
+tmr_start_periodic (tmr_service_t *service, tmr_timer_t *timer,
+                    uint64_t period_ms, tmr_fn_t fn, void *arg)
 {
-  sub->fn = fn;
-  sub->arg = arg;
-  sub->period_ms = period_ms;
-  service_arm (service, sub, period_ms);
+  timer->fn = fn;
+  timer->arg = arg;
+  timer->period_ms = period_ms;
+  service_arm_timer (service, timer, period_ms);
 }
 
 void
-tmr_after (tmr_service_t *service, tmr_sub_t *sub, uint64_t delay_ms,
-           tmr_fn_t fn, void *arg)
+tmr_start_once (tmr_service_t *service, tmr_timer_t *timer, uint64_t delay_ms,
+                tmr_fn_t fn, void *arg)
 {
-  sub->fn = fn;
-  sub->arg = arg;
-  sub->period_ms = 0;
-  service_arm (service, sub, delay_ms);
+  timer->fn = fn;
+  timer->arg = arg;
+  timer->period_ms = 0;
+  service_arm_timer (service, timer, delay_ms);
 }
 
 void
-tmr_cancel (tmr_service_t *service, tmr_sub_t *sub)
+tmr_cancel (tmr_service_t *service, tmr_timer_t *timer)
 {
-  sub->period_ms = 0;
-  if (sub->heap_at == 0)
+  timer->period_ms = 0;
+  if (timer->heap_position == 0)
     return;
-  heap_remove (service, sub);
+  heap_remove (service, timer);
   service_rearm (service);
 }
 
@@ -175,7 +176,7 @@
 }
 
 uint64_t
-tmr_boot_ms (void)
+tmr_boottime_ms (void)
 {
   return clock_us (CLOCK_BOOTTIME) / 1000;
 }
--- a/src/transport/trace.c
+++ b/src/transport/trace.c
@@ -4,28 +4,28 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-static bool trace_is_on;
-static char trace_service[64];
+static bool trace_is_enabled;
+static char trace_service_name[64];
 
 void
-trc_enable (bool is_on, const char *service_name)
+trc_configure (bool is_enabled, const char *service_name)
 {
-  trace_is_on = is_on;
-  snprintf (trace_service, sizeof trace_service, "%s", service_name);
+  trace_is_enabled = is_enabled;
+  snprintf (trace_service_name, sizeof trace_service_name, "%s", service_name);
 }
 
 trc_context_t
 trc_begin (kb_slice_t traceparent, const uint64_t random[2])
 {
-  trc_context_t context = { .span = random[0] | 1 };
-  char text[TRC_PARENT_BYTES];
+  trc_context_t context = { .span_id = random[0] | 1 };
+  char text[TRC_TRACEPARENT_BYTES];
   kb_slice_copy (traceparent, text, sizeof text);
   uint64_t hi;
   uint64_t lo;
   uint64_t parent;
   unsigned version;
   unsigned flags;
-  if (traceparent.len_bytes == TRC_PARENT_BYTES - 1
+  if (traceparent.len_bytes == TRC_TRACEPARENT_BYTES - 1
       && sscanf (text, "%2x-%16" SCNx64 "%16" SCNx64 "-%16" SCNx64 "-%2x",
                  &version, &hi, &lo, &parent, &flags)
              == 5
@@ -42,27 +42,28 @@
 }
 
 trc_context_t
-trc_child (const trc_context_t *parent, uint64_t random)
+trc_make_child (const trc_context_t *parent, uint64_t random)
 {
   trc_context_t child = *parent;
-  child.parent = parent->span;
-  child.span = random | 1;
+  child.parent = parent->span_id;
+  child.span_id = random | 1;
   return child;
 }
 
 void
-trc_write_parent (const trc_context_t *context, char out[TRC_PARENT_BYTES])
+trc_format_traceparent (const trc_context_t *context,
+                        char out[TRC_TRACEPARENT_BYTES])
 {
-  snprintf (out, TRC_PARENT_BYTES,
+  snprintf (out, TRC_TRACEPARENT_BYTES,
             "00-%016" PRIx64 "%016" PRIx64 "-%016" PRIx64 "-01",
-            context->trace_hi, context->trace_lo, context->span);
+            context->trace_hi, context->trace_lo, context->span_id);
 }
 
 void
 trc_export (const trc_context_t *context, const char *name,
             uint64_t start_wall_us, uint64_t duration_us, const char *outcome)
 {
-  if (!trace_is_on)
+  if (!trace_is_enabled)
     return;
   char parent[64] = "";
   if (context->parent != 0)
@@ -76,7 +77,8 @@
           "000\",\"endTimeUnixNano\":\"%" PRIu64
           "000\",\"attributes\":[{\"key\":\"outcome\",\"value\":{"
           "\"stringValue\":\"%s\"}}]}]}]}]}\n",
-          trace_service, context->trace_hi, context->trace_lo, context->span,
-          parent, name, start_wall_us, start_wall_us + duration_us, outcome);
+          trace_service_name, context->trace_hi, context->trace_lo,
+          context->span_id, parent, name, start_wall_us,
+          start_wall_us + duration_us, outcome);
   fflush (stdout);
 }
--- a/test/fakes/fake_engine.c
+++ b/test/fakes/fake_engine.c
@@ -28,7 +28,7 @@
   uint32_t tokens;
   uint32_t sent;
   bool is_stream;
-  tmr_sub_t timer;
+  tmr_timer_t timer;
   struct run *next;
 } run_t;
 
@@ -179,8 +179,8 @@
   if (run->sent == run->tokens)
     run_finish (run);
   else
-    tmr_after (&fk_timers, &run->timer, (uint64_t)faults.step_ms, run_step,
-               run);
+    tmr_start_once (&fk_timers, &run->timer, (uint64_t)faults.step_ms,
+                    run_step, run);
 }
 
 static void
@@ -215,14 +215,15 @@
     return;
   if (faults.end_on[0] != '\0' && strstr (run->prompt, faults.end_on) != NULL)
     {
-      tmr_after (&fk_timers, &run->timer, END_AFTER_MS, run_end_engine, run);
+      tmr_start_once (&fk_timers, &run->timer, END_AFTER_MS, run_end_engine,
+                      run);
       return;
     }
   if (run->is_stream)
     hts_stream_begin (http, 200, "text/event-stream");
   uint64_t delay
       = (uint64_t)faults.step_ms * (run->is_stream ? 1 : run->tokens);
-  tmr_after (&fk_timers, &run->timer, delay, run_step, run);
+  tmr_start_once (&fk_timers, &run->timer, delay, run_step, run);
 }
 
 /// @return  False when the order carries an old number; it was answered.
@@ -250,7 +251,7 @@
 {
   hts_request_t *http;
   char name[272];
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } load_t;
 
 static void
@@ -299,8 +300,8 @@
   snprintf (load->name, sizeof load->name, "%s",
             jsn_str (doc, "lora_name", ""));
   json_object_put (doc);
-  tmr_after (&fk_timers, &load->timer, (uint64_t)faults.load_ms, load_done,
-             load);
+  tmr_start_once (&fk_timers, &load->timer, (uint64_t)faults.load_ms,
+                  load_done, load);
 }
 
 static void
--- a/test/fakes/fake_kv.c
+++ b/test/fakes/fake_kv.c
@@ -30,7 +30,7 @@
 typedef struct
 {
   hts_request_t *http;
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } delayed_t;
 
 static struct
@@ -270,8 +270,8 @@
   delayed_t *delayed = kb_alloc (sizeof *delayed);
   delayed->http = http;
   http->owner = delayed;
-  tmr_after (&fk_timers, &delayed->timer, (uint64_t)faults.latency_ms,
-             delayed_fire, delayed);
+  tmr_start_once (&fk_timers, &delayed->timer, (uint64_t)faults.latency_ms,
+                  delayed_fire, delayed);
 }
 
 static void
--- a/test/fakes/fake_plain.c
+++ b/test/fakes/fake_plain.c
@@ -19,7 +19,7 @@
 typedef struct
 {
   hts_request_t *http;
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } call_t;
 
 static void
@@ -78,8 +78,8 @@
   call_t *call = kb_alloc (sizeof *call);
   call->http = http;
   http->owner = call;
-  tmr_after (&fk_timers, &call->timer, (uint64_t)faults.latency_ms, call_fire,
-             call);
+  tmr_start_once (&fk_timers, &call->timer, (uint64_t)faults.latency_ms,
+                  call_fire, call);
 }
 
 static void
--- a/test/unit/log_test.cc
+++ b/test/unit/log_test.cc
@@ -23,37 +23,37 @@
   void
   SetUp () override
   {
-    ASSERT_EQ (pipe (pipe_), 0);
+    ASSERT_EQ (pipe (pipe_fds_), 0);
     fflush (stdout);
-    saved_ = dup (STDOUT_FILENO);
-    dup2 (pipe_[1], STDOUT_FILENO);
+    saved_stdout_ = dup (STDOUT_FILENO);
+    dup2 (pipe_fds_[1], STDOUT_FILENO);
     log_level_set (LOG_INFO);
   }
   void
   TearDown () override
   {
     log_flush ();
-    dup2 (saved_, STDOUT_FILENO);
-    close (saved_);
-    close (pipe_[0]);
-    close (pipe_[1]);
+    dup2 (saved_stdout_, STDOUT_FILENO);
+    close (saved_stdout_);
+    close (pipe_fds_[0]);
+    close (pipe_fds_[1]);
   }
   std::string
   written ()
   {
     log_flush ();
     char bytes[65536];
-    ssize_t n = read (pipe_[0], bytes, sizeof bytes);
-    return n > 0 ? std::string (bytes, (size_t)n) : "";
+    ssize_t nread = read (pipe_fds_[0], bytes, sizeof bytes);
+    return nread > 0 ? std::string (bytes, (size_t)nread) : "";
   }
-  int pipe_[2];
-  int saved_;
+  int pipe_fds_[2];
+  int saved_stdout_;
 };
 
-TEST_F (LogTest, LinesAreJsonWithAFixedOrder)
+TEST_F (LogTest, LinesAreJsonWithAFixedFieldOrder)
 {
   log_configure ("node\"1", 1000);
-  log_event_t line;
+  log_line_t line;
   ASSERT_TRUE (log_begin (&line, LOG_INFO, "part", "event"));
   log_text (&line, "id", "a\"b\\c\n\x01");
   log_int (&line, "n", -5);
@@ -76,10 +76,10 @@
   json_object_put (doc);
 }
 
-TEST_F (LogTest, ALineThatIsTooLongStaysProper)
+TEST_F (LogTest, ATruncatedLineIsValidJson)
 {
   log_configure ("node", 1000);
-  log_event_t line;
+  log_line_t line;
   ASSERT_TRUE (log_begin (&line, LOG_INFO, "part", "long"));
   for (int i = 0; i < 40; i++)
     log_text (&line, ("f" + std::to_string (i)).c_str (),
@@ -94,33 +94,33 @@
 
 // Thousands of successes a second hide the one failure that somebody looks
 // for: it was left out when the rate was used up.
-TEST_F (LogTest, WarningsAreNotCrowdedOut)
+TEST_F (LogTest, WarningsHaveTheirOwnRate)
 {
   log_configure ("node", 20);
-  uint64_t before = log_dropped ();
-  log_event_t line;
+  uint64_t dropped_before = log_dropped_count ();
+  log_line_t line;
   for (int i = 0; i < 200; i++)
     if (log_begin (&line, LOG_INFO, "part", "success"))
       log_end (&line);
   ASSERT_TRUE (log_begin (&line, LOG_WARN, "part", "failure"));
   log_end (&line);
-  EXPECT_GT (log_dropped (), before);
+  EXPECT_GT (log_dropped_count (), dropped_before);
   EXPECT_NE (written ().find ("failure"), std::string::npos);
 }
 
 // Nobody reads: the writer must not wait, and what it leaves out is counted.
-TEST_F (LogTest, AFullPipeIsNotWaitedFor)
+TEST_F (LogTest, AFullPipeDoesNotBlock)
 {
   log_configure ("node", 100000);
-  uint64_t before = log_dropped ();
-  log_event_t line;
+  uint64_t dropped_before = log_dropped_count ();
+  log_line_t line;
   for (int i = 0; i < 5000; i++)
     if (log_begin (&line, LOG_INFO, "part", "flood"))
       {
         log_text (&line, "text", std::string (100, 'x').c_str ());
         log_end (&line);
       }
-  EXPECT_GT (log_dropped (), before);
+  EXPECT_GT (log_dropped_count (), dropped_before);
 }
 
 TEST (Metrics, HistogramsAreCumulative)
--- a/test/unit/peerlink_test.cc
+++ b/test/unit/peerlink_test.cc
@@ -22,8 +22,8 @@
 namespace
 {
 
-/// One end with what it received.
-struct End
+/// One endpoint with what it received.
+struct Endpoint
 {
   plk_link_t link;
   std::vector<uint64_t> ids;
@@ -33,19 +33,19 @@
 };
 
 void
-end_on_message (plk_link_t *link, kb_slice_t peer, const msg_t *msg)
+endpoint_on_message (plk_link_t *link, kb_slice_t peer, const msg_t *msg)
 {
-  End *end = static_cast<End *> (link->owner);
-  end->from = std::string (peer.ptr, peer.len_bytes);
+  Endpoint *endpoint = static_cast<Endpoint *> (link->owner);
+  endpoint->from = std::string (peer.ptr, peer.len_bytes);
   if (msg->type == MSG_PLACE_BEGUN)
-    end->ids.push_back (msg->place_begun.id);
+    endpoint->ids.push_back (msg->place_begun.id);
   if (msg->type == MSG_DOCUMENT)
-    end->sizes.push_back (msg->document.data.len_bytes);
-  if (end->on_message)
-    end->on_message ();
+    endpoint->sizes.push_back (msg->document.data.len_bytes);
+  if (endpoint->on_message)
+    endpoint->on_message ();
 }
 
-const plk_events_t events = { end_on_message };
+const plk_events_t events = { endpoint_on_message };
 
 class Peerlink : public testing::Test
 {
@@ -73,15 +73,16 @@
   }
 
   void
-  init (End *end, const std::string &name)
+  init (Endpoint *endpoint, const std::string &name)
   {
-    plk_link_init (&end->link, &loop, &timers, &events, end, name.c_str ());
+    plk_link_init (&endpoint->link, &loop, &timers, &events, endpoint,
+                   name.c_str ());
   }
 
-  End *
+  Endpoint *
   connect (const std::string &name)
   {
-    clients.push_back (std::make_unique<End> ());
+    clients.push_back (std::make_unique<Endpoint> ());
     init (clients.back ().get (), name);
     EXPECT_EQ (plk_link_connect (&clients.back ()->link, address.c_str ()),
                KB_OK);
@@ -89,10 +90,11 @@
   }
 
   bool
-  run_until (const std::function<bool ()> &condition, uint64_t most_ms = 5000)
+  run_until (const std::function<bool ()> &condition,
+             uint64_t timeout_ms = 5000)
   {
-    uint64_t end_ms = tmr_now_ms () + most_ms;
-    while (tmr_now_ms () < end_ms)
+    uint64_t deadline_ms = tmr_now_ms () + timeout_ms;
+    while (tmr_now_ms () < deadline_ms)
       {
         if (condition ())
           return true;
@@ -103,7 +105,7 @@
   }
 
   bool
-  send (End *from, const std::string &to, uint64_t id)
+  send (Endpoint *from, const std::string &to, uint64_t id)
   {
     msg_t msg = {};
     msg.type = MSG_PLACE_BEGUN;
@@ -137,15 +139,15 @@
 
   uv_loop_t loop;
   tmr_service_t timers;
-  End server;
+  Endpoint server;
   uint16_t port = 0;
   std::string address;
-  std::vector<std::unique_ptr<End>> clients;
+  std::vector<std::unique_ptr<Endpoint>> clients;
 };
 
-TEST_F (Peerlink, MessagesGoBothWaysInOrder)
+TEST_F (Peerlink, MessagesArriveInOrderInBothDirections)
 {
-  End *client = connect ("a");
+  Endpoint *client = connect ("a");
   ASSERT_TRUE (run_until ([&] { return send (client, address, 1); }));
   for (uint64_t id = 2; id <= 500; id++)
     ASSERT_TRUE (send (client, address, id));
@@ -161,7 +163,7 @@
 TEST_F (Peerlink, NothingIsQueuedForAnAbsentPeer)
 {
   EXPECT_FALSE (send (&server, "nobody", 1));
-  End *client = connect ("a");
+  Endpoint *client = connect ("a");
   EXPECT_FALSE (send (client, address, 1)) << "not connected yet";
 }
 
@@ -169,7 +171,7 @@
 // their turn.
 TEST_F (Peerlink, ALargeMessageArrivesWhole)
 {
-  End *client = connect ("a");
+  Endpoint *client = connect ("a");
   ASSERT_TRUE (run_until ([&] { return send (client, address, 1); }));
   std::string document (1 << 20, 'd');
   msg_t msg = {};
@@ -184,25 +186,25 @@
   EXPECT_EQ (server.sizes[0], document.size ());
 }
 
-// A gateway is killed and comes back under its name, before the sidecar knows
-// that the old connection is dead. Words must go to the new one.
-TEST_F (Peerlink, ANewConnectionTakesTheName)
+// A gateway is killed and comes back under its name, previous the sidecar
+// knows that the old connection is dead. Words must go to the new one.
+TEST_F (Peerlink, ANewConnectionReplacesTheOldOne)
 {
-  End *before = connect ("a");
-  ASSERT_TRUE (run_until ([&] { return send (before, address, 1); }));
+  Endpoint *previous = connect ("a");
+  ASSERT_TRUE (run_until ([&] { return send (previous, address, 1); }));
   ASSERT_TRUE (run_until ([&] { return server.ids.size () == 1; }));
-  End *after = connect ("a");
-  ASSERT_TRUE (run_until ([&] { return send (after, address, 2); }));
+  Endpoint *current = connect ("a");
+  ASSERT_TRUE (run_until ([&] { return send (current, address, 2); }));
   ASSERT_TRUE (run_until ([&] { return server.ids.size () == 2; }));
   ASSERT_TRUE (send (&server, "a", 9));
-  ASSERT_TRUE (run_until ([&] { return !after->ids.empty (); }));
-  EXPECT_TRUE (before->ids.empty ());
+  ASSERT_TRUE (run_until ([&] { return !current->ids.empty (); }));
+  EXPECT_TRUE (previous->ids.empty ());
 }
 
 // The other process restarts: the link comes back by itself.
-TEST_F (Peerlink, ALostConnectionIsMadeAgain)
+TEST_F (Peerlink, ALostConnectionIsReestablished)
 {
-  End *client = connect ("a");
+  Endpoint *client = connect ("a");
   ASSERT_TRUE (run_until ([&] { return send (client, address, 1); }));
   plk_link_finish (&server.link);
   run_until ([] { return false; }, 50);
@@ -219,9 +221,9 @@
 
 // A message may make its receiver close the very connection that it came on,
 // with more messages behind it in the same bytes.
-TEST_F (Peerlink, AMessageMayEndItsConnection)
+TEST_F (Peerlink, AMessageHandlerMayCloseItsConnection)
 {
-  End *client = connect ("a");
+  Endpoint *client = connect ("a");
   ASSERT_TRUE (run_until ([&] { return send (client, address, 1); }));
   ASSERT_TRUE (run_until ([&] { return server.ids.size () == 1; }));
   client->on_message
@@ -234,7 +236,7 @@
   EXPECT_FALSE (send (client, address, 2));
 }
 
-TEST_F (Peerlink, StrangersAreClosed)
+TEST_F (Peerlink, InvalidHandshakesAreClosed)
 {
   const std::string bad[] = {
     "GET / HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -252,14 +254,14 @@
 }
 
 // One that connects and says nothing must not keep a connection for ever.
-TEST_F (Peerlink, ASilentStrangerIsClosed)
+TEST_F (Peerlink, AConnectionWithoutHelloIsClosed)
 {
   int fd = dial_raw ();
   EXPECT_TRUE (is_closed (fd));
   close (fd);
 }
 
-TEST_F (Peerlink, AMessageThatCanNotBeReadIsDropped)
+TEST_F (Peerlink, AMalformedMessageIsDropped)
 {
   int fd = dial_raw ();
   std::string hello = "knapweedbay-peer/1 x";
@@ -274,7 +276,7 @@
 
 // A peer stops reading. What waits for it is bounded; once it reads again all
 // that was queued arrives.
-TEST_F (Peerlink, WhatWaitsForASlowReaderIsBounded)
+TEST_F (Peerlink, TheSendQueueOfASlowReaderIsBounded)
 {
   int fd = dial_raw ();
   std::string hello = "knapweedbay-peer/1 slow";
@@ -295,22 +297,24 @@
   close (fd);
 }
 
-// Kept pipes and buffers for each peer were most of the memory of 188 VMs. An
-// agent before 68 entries is to take 3 MB, of which 1.9 MB are its own: 16 KB
-// a peer. ZeroMQ took 87 KB a peer for the same words.
-TEST_F (Peerlink, APeerCostsLittleMemory)
+// Kept pipes and read_buffer_bytes for bytes_per_peer peer were most of the
+// memory of 188 VMs. An agent previous 68 entries is to take 3 MB, of
+// which 1.9 MB are its recorded_id_bytes: 16 KB a peer. ZeroMQ took 87 KB a
+// peer for the same words.
+TEST_F (Peerlink, MemoryPerPeerIsBounded)
 {
 #ifdef __SANITIZE_ADDRESS__
   GTEST_SKIP () << "the sanitizer's allocator does not say what is in use";
 #endif
   constexpr size_t kPeers = 120;
-  constexpr uint64_t kWords = 300;
-  size_t before = mallinfo2 ().uordblks;
+  constexpr uint64_t kMessages = 300;
+  size_t baseline_bytes = mallinfo2 ().uordblks;
   for (size_t i = 0; i < kPeers; i++)
     connect ("p" + std::to_string (i));
-  // Each end has a read buffer; those of the clients are not the server's.
-  size_t buffers = kPeers * 65536;
-  for (uint64_t id = 0; id < kWords; id++)
+  // Each endpoint has a read buffer; those of the clients are not the
+  // server's.
+  size_t read_buffer_bytes = kPeers * 65536;
+  for (uint64_t id = 0; id < kMessages; id++)
     {
       for (auto &client : clients)
         ASSERT_TRUE (
@@ -320,11 +324,12 @@
       for (size_t i = 0; i < kPeers; i++)
         ASSERT_TRUE (send (&server, "p" + std::to_string (i), id));
     }
-  size_t own = server.ids.capacity () * sizeof server.ids[0] * 2;
-  size_t grown = mallinfo2 ().uordblks - before - buffers - own;
-  size_t each = grown / kPeers;
-  printf ("%zu bytes for both ends of a link\n", each);
-  EXPECT_LT (each, 16u << 10);
+  size_t recorded_id_bytes = server.ids.capacity () * sizeof server.ids[0] * 2;
+  size_t growth_bytes = mallinfo2 ().uordblks - baseline_bytes
+                        - read_buffer_bytes - recorded_id_bytes;
+  size_t bytes_per_peer = growth_bytes / kPeers;
+  printf ("%zu bytes for both ends of a link\n", bytes_per_peer);
+  EXPECT_LT (bytes_per_peer, 16u << 10);
 }
 
 } // namespace
