--- a/src/transport/kv.c
+++ b/src/transport/kv.c
@@ -15,7 +15,7 @@
   KVC_WATCH_IDLE_TIMEOUT_MS = 86400000
 };
 
-/// One call in progress.
+/// A call in progress.
 typedef struct
 {
   kvc_client_t *client;
@@ -86,7 +86,8 @@
   kb_buf_append_str (out, "\"");
 }
 
-/// The end of the range of keys with a prefix: its last byte plus one.
+/// Appends the key range of a prefix. Its exclusive end is the prefix with the
+/// last byte incremented.
 static void
 append_prefix_range (kb_buf_t *out, const char *prefix)
 {
@@ -106,7 +107,7 @@
                        : strtoull (json_object_get_string (value), NULL, 10);
 }
 
-/// Read one kv object; its value is appended to `values`.
+/// Parses one kv object; its value is decoded into `value`.
 static bool
 item_parse (struct json_object *kv, kvc_item_t *out, kb_buf_t *value)
 {
@@ -150,7 +151,8 @@
     jsn_parse_text ("kv", kb_buf_slice (&call->response), &doc, NULL);
   if (doc == NULL)
     {
-      // An response that cannot be read proves nothing about the write.
+      // A missing or malformed response does not show whether the write was
+      // executed.
       call->done (call->arg, call->is_cas ? KB_EUNKNOWN : KB_EUNAVAIL, NULL,
                   0);
       return;
@@ -203,9 +205,9 @@
   uint64_t retry_after_ms;
   if (!lim_bucket_take (&client->bucket, tmr_now_ms (), &retry_after_ms))
     {
-      // A thousand daemons that start or lose their watch together would
-      // exceed the service's rate; each stays below its own ceiling and the
-      // caller tries again after its backoff.
+      // A thousand daemons that start, or lose their watch, at the same time
+      // would exceed the rate limit of the service. Each daemon therefore
+      // limits its own calls, and the caller retries after its backoff.
       MET_INC ("knapweedbay_kv_held_back_total", "");
       done (arg, KB_EUNAVAIL, NULL, 0);
       kb_buf_finish (body);
--- a/src/transport/kv.h
+++ b/src/transport/kv.h
@@ -1,8 +1,8 @@
 /// @file kv.h
-/// Client of the platform's key-value service by the etcd v3 JSON protocol,
-/// limited to reads, writes of one key, compare-and-swap of one key, and
-/// watches. Every call is counted by kind, a waiting watch as one, and a
-/// daemon's calls stay below a ceiling.
+/// Client of the platform's key-value service, over the etcd v3 JSON API.
+/// Supports reads, single-key writes, single-key compare-and-swap and watches.
+/// Calls are counted by kind, and the calls of the process are rate-limited. A
+/// watch counts as one call, however long it stays open.
 #ifndef KB_TRANSPORT_KV_H
 #define KB_TRANSPORT_KV_H
 
@@ -27,12 +27,13 @@
 {
   char key[KVC_KEY_BYTES];
   kb_slice_t value;
-  uint64_t mod_revision; ///< For compare-and-swap; zero: the key is absent.
+  uint64_t mod_revision; ///< For kvc_cas; 0: the key is absent.
 } kvc_item_t;
 
-/// Result of a call. A compare-and-swap ends with KB_OK, KB_ECONFLICT,
-/// KB_EUNAVAIL (certainly not done) or KB_EUNKNOWN (the response was lost).
-/// @param items  What was read; gone after the callback.
+/// Completion callback of a call. A compare-and-swap completes with KB_OK,
+/// KB_ECONFLICT, KB_EUNAVAIL (it was not executed) or KB_EUNKNOWN (the
+/// response was lost, so that it may have been executed).
+/// @param items  Items read; valid only during the callback.
 typedef void (*kvc_done_t) (void *arg, kb_status_t status,
                             const kvc_item_t *items, uint32_t count);
 
@@ -40,32 +41,37 @@
 
 typedef struct
 {
-  /// An item was written or, with an empty value and mod_revision zero,
-  /// deleted.
+  /// An item was written, or deleted: the value is empty and mod_revision 0.
   void (*on_item) (void *arg, const kvc_item_t *item);
-  /// The watch ended; open another one after a pause.
+  /// The watch ended and is freed after this call. The owner should start a
+  /// new one after a pause.
   void (*on_lost) (void *arg);
 } kvc_watch_events_t;
 
-/// @param max_calls_per_s  Calls a second this process may make.
+/// @param max_calls_per_s  Limit of calls per second of this process. A call
+///                         over the limit fails with KB_EUNAVAIL.
 void kvc_client_init (kvc_client_t *client, htc_client_t *http,
                       const char *address, uint16_t port, uint64_t timeout_ms,
                       double max_calls_per_s);
+/// Reads one key.
 void kvc_get (kvc_client_t *client, const char *key, kvc_done_t done,
               void *arg);
-/// Read all keys that begin with a prefix.
+/// Reads all keys that start with `prefix`.
 void kvc_range (kvc_client_t *client, const char *prefix, kvc_done_t done,
                 void *arg);
+/// Writes one key unconditionally.
 void kvc_put (kvc_client_t *client, const char *key, kb_slice_t value,
               kvc_done_t done, void *arg);
-/// @param expected_revision  mod_revision the key must have; zero: must be
-/// absent.
+/// Writes one key if its mod_revision matches (compare-and-swap).
+/// @param expected_revision  mod_revision that the key must have; 0: the key
+///                           must be absent.
 void kvc_cas (kvc_client_t *client, const char *key,
               uint64_t expected_revision, kb_slice_t value, kvc_done_t done,
               void *arg);
-/// Watch all keys that begin with a prefix, from now on.
+/// Watches all keys that start with `prefix`, from the current revision on.
 kvc_watch_t *kvc_watch_start (kvc_client_t *client, const char *prefix,
                               const kvc_watch_events_t *events, void *arg);
+/// Cancels and frees a watch; on_lost is not called.
 void kvc_watch_stop (kvc_watch_t *watch);
 
 #endif
--- a/src/transport/linger.c
+++ b/src/transport/linger.c
@@ -10,16 +10,16 @@
 
 enum
 {
-  /// A peer that has read the answer stops sending within a round trip or
-  /// two; one that goes on for longer is cut.
+  /// A peer that has read the response stops sending within one or two round
+  /// trips; after this time the connection is closed anyway.
   LINGER_MS = 2000,
   READ_BYTES = 65536,
 };
 
-/// A connection that is being ended.
+/// A connection in lingering close.
 typedef struct
 {
-  uv_poll_t poll; ///< First.
+  uv_poll_t poll; ///< Must be first: cast to linger_t.
   tmr_service_t *timers;
   tmr_timer_t timeout_timer;
   int fd;
@@ -59,7 +59,8 @@
   int own_fd = dup (fd);
   if (own_fd < 0)
     {
-      log_write (LOG_WARN, "linger", "A connection is cut: %s.",
+      log_write (LOG_WARN, "linger",
+                 "Cannot duplicate a socket for a lingering close: %s.",
                  strerror (errno));
       return;
     }
--- a/src/transport/linger.h
+++ b/src/transport/linger.h
@@ -1,9 +1,9 @@
 /// @file linger.h
-/// Ends a connection whose peer is still sending. A socket that is closed
-/// with unread bytes resets the connection, and the reset discards an answer
-/// that the peer has not read yet: it sees a broken connection instead of the
-/// reason for it. Here the sending side is closed first and what still comes
-/// in is read and dropped, for a bounded time.
+/// Lingering close of a connection whose peer may still be sending. Closing a
+/// socket with unread bytes resets the connection, and the reset discards a
+/// response that the peer has not read yet: the peer sees a connection error
+/// instead of the response. A lingering close shuts down the sending side
+/// first, then reads and discards incoming bytes for a bounded time.
 #ifndef KB_TRANSPORT_LINGER_H
 #define KB_TRANSPORT_LINGER_H
 
@@ -11,8 +11,9 @@
 
 #include "transport/timer.h"
 
-/// Take over the end of a connection that its owner is about to close.
-/// @param fd  Socket of the connection; stays its owner's to close.
+/// Starts a lingering close. The caller may close the connection right after.
+/// @param fd  Socket of the connection. It is duplicated; the caller keeps
+///            ownership and closes its own descriptor.
 void lng_start (uv_loop_t *loop, tmr_service_t *timers, int fd);
 
 #endif
--- a/src/transport/link.c
+++ b/src/transport/link.c
@@ -22,10 +22,11 @@
 
 static void link_drain (lnk_link_t *link);
 
-/// The socket's descriptor is edge-triggered: after any send or receive it may
-/// hold an event that no new edge will announce, which shows as a message
-/// that arrives only with the next one. A check handle drains after every
-/// loop turn; the idle handle keeps the loop turning while work remains.
+/// The descriptor of a ZeroMQ socket is edge-triggered: after any send or
+/// receive, an event may be pending that no further edge signals, and a
+/// message would then be delivered only together with the next one. A check
+/// handle therefore drains the socket after every loop iteration, and the idle
+/// handle keeps the loop from blocking while messages may remain.
 static void
 link_on_idle (uv_idle_t *idle)
 {
@@ -172,8 +173,8 @@
   return false;
 }
 
-/// One authentication request: frames version, request id, domain, address,
-/// identity, mechanism, then the client's key.
+/// Answers ZAP authentication requests. The frames of a request are: version,
+/// request id, domain, address, identity, mechanism, client key.
 static void
 zap_on_readable (uv_poll_t *poll, int status, int events)
 {
@@ -216,7 +217,7 @@
         {
           MET_INC ("knapweedbay_inner_strangers_total", "");
           log_write (LOG_WARN, "link",
-                     "A peer with an unknown key was refused.");
+                     "Connection refused: unknown CURVE key.");
         }
       zap_reply (link, request_id, is_allowed ? "200" : "400");
     }
@@ -252,7 +253,7 @@
 {
   link->zap = zmq_socket (link->context, ZMQ_REP);
   if (zmq_bind (link->zap, "inproc://zeromq.zap.01") != 0)
-    return kb_error_set (error, KB_ESYS, "cannot start authentication: %s",
+    return kb_error_set (error, KB_ESYS, "cannot start the ZAP handler: %s",
                          zmq_strerror (errno));
   link_start_poll (link, &link->zap_poll, link->zap, zap_on_readable);
   return KB_OK;
@@ -289,15 +290,16 @@
     }
   link->socket = zmq_socket (link->context, ZMQ_ROUTER);
   if (link->socket == NULL)
-    return kb_error_set (error, KB_ESYS, "no inner socket: %s",
+    return kb_error_set (error, KB_ESYS, "cannot create the inner socket: %s",
                          zmq_strerror (errno));
   zmq_setsockopt (link->socket, ZMQ_ROUTING_ID, options->name,
                   strlen (options->name));
-  // Without the mandatory flag a message to an absent peer vanishes and the
-  // request waits for its deadline; with it the sender learns at once.
+  // Without ROUTER_MANDATORY, a message to an unconnected peer is dropped
+  // silently and the request waits until its deadline; with it, the send fails
+  // immediately.
   socket_set_int (link->socket, ZMQ_ROUTER_MANDATORY, 1);
-  // A restarted peer comes back under the same name before the old
-  // connection is known to be dead; it must win over the dead one.
+  // A restarted peer may reconnect under the same name before its old
+  // connection is detected as dead; the new connection must take over.
   socket_set_int (link->socket, ZMQ_ROUTER_HANDOVER, 1);
   socket_set_int (link->socket, ZMQ_LINGER, 0);
   socket_set_int (link->socket, ZMQ_SNDHWM, LNK_MAX_QUEUED_MESSAGES);
@@ -320,9 +322,9 @@
   zmq_connect (link->monitor, "inproc://monitor");
   link_start_poll (link, &link->monitor_poll, link->monitor,
                    monitor_on_readable);
-  // A pipe signals its descriptor only to a reader that has found it empty
-  // before. Without this first read no disconnect was ever reported, and a
-  // killed agent was noticed by an unanswered ping, seconds later.
+  // ZeroMQ signals the descriptor of a pipe only after a read has found the
+  // pipe empty. Without this initial read no disconnect is ever reported, and
+  // a killed agent is detected only seconds later by an unanswered ping.
   monitor_on_readable (&link->monitor_poll, 0, 0);
   link_start_poll (link, &link->poll, link->socket, link_on_readable);
   uv_check_init (loop, &link->check);
@@ -387,8 +389,8 @@
       zmq_setsockopt (link->socket, ZMQ_CURVE_SERVERKEY, server_key,
                       LNK_KEY_Z85_BYTES);
     }
-  // Without this a pipe exists before its connection does, and messages wait
-  // in it for a VM that may never come back.
+  // Without ZMQ_IMMEDIATE, the pipe exists before the connection does, and
+  // messages are queued for a VM that may never come back.
   socket_set_int (link->socket, ZMQ_IMMEDIATE, 1);
   return zmq_connect (link->socket, address) == 0 ? KB_OK : KB_EINVAL;
 }
@@ -419,7 +421,8 @@
       return KB_EUNAVAIL;
     }
   link->bytes_out += link->scratch.len_bytes;
-  // The check handle runs only when the loop turns; make it turn.
+  // The check handle runs only when the loop iterates: prevent it from
+  // blocking.
   uv_idle_start (&link->idle, link_on_idle);
   return KB_OK;
 }
--- a/src/transport/link.h
+++ b/src/transport/link.h
@@ -1,7 +1,7 @@
 /// @file link.h
-/// The inner protocol's transport: one ZeroMQ ROUTER socket for all peers of
-/// a process, driven by the libuv loop. A peer is addressed by its name,
-/// which is its routing id.
+/// Transport of the inner protocol: one ZeroMQ ROUTER socket for all peers of
+/// a process, driven by the libuv loop. A peer is addressed by its name, which
+/// is its ZeroMQ routing id.
 #ifndef KB_TRANSPORT_LINK_H
 #define KB_TRANSPORT_LINK_H
 
@@ -13,23 +13,24 @@
 
 typedef struct lnk_link lnk_link_t;
 
-/// Callbacks of a link; the struct is the first member of its owner.
+/// Callbacks of a link.
 typedef struct
 {
-  /// A whole, well-formed message from `peer`.
+  /// A well-formed message was received from `peer`.
   void (*on_message) (lnk_link_t *link, kb_slice_t peer, const msg_t *msg);
-  /// The connection to an address that this process opened was lost or could
-  /// not be made.
+  /// A connection was lost, or could not be established, or its handshake
+  /// failed. `address` is the endpoint that ZeroMQ reports. May be NULL.
   void (*on_disconnect) (lnk_link_t *link, const char *address);
 } lnk_events_t;
 
-/// What a link needs from the settings.
+/// Settings of a link.
 typedef struct
 {
-  const char *name;       ///< Own routing id.
-  const char *public_key; ///< Z85; empty for no CURVE.
+  const char *name;       ///< Routing id of this process.
+  const char *public_key; ///< Z85; NULL or empty: no CURVE.
   const char *secret_key;
-  /// Public keys of peers that may connect; empty strings are ignored.
+  /// Public keys of the peers that may connect, Z85; NULL and empty strings
+  /// are ignored.
   const char *allowed_keys[2];
 } lnk_options_t;
 
@@ -47,7 +48,7 @@
   uv_poll_t zap_poll;
   uv_check_t check;
   uv_idle_t idle;
-  bool is_draining; ///< Guards against a nested drain.
+  bool is_draining; ///< Prevents recursion into the drain.
   lnk_options_t options;
   kb_buf_t scratch;
   uint64_t bytes_in;
@@ -58,18 +59,21 @@
                            const lnk_events_t *events, void *owner,
                            const lnk_options_t *options, kb_error_t *error);
 void lnk_link_finish (lnk_link_t *link);
-/// Listen; port 0 lets the kernel choose.
-/// @param port  Receives the port in use.
+/// Listens on `address`.
+/// @param port  Port to listen on, or 0 to let the kernel choose one; receives
+///              the port in use.
 kb_status_t lnk_link_bind (lnk_link_t *link, const char *address,
                            uint16_t *port, kb_error_t *error);
-/// Connect to `address` ("tcp://ip:port"); reconnects until disconnected.
+/// Connects to `address` ("tcp://ip:port") and reconnects after a failure
+/// until lnk_link_disconnect.
 /// @param server_key  Public key of the peer, Z85, or empty.
+/// @return            KB_EINVAL: the address is not valid.
 kb_status_t lnk_link_connect (lnk_link_t *link, const char *address,
                               const char *server_key);
 void lnk_link_disconnect (lnk_link_t *link, const char *address);
-/// Queue a message.
-/// @return  KB_EUNAVAIL: it was not queued, so it was certainly not sent.
-///          KB_OK is no proof that it arrives.
+/// Queues a message.
+/// @return  KB_EUNAVAIL: the message was not queued and will not be sent.
+///          KB_OK does not guarantee delivery.
 kb_status_t lnk_link_send (lnk_link_t *link, kb_slice_t peer,
                            const msg_t *msg);
 
--- a/src/transport/log.c
+++ b/src/transport/log.c
@@ -10,12 +10,13 @@
 enum
 {
   BUFFER_BYTES = 65536,
-  /// Written at once when this much waits; otherwise by log_flush.
+  /// Pending bytes at which the buffer is written without waiting for
+  /// log_flush.
   FLUSH_BYTES = 4096,
-  /// A pipe that can be written at all takes this much without blocking.
+  /// A pipe that polls as writable accepts this much without blocking.
   MAX_WRITE_BYTES = 4096,
   MAX_EVENTS = 64,
-  /// One event may use up to this part of the lines of a second.
+  /// One event may use 1/EVENT_RATE_DIVISOR of the lines of a second.
   EVENT_RATE_DIVISOR = 2,
   DEFAULT_LINES_PER_S = 1000,
   NODE_BYTES = 64,
@@ -23,7 +24,7 @@
   NS_PER_MS = 1000000,
 };
 
-/// Lines of one event in the present second.
+/// Lines of one event in the current second.
 typedef struct
 {
   const char *event;
@@ -81,7 +82,7 @@
   size_t written_bytes = 0;
   while (written_bytes < pending_bytes)
     {
-      // A reader that stands still must not stop the loop.
+      // A reader that does not drain the pipe must not block the event loop.
       struct pollfd out = { .fd = STDOUT_FILENO, .events = POLLOUT };
       if (poll (&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0)
         break;
@@ -128,7 +129,8 @@
   return &event_rates[event_rate_count++];
 }
 
-/// Begin a new second: reset the counts and tell what was left out.
+/// Starts a new second: resets the counts and logs how many lines were
+/// dropped.
 static void
 rates_reset (time_t second)
 {
@@ -149,7 +151,7 @@
     }
 }
 
-/// Whether the event_rates allow one more line.
+/// Counts the line, or drops it if a rate limit is exceeded.
 static bool
 rates_admit_line (log_level_t level, const char *event)
 {
@@ -167,14 +169,14 @@
   return true;
 }
 
-/// Append as far as it fits; a piece that does not fit leaves the line as it
-/// was, so that it stays proper JSON.
+/// Appends the text of a field. A field that does not fit is omitted as a
+/// whole, so that the line remains valid JSON.
 static bool
 line_append (log_line_t *line, const char *text, size_t len_bytes)
 {
   enum
   {
-    CLOSING_BYTES = 32, ///< For the closing fields.
+    CLOSING_BYTES = 32, ///< Reserved for log_end.
   };
   if (line->len_bytes + len_bytes + CLOSING_BYTES > LOG_LINE_BYTES)
     {
@@ -281,6 +283,6 @@
   va_end (args);
   log_text (&line, "text", text);
   log_end (&line);
-  // Sentences are rare and often the last thing a process says.
+  // Messages are rare, and often the last output before the process exits.
   log_flush ();
 }
--- a/src/transport/peerlink.c
+++ b/src/transport/peerlink.c
@@ -14,13 +14,13 @@
   RECONNECT_MAX_MS = 1000,
 };
 
-/// An address that is kept connected.
+/// Maintains the connection to an address.
 typedef struct
 {
   plk_link_t *link;
   char address[PLK_NAME_BYTES];
   struct sockaddr_in remote_addr;
-  plk_conn_t *conn; ///< NULL: waits for its next try.
+  plk_conn_t *conn; ///< NULL while waiting for the next attempt.
   uint64_t reconnect_delay_ms;
   tmr_timer_t timer;
 } plk_dialer_t;
@@ -40,7 +40,7 @@
     plk_conn_close (conn);
 }
 
-/// The connection of a dialer ended: try again, each time a little later.
+/// The connection of a dialer was closed: reconnects with exponential backoff.
 static void
 dialer_on_conn_close (plk_conn_t *conn)
 {
@@ -82,7 +82,7 @@
   conn->on_close = dialer_on_conn_close;
   conn->owner = dialer;
   dialer->conn = conn;
-  // It outlives the dialer when that is given up while connecting.
+  // The request outlives the dialer if that is freed while connecting.
   uv_connect_t *connect = kb_alloc (sizeof *connect);
   connect->data = conn;
   if (uv_tcp_connect (connect, &conn->tcp,
@@ -142,7 +142,8 @@
 {
   struct sockaddr_in listen_addr;
   if (uv_ip4_addr (address, *port, &listen_addr) != 0)
-    return kb_error_set (error, KB_EINVAL, "\"%s\" is no IP number", address);
+    return kb_error_set (error, KB_EINVAL, "\"%s\" is not an IPv4 address",
+                         address);
   uv_tcp_init (link->loop, &link->listener);
   link->listener.data = link;
   link->is_listening = true;
--- a/src/transport/peerlink.h
+++ b/src/transport/peerlink.h
@@ -1,16 +1,16 @@
 /// @file peerlink.h
-/// Typed messages between daemons of one deployment over plain TCP on the
-/// libuv loop: for roles with hundreds of peers each. A peer is addressed by
-/// its name.
+/// Transport of the inner protocol over plain TCP on the libuv loop, for roles
+/// that have hundreds of peers each. A peer is addressed by its name.
 ///
 /// The ZeroMQ link (link.h) keeps pipes and batch buffers for each peer: 31 KB
-/// after three messages, 87 KB after six hundred (a ROUTER with 120 peers,
-/// resident bytes over their number). With 68 entries before 120 agents that
-/// was most of both processes. Here a silent peer costs its handle, some
-/// 0.5 KB, and bytes are kept only while they wait.
+/// of resident memory per peer after 3 messages and 87 KB after 600, for a
+/// ROUTER socket with 120 peers. With 68 entries and 120 agents that was most
+/// of the memory of both processes. Here an idle peer costs about 0.5 KB for
+/// its handle, and message buffers exist only while data is pending.
 ///
-/// A frame is the length of a message in four bytes, the lowest first, and the
-/// message. The one that connects says its name in a first frame.
+/// A frame is the length of a message, as a 32-bit little-endian integer,
+/// followed by the message. The first frame of the connecting side is a hello
+/// that contains its name.
 #ifndef KB_TRANSPORT_PEERLINK_H
 #define KB_TRANSPORT_PEERLINK_H
 
@@ -31,7 +31,8 @@
 
 typedef struct
 {
-  /// A whole, well-formed message from `peer`.
+  /// A well-formed message was received from `peer`. The callback may close
+  /// the connection.
   void (*on_message) (plk_link_t *link, kb_slice_t peer, const msg_t *msg);
 } plk_events_t;
 
@@ -44,28 +45,33 @@
   char name[PLK_NAME_BYTES];
   uv_tcp_t listener;
   bool is_listening;
-  kb_map_t peers;    ///< plk_conn_t that carry messages, by their names.
-  kb_map_t dialers;  ///< Addresses that are kept connected.
-  plk_conn_t *conns; ///< All, with those that are being made or closed.
-  char *read_buffer; ///< Shared: what is read is consumed at once.
+  kb_map_t peers;    ///< Established plk_conn_t, by peer name.
+  kb_map_t dialers;  ///< plk_dialer_t, by address.
+  plk_conn_t *conns; ///< All connections that are not closing,
+                     ///< including those that are still opening.
+  char *read_buffer; ///< Shared by all connections: reads are
+                     ///< processed immediately.
   kb_buf_t scratch;
 };
 
-/// @param name  Of this process, as its peers address it.
+/// @param name  Name by which the peers address this process.
 void plk_link_init (plk_link_t *link, uv_loop_t *loop, tmr_service_t *timers,
                     const plk_events_t *events, void *owner, const char *name);
-/// Close everything; the loop must turn once more before it is closed.
+/// Closes all connections. The loop must run once more before it is closed.
 void plk_link_finish (plk_link_t *link);
-/// Listen; port 0 lets the kernel choose.
-/// @param port  Receives the port in use.
+/// Listens on `address`.
+/// @param port  Port to listen on, or 0 to let the kernel choose one; receives
+///              the port in use.
 kb_status_t plk_link_bind (plk_link_t *link, const char *address,
                            uint16_t *port, kb_error_t *error);
-/// Keep a connection to a peer whose name is its address, "ip:port".
+/// Connects to `address` ("ip:port") and reconnects after a failure until
+/// plk_link_disconnect. The name of the peer is its address.
+/// @return  KB_EINVAL: the address is not valid.
 kb_status_t plk_link_connect (plk_link_t *link, const char *address);
 void plk_link_disconnect (plk_link_t *link, const char *address);
-/// Queue a message.
-/// @return  KB_EUNAVAIL: it was not queued, so it was certainly not sent.
-///          KB_OK is no proof that it arrives.
+/// Queues a message.
+/// @return  KB_EUNAVAIL: the message was not queued and will not be sent.
+///          KB_OK does not guarantee delivery.
 kb_status_t plk_link_send (plk_link_t *link, kb_slice_t peer,
                            const msg_t *msg);
 
--- a/src/transport/peerlink_conn.c
+++ b/src/transport/peerlink_conn.c
@@ -9,23 +9,25 @@
 enum
 {
   FRAME_LENGTH_BYTES = 4,
-  /// Values of the store have 1 MB at most; a message holds a few of them.
+  /// A value in the store has at most 1 MB, and a message holds a few values.
   MAX_FRAME_BYTES = 8 << 20,
-  /// What may wait for a peer that does not read. Heartbeats and loads are
-  /// said again; a peer that is this far behind is better off without.
+  /// Limit of the send queue of a peer that does not read. Messages over the
+  /// limit are rejected: heartbeats and load reports are sent again anyway,
+  /// and are useless to a peer that is this far behind.
   MAX_QUEUED_BYTES = 4 << 20,
-  /// Connecting, and the first frame: links take a few ms, and a VM without
-  /// power never answers.
+  /// Timeout of connecting and of the hello frame together. Connections open
+  /// within a few ms; a VM that lost power never answers.
   OPEN_TIMEOUT_MS = 1500,
-  /// Sent bytes that are not acknowledged for this long end the connection.
-  /// Without it what waits for a peer that lost power is kept for minutes.
+  /// TCP_USER_TIMEOUT: the connection is closed if sent data is not
+  /// acknowledged for this long. Without it, data queued for a peer that lost
+  /// power is kept for minutes.
   USER_TIMEOUT_MS = 5000,
 };
 
-/// Begins the first frame; the name follows.
+/// Start of the hello frame; the name follows.
 static const char hello_prefix[] = "knapweedbay-peer/1 ";
 
-/// Bytes that the system did not take at once.
+/// Bytes that the kernel did not accept immediately.
 typedef struct
 {
   uv_write_t request;
@@ -117,7 +119,7 @@
     plk_conn_close (conn);
 }
 
-/// Send bytes that must stay in one piece and in order.
+/// Sends or queues the bytes of a whole frame, in order.
 static kb_status_t
 conn_write (plk_conn_t *conn, kb_slice_t bytes)
 {
@@ -146,12 +148,12 @@
   if (uv_write (&write->request, stream, &unsent, 1, write_done) == 0)
     return KB_OK;
   free (write);
-  // A part of the frame may be out: nothing good can follow it.
+  // Part of the frame may have been sent, so the stream cannot be continued.
   plk_conn_close (conn);
   return KB_EUNAVAIL;
 }
 
-/// Write the length before what was appended since frame_begin.
+/// Writes the frame length into the placeholder that frame_begin reserved.
 static void
 frame_end (kb_buf_t *out)
 {
@@ -169,7 +171,7 @@
   return len_bytes;
 }
 
-/// A buffer that grew for a large message is given back.
+/// Frees a buffer that grew for a large message.
 static void
 scratch_trim (kb_buf_t *scratch)
 {
@@ -185,7 +187,7 @@
   kb_buf_append (out, placeholder, sizeof placeholder);
 }
 
-/// The first frame of a peer that connected.
+/// Handles the first frame of a peer that connected.
 static void
 conn_receive_hello (plk_conn_t *conn, kb_slice_t frame)
 {
@@ -228,8 +230,8 @@
     }
 }
 
-/// Take all whole frames.
-/// @return  How many bytes were consumed. A message may end the connection.
+/// Handles all complete frames. A message handler may close the connection.
+/// @return  Number of bytes consumed.
 static size_t
 conn_parse_frames (plk_conn_t *conn, const char *bytes, size_t len_bytes)
 {
--- a/src/transport/peerlink_conn.h
+++ b/src/transport/peerlink_conn.h
@@ -1,6 +1,5 @@
 /// @file peerlink_conn.h
-/// One connection of a peer link: frames, what waits to be sent, and the name
-/// of its peer.
+/// A connection of a peer link: framing, send queue and name of the peer.
 #ifndef KB_TRANSPORT_PEERLINK_CONN_H
 #define KB_TRANSPORT_PEERLINK_CONN_H
 
@@ -8,7 +7,7 @@
 
 enum
 {
-  /// Of the buffer that a link reads into.
+  /// Size of the read buffer of a link.
   PLK_READ_BYTES = 65536,
 };
 
@@ -18,34 +17,37 @@
   plk_link_t *link;
   plk_conn_t *next;
   plk_conn_t *prev;
-  char name[PLK_NAME_BYTES]; ///< Of the peer; empty until it said it.
-  kb_buf_t partial_frame;    ///< A part of a frame.
+  char name[PLK_NAME_BYTES]; ///< Name of the peer; empty until it is known.
+  kb_buf_t partial_frame;    ///< Received part of an incomplete frame.
   tmr_timer_t open_timer;
   bool is_closing;
-  void (*on_close) (plk_conn_t *conn); ///< NULL: nobody cares.
-  void *owner;                         ///< Of on_close.
+  void (*on_close) (plk_conn_t *conn); ///< May be NULL.
+  void *owner;                         ///< Context for on_close.
 };
 
-/// Key of a name in the maps of a link.
+/// Key of a name in the maps of a link; never 0.
 static inline uint64_t
 plk_name_key (kb_slice_t name)
 {
   return kb_hash (name.ptr, name.len_bytes, 0) | 1;
 }
 
-/// A connection that is not open yet; it ends when it gets no name in time.
+/// Creates a connection that is not open yet. It is closed if
+/// plk_conn_set_name is not called within a timeout.
 plk_conn_t *plk_conn_create (plk_link_t *link);
-/// Its socket is open: read from it.
+/// Starts reading; the socket must be open.
 void plk_conn_start_read (plk_conn_t *conn);
-/// Close it. Its memory goes when the loop has closed it.
+/// Closes the connection. It is freed once the loop has closed its handle.
+/// Does nothing if it is closing already.
 void plk_conn_close (plk_conn_t *conn);
-/// From chunk on messages to this name take this connection. A peer that was
-/// restarted comes back under its name before the old connection is known to
-/// be dead.
+/// Routes messages for `name` to this connection and closes the previous
+/// connection of that name: a restarted peer may reconnect before its old
+/// connection is detected as dead.
 void plk_conn_set_name (plk_conn_t *conn, kb_slice_t name);
-/// Say the name of this process, as the first frame.
+/// Sends the hello frame with the name of this process.
 kb_status_t plk_conn_send_hello (plk_conn_t *conn);
-/// @return  KB_EUNAVAIL: not queued.
+/// Queues a message.
+/// @return  KB_EUNAVAIL: the message was not queued.
 kb_status_t plk_conn_send (plk_conn_t *conn, const msg_t *msg);
 
 #endif
--- a/src/transport/timer.c
+++ b/src/transport/timer.c
@@ -116,7 +116,7 @@
   if (s->len == s->cap)
     {
       s->cap = s->cap == 0 ? 64 : s->cap * 2;
-      // An array of pointers is meant.
+      // The array holds pointers, so the size of a pointer is intended.
       // NOLINTNEXTLINE(bugprone-sizeof-expression)
       s->heap = kb_realloc (s->heap, s->cap * sizeof *s->heap);
     }
--- a/src/transport/trace.c
+++ b/src/transport/trace.c
@@ -33,7 +33,7 @@
     {
       context.trace_hi = hi;
       context.trace_lo = lo;
-      context.parent = parent;
+      context.parent_span_id = parent;
       return context;
     }
   context.trace_hi = random[1] | 1;
@@ -45,7 +45,7 @@
 trc_make_child (const trc_context_t *parent, uint64_t random)
 {
   trc_context_t child = *parent;
-  child.parent = parent->span_id;
+  child.parent_span_id = parent->span_id;
   child.span_id = random | 1;
   return child;
 }
@@ -66,9 +66,9 @@
   if (!trace_is_enabled)
     return;
   char parent[64] = "";
-  if (context->parent != 0)
+  if (context->parent_span_id != 0)
     snprintf (parent, sizeof parent, "\"parentSpanId\":\"%016" PRIx64 "\",",
-              context->parent);
+              context->parent_span_id);
   printf ("{\"resourceSpans\":[{\"resource\":{\"attributes\":[{\"key\":"
           "\"service.name\",\"value\":{\"stringValue\":\"%s\"}}]},"
           "\"scopeSpans\":[{\"spans\":[{\"traceId\":\"%016" PRIx64
--- a/test/unit/log_test.cc
+++ b/test/unit/log_test.cc
@@ -1,5 +1,5 @@
-// The structured log: proper lines, bounded volume, and writing that never
-// waits for a reader. Metrics: histograms as Prometheus text.
+// Structured log: valid JSON lines, rate limits and non-blocking output.
+// Metrics: histograms in the Prometheus text format.
 #include <gtest/gtest.h>
 
 #include <json-c/json.h>
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// Standard output as a pipe for the time of a test.
+/// Redirects standard output to a pipe for the duration of a test.
 class LogTest : public ::testing::Test
 {
 protected:
@@ -92,8 +92,8 @@
   json_object_put (doc);
 }
 
-// Thousands of successes a second hide the one failure that somebody looks
-// for: it was left out when the rate was used up.
+// Guards against a burst of informational lines that uses up the rate limit,
+// so that a warning in the same second is dropped.
 TEST_F (LogTest, WarningsHaveTheirOwnRate)
 {
   log_configure ("node", 20);
@@ -108,7 +108,8 @@
   EXPECT_NE (written ().find ("failure"), std::string::npos);
 }
 
-// Nobody reads: the writer must not wait, and what it leaves out is counted.
+// Nobody reads the pipe: the writer must not block, and the dropped lines are
+// counted.
 TEST_F (LogTest, AFullPipeDoesNotBlock)
 {
   log_configure ("node", 100000);
--- a/test/unit/peerlink_test.cc
+++ b/test/unit/peerlink_test.cc
@@ -1,5 +1,5 @@
-// Links between daemons: names, reconnecting, what is refused, and what a
-// peer costs.
+// Peer links: routing by name, reconnecting, rejected connections and memory
+// per peer.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -22,7 +22,7 @@
 namespace
 {
 
-/// One endpoint with what it received.
+/// A link and the messages that it received.
 struct Endpoint
 {
   plk_link_t link;
@@ -52,7 +52,7 @@
 protected:
   Peerlink ()
   {
-    signal (SIGPIPE, SIG_IGN); // As the daemons do.
+    signal (SIGPIPE, SIG_IGN); // As in the daemons.
     uv_loop_init (&loop);
     tmr_service_init (&timers, &loop);
     kb_error_t error;
@@ -114,7 +114,7 @@
            == KB_OK;
   }
 
-  /// A connection that no link of this project made.
+  /// Opens a plain TCP connection to the server, without a hello.
   int
   dial_raw ()
   {
@@ -167,8 +167,8 @@
   EXPECT_FALSE (send (client, address, 1)) << "not connected yet";
 }
 
-// A document of 1 MB passes in many pieces; small messages behind it keep
-// their turn.
+// A document of 1 MB is sent in many writes; small messages that are queued
+// after it must arrive after it.
 TEST_F (Peerlink, ALargeMessageArrivesWhole)
 {
   Endpoint *client = connect ("a");
@@ -186,8 +186,8 @@
   EXPECT_EQ (server.sizes[0], document.size ());
 }
 
-// A gateway is killed and comes back under its name, previous the sidecar
-// knows that the old connection is dead. Words must go to the new one.
+// A gateway is killed and reconnects under its name before the sidecar detects
+// that the old connection is dead. Messages must go to the new connection.
 TEST_F (Peerlink, ANewConnectionReplacesTheOldOne)
 {
   Endpoint *previous = connect ("a");
@@ -201,7 +201,7 @@
   EXPECT_TRUE (previous->ids.empty ());
 }
 
-// The other process restarts: the link comes back by itself.
+// The peer process restarts: the link must reconnect without intervention.
 TEST_F (Peerlink, ALostConnectionIsReestablished)
 {
   Endpoint *client = connect ("a");
@@ -219,8 +219,8 @@
   }));
 }
 
-// A message may make its receiver close the very connection that it came on,
-// with more messages behind it in the same bytes.
+// The handler of a message may close the connection that the message arrived
+// on while more messages follow in the same read.
 TEST_F (Peerlink, AMessageHandlerMayCloseItsConnection)
 {
   Endpoint *client = connect ("a");
@@ -253,7 +253,7 @@
     }
 }
 
-// One that connects and says nothing must not keep a connection for ever.
+// A client that connects and sends nothing must not hold a connection forever.
 TEST_F (Peerlink, AConnectionWithoutHelloIsClosed)
 {
   int fd = dial_raw ();
@@ -274,8 +274,7 @@
   close (fd);
 }
 
-// A peer stops reading. What waits for it is bounded; once it reads again all
-// that was queued arrives.
+// A peer that does not read: the memory of its send queue must be bounded.
 TEST_F (Peerlink, TheSendQueueOfASlowReaderIsBounded)
 {
   int fd = dial_raw ();
@@ -297,10 +296,10 @@
   close (fd);
 }
 
-// Kept pipes and read_buffer_bytes for bytes_per_peer peer were most of the
-// memory of 188 VMs. An agent previous 68 entries is to take 3 MB, of
-// which 1.9 MB are its recorded_id_bytes: 16 KB a peer. ZeroMQ took 87 KB a
-// peer for the same words.
+// Memory per peer decides the size of a daemon: in a deployment of 188 VMs,
+// pipes and buffers per peer were most of the memory. An agent with 68 entries
+// must fit in 3 MB, of which 1.9 MB are its base size, which leaves 16 KB per
+// peer. ZeroMQ took 87 KB per peer for the same messages.
 TEST_F (Peerlink, MemoryPerPeerIsBounded)
 {
 #ifdef __SANITIZE_ADDRESS__
@@ -311,8 +310,8 @@
   size_t baseline_bytes = mallinfo2 ().uordblks;
   for (size_t i = 0; i < kPeers; i++)
     connect ("p" + std::to_string (i));
-  // Each endpoint has a read buffer; those of the clients are not the
-  // server's.
+  // Each end has a read buffer; the buffers of the clients do not count
+  // towards the server.
   size_t read_buffer_bytes = kPeers * 65536;
   for (uint64_t id = 0; id < kMessages; id++)
     {
