--- a/src/transport/kv.h
+++ b/src/transport/kv.h
@@ -1,8 +1,8 @@
 /// @file kv.h
 /// Client of the platform's key-value service, over the etcd v3 JSON API.
 /// Supports reads, single-key writes, single-key compare-and-swap and watches.
-/// Calls are counted by kind, and the calls of the process are rate-limited. A
-/// watch counts as one call, however long it stays open.
+/// Calls are counted by kind; a watch counts as one call, however long it
+/// stays open. Reads and writes of the process are rate-limited.
 #ifndef KB_TRANSPORT_KV_H
 #define KB_TRANSPORT_KV_H
 
@@ -48,8 +48,9 @@
   void (*on_lost) (void *arg);
 } kvc_watch_events_t;
 
-/// @param max_calls_per_s  Limit of calls per second of this process. A call
-///                         over the limit fails with KB_EUNAVAIL.
+/// @param max_calls_per_s  Limit of reads and writes per second of this
+///                         process. A call over the limit fails with
+///                         KB_EUNAVAIL.
 void kvc_client_init (kvc_client_t *client, htc_client_t *http,
                       const char *address, uint16_t port, uint64_t timeout_ms,
                       double max_calls_per_s);
