--- a/src/cli/cli_config.c
+++ b/src/cli/cli_config.c
@@ -2,9 +2,10 @@
 /// Subcommands on the configuration folder: check, apply, pull, diff.
 ///
 /// A folder remembers its base: the digest of each file as it was when the
-/// folder and the store last agreed. A file changed here and there since is a
-/// conflict; a file changed only there is kept as it is there. So two
-/// operators who edit at the same time cannot undo each other silently.
+/// folder and the store last agreed. A file changed local_text and stored_text
+/// since is a conflict; a file changed only stored_text is base_entry as it is
+/// stored_text. So two operators who edit at the same time cannot undo each
+/// other silently.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,8 +15,8 @@
 
 enum
 {
-  APPLY_TRIES = 20,
-  APPLY_PAUSE_MS = 250,
+  MAX_APPLY_ATTEMPTS = 20,
+  APPLY_RETRY_DELAY_MS = 250,
 };
 
 static const char head_key[] = "kb/w/head";
@@ -26,19 +27,20 @@
 {
   doc_head_t head;
   uint64_t mod_revision;
-} stored_t;
+} stored_head_t;
 
 static void
 print_override (void *arg, const char *section, const char *item,
-                const char *from_file, const char *by_file)
+                const char *overridden_file, const char *overriding_file)
 {
   uint32_t *count = arg;
   ++*count;
-  printf ("%s.%s: %s overrides %s\n", section, item, by_file, from_file);
+  printf ("%s.%s: %s overrides %s\n", section, item, overriding_file,
+          overridden_file);
 }
 
 static int
-fail (const kb_error_t *error, int code)
+print_error (const kb_error_t *error, int code)
 {
   fprintf (stderr, "knapweedbay: %s\n", error->message);
   return code;
@@ -49,7 +51,7 @@
 {
   kb_error_t error = { 0 };
   if (doc_folder_read (cli->folder, out, &error) != KB_OK)
-    return fail (&error, CLI_BAD_INPUT);
+    return print_error (&error, CLI_BAD_INPUT);
   return CLI_OK;
 }
 
@@ -62,7 +64,7 @@
   if (doc_build_config (folder, 0, is_quiet ? NULL : print_override,
                         &overrides, &config, &error)
       != KB_OK)
-    return fail (&error, CLI_BAD_INPUT);
+    return print_error (&error, CLI_BAD_INPUT);
   if (!is_quiet)
     printf ("ok: %u files, %u services, %u adapters, %u workspaces, %u rules, "
             "%u overrides\n",
@@ -85,9 +87,9 @@
 }
 
 static int
-read_head (cli_t *cli, stored_t *out)
+read_head (cli_t *cli, stored_head_t *out)
 {
-  *out = (stored_t){ 0 };
+  *out = (stored_head_t){ 0 };
   cli_value_t value = cli_kv_get (cli, head_key);
   kb_error_t error = { 0 };
   int code = CLI_OK;
@@ -99,7 +101,7 @@
   else if (value.exists
            && doc_head_parse (kb_buf_slice (&value.value), &out->head, &error)
                   != KB_OK)
-    code = fail (&error, CLI_BAD_INPUT);
+    code = print_error (&error, CLI_BAD_INPUT);
   out->mod_revision = value.mod_revision;
   kb_buf_finish (&value.value);
   return code;
@@ -142,7 +144,7 @@
   snprintf (out, out_bytes, "%s/%s", cli->folder, base_name);
 }
 
-/// A folder without a base file has the empty base.
+/// A folder without a base file has the empty_text base.
 static doc_head_t
 read_base (const cli_t *cli)
 {
@@ -165,9 +167,10 @@
   FILE *file = fopen (temp, "wb");
   if (file == NULL)
     return KB_ESYS;
-  bool is_good = fwrite (text.ptr, 1, text.len_bytes, file) == text.len_bytes;
-  is_good &= fclose (file) == 0;
-  if (!is_good || rename (temp, path) != 0)
+  bool is_written
+      = fwrite (text.ptr, 1, text.len_bytes, file) == text.len_bytes;
+  is_written &= fclose (file) == 0;
+  if (!is_written || rename (temp, path) != 0)
     return KB_ESYS;
   return KB_OK;
 }
@@ -188,7 +191,7 @@
 }
 
 static bool
-same_file (const doc_file_t *a, const doc_file_t *b)
+is_same_file (const doc_file_t *a, const doc_file_t *b)
 {
   if (a == NULL || b == NULL)
     return a == b;
@@ -201,22 +204,23 @@
   const doc_file_t *local;
   const doc_file_t *base;
   const doc_file_t *stored;
-} sides_t;
+} file_versions_t;
 
-static sides_t
-sides_of (const char *name, const doc_folder_t *local, const doc_head_t *base,
-          const doc_head_t *stored)
+static file_versions_t
+find_file_versions (const char *name, const doc_folder_t *local,
+                    const doc_head_t *base, const doc_head_t *stored)
 {
-  return (sides_t){ doc_folder_find (local, name),
-                    doc_folder_find (&base->folder, name),
-                    doc_folder_find (&stored->folder, name) };
+  return (file_versions_t){ doc_folder_find (local, name),
+                            doc_folder_find (&base->folder, name),
+                            doc_folder_find (&stored->folder, name) };
 }
 
 static bool
-sides_conflict (const sides_t *s)
+has_conflict (const file_versions_t *s)
 {
-  return !same_file (s->local, s->base) && !same_file (s->stored, s->base)
-         && !same_file (s->local, s->stored);
+  return !is_same_file (s->local, s->base)
+         && !is_same_file (s->stored, s->base)
+         && !is_same_file (s->local, s->stored);
 }
 
 /// Put the names of all files of a folder into `names`.
@@ -229,8 +233,8 @@
 }
 
 static void
-all_names (const doc_folder_t *local, const doc_head_t *base,
-           const doc_head_t *stored, doc_folder_t *names)
+collect_all_names (const doc_folder_t *local, const doc_head_t *base,
+                   const doc_head_t *stored, doc_folder_t *names)
 {
   *names = (doc_folder_t){ 0 };
   collect_names (local, names);
@@ -243,17 +247,19 @@
 ///          are named.
 static int
 merge_with_store (cli_t *cli, const doc_folder_t *local,
-                  const doc_head_t *base, stored_t *stored, doc_folder_t *out)
+                  const doc_head_t *base, stored_head_t *stored,
+                  doc_folder_t *out)
 {
   *out = (doc_folder_t){ 0 };
   doc_folder_t names;
-  all_names (local, base, &stored->head, &names);
+  collect_all_names (local, base, &stored->head, &names);
   int code = CLI_OK;
   for (uint32_t i = 0; i < names.len && code != CLI_UNAVAILABLE; i++)
     {
       const char *name = names.files[i].name;
-      sides_t s = sides_of (name, local, base, &stored->head);
-      if (sides_conflict (&s))
+      file_versions_t s
+          = find_file_versions (name, local, base, &stored->head);
+      if (has_conflict (&s))
         {
           fprintf (stderr,
                    "knapweedbay: conflict: %s was %s by another operator "
@@ -263,18 +269,18 @@
           code = CLI_CONFLICT;
           continue;
         }
-      bool is_ours = !same_file (s.local, s.base);
-      if (is_ours && s.local != NULL)
+      bool is_local_change = !is_same_file (s.local, s.base);
+      if (is_local_change && s.local != NULL)
         doc_folder_put (out, name, kb_buf_slice (&s.local->text));
-      else if (!is_ours && s.stored != NULL)
+      else if (!is_local_change && s.stored != NULL)
         {
-          if (same_file (s.local, s.stored))
+          if (is_same_file (s.local, s.stored))
             doc_folder_put (out, name, kb_buf_slice (&s.local->text));
           else
             {
-              int got = fetch_file (cli, (doc_file_t *)s.stored);
-              if (got != CLI_OK)
-                code = got;
+              int result = fetch_file (cli, (doc_file_t *)s.stored);
+              if (result != CLI_OK)
+                code = result;
               else
                 doc_folder_put (out, name, kb_buf_slice (&s.stored->text));
             }
@@ -287,12 +293,12 @@
 }
 
 static bool
-same_folders (const doc_folder_t *a, const doc_folder_t *b)
+is_same_folder (const doc_folder_t *a, const doc_folder_t *b)
 {
   if (a->len != b->len)
     return false;
   for (uint32_t i = 0; i < a->len; i++)
-    if (!same_file (&a->files[i], doc_folder_find (b, a->files[i].name)))
+    if (!is_same_file (&a->files[i], doc_folder_find (b, a->files[i].name)))
       return false;
   return true;
 }
@@ -333,7 +339,7 @@
 }
 
 static kb_status_t
-swap_head (cli_t *cli, const stored_t *stored, doc_folder_t *merged,
+swap_head (cli_t *cli, const stored_head_t *stored, doc_folder_t *merged,
            uint64_t change)
 {
   doc_head_t next = { .revision = stored->head.revision + 1,
@@ -353,7 +359,8 @@
 }
 
 /// After an apply the base is what folder and store agree on; a file that
-/// only the store has keeps its former base, so that the next pull brings it.
+/// only the store has keeps its previous base, so that the next pull brings
+/// it.
 static int
 update_base (cli_t *cli, const doc_folder_t *local, const doc_head_t *base,
              const doc_folder_t *merged, uint64_t revision)
@@ -361,21 +368,21 @@
   doc_head_t next = { .revision = revision };
   for (uint32_t i = 0; i < local->len; i++)
     {
-      const doc_file_t *in_store
+      const doc_file_t *stored_file
           = doc_folder_find (merged, local->files[i].name);
-      if (same_file (&local->files[i], in_store))
+      if (is_same_file (&local->files[i], stored_file))
         doc_folder_put (&next.folder, local->files[i].name,
                         kb_buf_slice (&local->files[i].text));
       else
         {
-          const doc_file_t *former
+          const doc_file_t *previous
               = doc_folder_find (&base->folder, local->files[i].name);
-          if (former != NULL)
+          if (previous != NULL)
             {
-              doc_file_t *kept
-                  = doc_folder_put (&next.folder, former->name,
+              doc_file_t *base_entry
+                  = doc_folder_put (&next.folder, previous->name,
                                     kb_buf_slice (&local->files[i].text));
-              kept->digest = former->digest;
+              base_entry->digest = previous->digest;
             }
         }
     }
@@ -403,24 +410,24 @@
   doc_head_t base;
   uint64_t change; ///< Id that marks this apply in the head.
   bool may_have_swapped;
-  bool is_over;
+  bool is_finished;
 } apply_t;
 
 static int
 apply_once (cli_t *cli, apply_t *a)
 {
-  stored_t stored;
+  stored_head_t stored;
   int code = read_head (cli, &stored);
   if (code != CLI_OK)
     {
-      a->is_over = code == CLI_BAD_INPUT;
+      a->is_finished = code == CLI_BAD_INPUT;
       doc_head_finish (&stored.head);
       return a->may_have_swapped ? CLI_UNKNOWN : code;
     }
   // The answer of an earlier swap was lost, but the swap took effect.
   if (doc_head_has_change (&stored.head, a->change))
     {
-      a->is_over = true;
+      a->is_finished = true;
       report_applied (cli, stored.head.revision, true);
       code = update_base (cli, &a->local, &a->base, &stored.head.folder,
                           stored.head.revision);
@@ -430,13 +437,13 @@
   if (stored.head.revision < a->base.revision)
     {
       // A store that lost its content looks as if others had removed every
-      // file, and merging with it would apply an empty configuration.
+      // file, and merging with it would apply an empty_text configuration.
       fprintf (stderr,
                "knapweedbay: the store is at revision %" PRIu64
                ", older than this folder's base %" PRIu64
                "; remove %s to apply the folder anew\n",
                stored.head.revision, a->base.revision, base_name);
-      a->is_over = true;
+      a->is_finished = true;
       doc_head_finish (&stored.head);
       return CLI_CONFLICT;
     }
@@ -444,17 +451,17 @@
   code = merge_with_store (cli, &a->local, &a->base, &stored, &merged);
   if (code != CLI_OK)
     {
-      a->is_over = code == CLI_CONFLICT;
+      a->is_finished = code == CLI_CONFLICT;
       doc_head_finish (&stored.head);
       return code;
     }
   code = check_folder (&merged, true);
   kb_status_t status = KB_OK;
   if (code != CLI_OK)
-    a->is_over = true;
-  else if (same_folders (&merged, &stored.head.folder))
+    a->is_finished = true;
+  else if (is_same_folder (&merged, &stored.head.folder))
     {
-      a->is_over = true;
+      a->is_finished = true;
       report_applied (cli, stored.head.revision, false);
       code = update_base (cli, &a->local, &a->base, &merged,
                           stored.head.revision);
@@ -470,7 +477,7 @@
       code = a->may_have_swapped ? CLI_UNKNOWN : CLI_UNAVAILABLE;
       if (status == KB_OK)
         {
-          a->is_over = true;
+          a->is_finished = true;
           report_applied (cli, stored.head.revision + 1, true);
           code = update_base (cli, &a->local, &a->base, &merged,
                               stored.head.revision + 1);
@@ -493,10 +500,10 @@
     {
       a.base = read_base (cli);
       uv_random (NULL, NULL, &a.change, sizeof a.change, 0, NULL);
-      for (int i = 0; i < APPLY_TRIES && !a.is_over; i++)
+      for (int i = 0; i < MAX_APPLY_ATTEMPTS && !a.is_finished; i++)
         {
           if (i > 0)
-            cli_sleep_ms (APPLY_PAUSE_MS);
+            cli_sleep_ms (APPLY_RETRY_DELAY_MS);
           code = apply_once (cli, &a);
         }
     }
@@ -509,12 +516,12 @@
 }
 
 static int
-pull_file (cli_t *cli, const char *name, const sides_t *s,
+pull_file (cli_t *cli, const char *name, const file_versions_t *s,
            doc_head_t *new_base)
 {
   char path[700];
   snprintf (path, sizeof path, "%s/%s", cli->folder, name);
-  if (sides_conflict (s))
+  if (has_conflict (s))
     {
       fprintf (stderr,
                "knapweedbay: conflict: %s differs here and in the store; "
@@ -522,13 +529,13 @@
                name);
       if (s->base != NULL)
         {
-          doc_file_t *kept = doc_folder_put (&new_base->folder, name,
-                                             (kb_slice_t){ "", 0 });
-          kept->digest = s->base->digest;
+          doc_file_t *base_entry = doc_folder_put (&new_base->folder, name,
+                                                   (kb_slice_t){ "", 0 });
+          base_entry->digest = s->base->digest;
         }
       return CLI_CONFLICT;
     }
-  bool is_ours = !same_file (s->local, s->base);
+  bool is_local_change = !is_same_file (s->local, s->base);
   if (s->stored != NULL)
     {
       int code = fetch_file (cli, (doc_file_t *)s->stored);
@@ -536,14 +543,14 @@
         return code;
       doc_folder_put (&new_base->folder, name,
                       kb_buf_slice (&s->stored->text));
-      if (!is_ours && !same_file (s->local, s->stored))
+      if (!is_local_change && !is_same_file (s->local, s->stored))
         {
           printf ("%s: updated\n", name);
           if (write_file (path, kb_buf_slice (&s->stored->text)) != KB_OK)
             return CLI_BAD_INPUT;
         }
     }
-  else if (!is_ours && s->local != NULL)
+  else if (!is_local_change && s->local != NULL)
     {
       printf ("%s: removed\n", name);
       unlink (path);
@@ -558,21 +565,21 @@
   int code = read_folder (cli, &local);
   if (code != CLI_OK)
     return code;
-  stored_t stored;
+  stored_head_t stored;
   code = read_head (cli, &stored);
   doc_head_t base = read_base (cli);
   doc_head_t new_base = { .revision = stored.head.revision };
   if (code == CLI_OK)
     {
       doc_folder_t names;
-      all_names (&local, &base, &stored.head, &names);
+      collect_all_names (&local, &base, &stored.head, &names);
       for (uint32_t i = 0; i < names.len; i++)
         {
-          sides_t s
-              = sides_of (names.files[i].name, &local, &base, &stored.head);
-          int got = pull_file (cli, names.files[i].name, &s, &new_base);
-          if (got != CLI_OK)
-            code = got;
+          file_versions_t s = find_file_versions (names.files[i].name, &local,
+                                                  &base, &stored.head);
+          int result = pull_file (cli, names.files[i].name, &s, &new_base);
+          if (result != CLI_OK)
+            code = result;
         }
       doc_folder_finish (&names);
       if (code != CLI_UNAVAILABLE)
@@ -588,7 +595,7 @@
 
 /// Count and print lines that only one of two texts has.
 static void
-diff_lines (const char *mark, kb_slice_t from, kb_slice_t other)
+diff_lines (const char *prefix, kb_slice_t from, kb_slice_t other)
 {
   kb_map_t lines = { 0 };
   static char present;
@@ -604,7 +611,7 @@
           if (pass == 0)
             kb_map_put (&lines, key, &present);
           else if (len > 0 && kb_map_get (&lines, key) == NULL)
-            printf ("%s %.*s\n", mark, (int)len, rest.ptr);
+            printf ("%s %.*s\n", prefix, (int)len, rest.ptr);
           uint32_t step = eol == NULL ? len : len + 1;
           rest.ptr += step;
           rest.len_bytes -= step;
@@ -620,30 +627,33 @@
   int code = read_folder (cli, &local);
   if (code != CLI_OK)
     return code;
-  stored_t stored;
+  stored_head_t stored;
   code = read_head (cli, &stored);
-  doc_head_t none = { 0 };
+  doc_head_t empty_base = { 0 };
   doc_folder_t names = { 0 };
   if (code == CLI_OK)
-    all_names (&local, &none, &stored.head, &names);
+    collect_all_names (&local, &empty_base, &stored.head, &names);
   bool has_difference = false;
   for (uint32_t i = 0; i < names.len && code == CLI_OK; i++)
     {
-      sides_t s = sides_of (names.files[i].name, &local, &none, &stored.head);
-      if (same_file (s.local, s.stored))
+      file_versions_t s = find_file_versions (names.files[i].name, &local,
+                                              &empty_base, &stored.head);
+      if (is_same_file (s.local, s.stored))
         continue;
       has_difference = true;
       printf ("%s: %s\n", names.files[i].name,
               s.stored == NULL  ? "only here"
               : s.local == NULL ? "only in the store"
                                 : "differs");
-      kb_slice_t empty = { "", 0 };
+      kb_slice_t empty_text = { "", 0 };
       if (s.stored != NULL)
         code = fetch_file (cli, (doc_file_t *)s.stored);
-      kb_slice_t here = s.local ? kb_buf_slice (&s.local->text) : empty;
-      kb_slice_t there = s.stored ? kb_buf_slice (&s.stored->text) : empty;
-      diff_lines ("-", there, here);
-      diff_lines ("+", here, there);
+      kb_slice_t local_text
+          = s.local ? kb_buf_slice (&s.local->text) : empty_text;
+      kb_slice_t stored_text
+          = s.stored ? kb_buf_slice (&s.stored->text) : empty_text;
+      diff_lines ("-", stored_text, local_text);
+      diff_lines ("+", local_text, stored_text);
     }
   if (code == CLI_OK && has_difference)
     code = CLI_CONFLICT;
--- a/src/cli/cli_logs.c
+++ b/src/cli/cli_logs.c
@@ -1,5 +1,6 @@
 /// @file cli_logs.c
-/// The story of one request, put together from the logs of several processes.
+/// The request_log of one request, put together from the logs of several
+/// processes.
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,33 +18,35 @@
 typedef struct
 {
   int64_t wall_ms;
-  uint64_t order; ///< Of reading, for lines of the same moment.
+  uint64_t sequence; ///< Of reading, for lines of the same moment.
   struct json_object *fields;
-} line_t;
+} request_line_t;
 
 typedef struct
 {
-  line_t *lines;
+  request_line_t *lines;
   size_t len;
   uint64_t read_count;
-} story_t;
+} request_log_t;
 
 static int
-line_compare (const void *a, const void *b)
+request_line_compare (const void *a, const void *b)
 {
-  const line_t *left = a;
-  const line_t *right = b;
+  const request_line_t *left = a;
+  const request_line_t *right = b;
   if (left->wall_ms != right->wall_ms)
     return left->wall_ms < right->wall_ms ? -1 : 1;
-  return left->order < right->order ? -1 : left->order > right->order;
+  return left->sequence < right->sequence ? -1
+                                          : left->sequence > right->sequence;
 }
 
 /// Take a line if it is about the request. Anything before the first brace,
 /// such as a time set by a collector, is passed over.
 static void
-story_take (story_t *story, const char *text, const char *id)
+request_log_add_line (request_log_t *request_log, const char *text,
+                      const char *id)
 {
-  story->read_count++;
+  request_log->read_count++;
   const char *brace = strchr (text, '{');
   if (brace == NULL || strstr (brace, id) == NULL)
     return;
@@ -55,19 +58,20 @@
       json_object_put (fields);
       return;
     }
-  story->lines
-      = kb_realloc (story->lines, (story->len + 1) * sizeof *story->lines);
-  story->lines[story->len++] = (line_t){ .wall_ms = jsn_int (fields, "ts", 0),
-                                         .order = story->read_count,
-                                         .fields = fields };
+  request_log->lines = kb_realloc (
+      request_log->lines, (request_log->len + 1) * sizeof *request_log->lines);
+  request_log->lines[request_log->len++]
+      = (request_line_t){ .wall_ms = jsn_int (fields, "ts", 0),
+                          .sequence = request_log->read_count,
+                          .fields = fields };
 }
 
 static void
-story_read (story_t *story, FILE *in, const char *id)
+request_log_read (request_log_t *request_log, FILE *in, const char *id)
 {
   static char text[MAX_LINE_BYTES];
   while (fgets (text, sizeof text, in) != NULL)
-    story_take (story, text, id);
+    request_log_add_line (request_log, text, id);
 }
 
 static bool
@@ -82,7 +86,7 @@
 }
 
 static void
-line_print (const line_t *line, int64_t from_ms)
+request_line_print (const request_line_t *line, int64_t from_ms)
 {
   printf ("%8.3f s  %-20s %-18s", (double)(line->wall_ms - from_ms) / MS_PER_S,
           jsn_str (line->fields, "node", "?"),
@@ -96,20 +100,21 @@
 }
 
 static void
-story_print (const story_t *story, bool is_json)
+request_log_print (const request_log_t *request_log, bool is_json)
 {
-  for (size_t i = 0; i < story->len; i++)
+  for (size_t i = 0; i < request_log->len; i++)
     if (is_json)
-      puts (json_object_to_json_string (story->lines[i].fields));
+      puts (json_object_to_json_string (request_log->lines[i].fields));
     else
-      line_print (&story->lines[i], story->lines[0].wall_ms);
+      request_line_print (&request_log->lines[i],
+                          request_log->lines[0].wall_ms);
 }
 
 static int
-story_read_files (story_t *story, const cli_t *cli)
+request_log_read_files (request_log_t *request_log, const cli_t *cli)
 {
   if (cli->file_count == 0)
-    story_read (story, stdin, cli->request_id);
+    request_log_read (request_log, stdin, cli->request_id);
   for (uint32_t i = 0; i < cli->file_count; i++)
     {
       FILE *in = fopen (cli->files[i], "r");
@@ -119,7 +124,7 @@
                    strerror (errno));
           return CLI_BAD_INPUT;
         }
-      story_read (story, in, cli->request_id);
+      request_log_read (request_log, in, cli->request_id);
       fclose (in);
     }
   return CLI_OK;
@@ -128,20 +133,21 @@
 int
 cli_logs (cli_t *cli)
 {
-  story_t story = { 0 };
-  int code = story_read_files (&story, cli);
-  if (code == CLI_OK && story.len == 0)
+  request_log_t request_log = { 0 };
+  int code = request_log_read_files (&request_log, cli);
+  if (code == CLI_OK && request_log.len == 0)
     {
       fprintf (stderr,
                "knapweedbay: no line names request %s; %llu lines were read\n",
-               cli->request_id, (unsigned long long)story.read_count);
+               cli->request_id, (unsigned long long)request_log.read_count);
       code = CLI_CONFLICT;
     }
-  if (story.len > 0)
-    qsort (story.lines, story.len, sizeof *story.lines, line_compare);
-  story_print (&story, cli->is_json);
-  for (size_t i = 0; i < story.len; i++)
-    json_object_put (story.lines[i].fields);
-  free (story.lines);
+  if (request_log.len > 0)
+    qsort (request_log.lines, request_log.len, sizeof *request_log.lines,
+           request_line_compare);
+  request_log_print (&request_log, cli->is_json);
+  for (size_t i = 0; i < request_log.len; i++)
+    json_object_put (request_log.lines[i].fields);
+  free (request_log.lines);
   return code;
 }
--- a/src/cli/cli_net.c
+++ b/src/cli/cli_net.c
@@ -49,13 +49,13 @@
 {
   bool is_done;
   cli_value_t value;
-} wait_t;
+} kv_wait_t;
 
 static void
-wait_done (void *arg, kb_status_t status, const kvc_item_t *items,
-           uint32_t count)
+kv_on_done (void *arg, kb_status_t status, const kvc_item_t *items,
+            uint32_t count)
 {
-  wait_t *wait = arg;
+  kv_wait_t *wait = arg;
   wait->is_done = true;
   wait->value.status = status;
   if (count == 0)
@@ -67,7 +67,7 @@
 }
 
 static void
-wait_run (cli_t *cli, const bool *is_done)
+run_until_done (cli_t *cli, const bool *is_done)
 {
   while (!*is_done)
     uv_run (&cli->loop, UV_RUN_ONCE);
@@ -76,20 +76,20 @@
 cli_value_t
 cli_kv_get (cli_t *cli, const char *key)
 {
-  wait_t wait = { 0 };
+  kv_wait_t wait = { 0 };
   uv_update_time (&cli->loop);
-  kvc_get (&cli->kv, key, wait_done, &wait);
-  wait_run (cli, &wait.is_done);
+  kvc_get (&cli->kv, key, kv_on_done, &wait);
+  run_until_done (cli, &wait.is_done);
   return wait.value;
 }
 
 kb_status_t
 cli_kv_put (cli_t *cli, const char *key, kb_slice_t value)
 {
-  wait_t wait = { 0 };
+  kv_wait_t wait = { 0 };
   uv_update_time (&cli->loop);
-  kvc_put (&cli->kv, key, value, wait_done, &wait);
-  wait_run (cli, &wait.is_done);
+  kvc_put (&cli->kv, key, value, kv_on_done, &wait);
+  run_until_done (cli, &wait.is_done);
   kb_buf_finish (&wait.value.value);
   return wait.value.status;
 }
@@ -97,10 +97,10 @@
 kb_status_t
 cli_kv_cas (cli_t *cli, const char *key, uint64_t expected, kb_slice_t value)
 {
-  wait_t wait = { 0 };
+  kv_wait_t wait = { 0 };
   uv_update_time (&cli->loop);
-  kvc_cas (&cli->kv, key, expected, value, wait_done, &wait);
-  wait_run (cli, &wait.is_done);
+  kvc_cas (&cli->kv, key, expected, value, kv_on_done, &wait);
+  run_until_done (cli, &wait.is_done);
   return wait.value.status;
 }
 
@@ -150,6 +150,6 @@
   uv_update_time (&cli->loop);
   htc_call_start (&cli->http, &http_events, &wait, address, port, method, path,
                   headers, (kb_slice_t){ "", 0 }, CLI_TIMEOUT_MS);
-  wait_run (cli, &wait.is_done);
+  run_until_done (cli, &wait.is_done);
   return wait.http_status;
 }
--- a/src/cli/cli_status.c
+++ b/src/cli/cli_status.c
@@ -10,11 +10,11 @@
 
 enum
 {
-  WATCH_PAUSE_MS = 1000
+  WATCH_INTERVAL_MS = 1000
 };
 
 static const char *
-colour (const char *state)
+state_colour (const char *state)
 {
   if (!isatty (STDOUT_FILENO))
     return "";
@@ -22,7 +22,7 @@
 }
 
 static const char *
-colour_end (void)
+state_colour_end (void)
 {
   return isatty (STDOUT_FILENO) ? "\033[0m" : "";
 }
@@ -34,7 +34,7 @@
   printf ("  %-20s %-6s %-12s %-14s %s%-8s%s %6lld %6lld %6lld %10lld %5.2f\n",
           jsn_str (vm, "name", "?"), jsn_str (vm, "role", "?"),
           jsn_str (vm, "failure_domain", "?"), jsn_str (vm, "service", ""),
-          colour (state), state, colour_end (),
+          state_colour (state), state, state_colour_end (),
           (long long)jsn_int (vm, "revision", 0),
           (long long)jsn_int (vm, "queue", 0),
           (long long)jsn_int (vm, "running", 0),
@@ -43,13 +43,13 @@
 }
 
 static void
-print_daemon (struct json_object *doc, int64_t newest)
+print_daemon (struct json_object *doc, int64_t newest_revision)
 {
   int64_t revision = jsn_int (doc, "revision", 0);
   printf ("%s %s in %s: revision %lld%s%s, %lld requests, %lld claims\n",
           jsn_str (doc, "role", "?"), jsn_str (doc, "name", "?"),
           jsn_str (doc, "failure_domain", "?"), (long long)revision,
-          revision < newest ? " (behind)" : "",
+          revision < newest_revision ? " (behind)" : "",
           jsn_bool (doc, "draining", false) ? ", draining" : "",
           (long long)jsn_int (doc, "requests", jsn_int (doc, "running", 0)),
           (long long)jsn_int (doc, "claims", 0));
@@ -67,7 +67,7 @@
 status_once (cli_t *cli)
 {
   struct json_object *docs[CLI_MAX_DAEMONS] = { NULL };
-  int64_t newest = 0;
+  int64_t newest_revision = 0;
   int code = CLI_OK;
   for (uint32_t i = 0; i < cli->daemon_count; i++)
     {
@@ -85,7 +85,8 @@
           code = CLI_UNAVAILABLE;
         }
       int64_t revision = jsn_int (docs[i], "revision", 0);
-      newest = revision > newest ? revision : newest;
+      newest_revision
+          = revision > newest_revision ? revision : newest_revision;
       kb_buf_finish (&body);
     }
   for (uint32_t i = 0; i < cli->daemon_count; i++)
@@ -94,7 +95,7 @@
         puts (
             json_object_to_json_string_ext (docs[i], JSON_C_TO_STRING_PLAIN));
       else if (docs[i] != NULL)
-        print_daemon (docs[i], newest);
+        print_daemon (docs[i], newest_revision);
       json_object_put (docs[i]);
     }
   return code;
@@ -106,7 +107,7 @@
   int code = status_once (cli);
   while (cli->is_watch)
     {
-      cli_sleep_ms (WATCH_PAUSE_MS);
+      cli_sleep_ms (WATCH_INTERVAL_MS);
       printf ("\033[H\033[2J");
       code = status_once (cli);
     }
--- a/src/coordination/access.c
+++ b/src/coordination/access.c
@@ -45,7 +45,7 @@
   acc_verdict_t verdict = judge_key (table, request, freshness);
   // A request that needs no key is never refused for one; with a good key it
   // acts for that workspace.
-  if (!table->are_keys_required || request->is_route_public)
+  if (!table->is_key_required || request->is_route_public)
     verdict.outcome = ACC_ADMITTED;
   return verdict;
 }
--- a/src/coordination/share.c
+++ b/src/coordination/share.c
@@ -8,8 +8,8 @@
   /// pause; otherwise both would exchange words without end.
   GAIN_PART = 8,
   /// Equal tellings that are passed on: an older birth is believed when it is
-  /// told INC_INSIST times in a row, and some of these may be missed. After
-  /// them a heartbeat is no news.
+  /// told INC_MIN_OLDER_REPORTS times in a row, and some of these may be
+  /// missed. After them a heartbeat is no news.
   PASSED_TELLINGS = 8,
 };
 
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -188,7 +188,7 @@
   uint32_t request_count;
   kb_map_t by_attempt;
   kb_map_t workspaces;
-  lim_retry_t retries;
+  lim_retry_budget_t retries;
   qrt_table_t quarantine;
   gat_gate_t gate;
   ent_config_t config;
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -340,7 +340,7 @@
     entry->requests->prev = r;
   entry->requests = r;
   entry->request_count++;
-  lim_retry_note_first (&entry->retries);
+  lim_retry_record_first_attempt (&entry->retries);
   uint64_t now = tmr_now_ms ();
   uint64_t left = r->deadline_at_ms > now ? r->deadline_at_ms - now : 0;
   tmr_after (&entry->daemon->timers, &r->deadline, left + DEADLINE_GRACE_MS,
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -60,10 +60,10 @@
 /// A target, listed or still in use.
 typedef struct
 {
-  src_target_t told;   ///< Last entry of the list.
-  inc_belief_t belief; ///< Which incarnation it is.
-  uint64_t key;        ///< Of this incarnation alone; a later one's is larger.
-  uint64_t place_key;  ///< Hash of its address: the same after a restart.
+  src_target_t told;    ///< Last entry of the list.
+  inc_tracker_t belief; ///< Which incarnation it is.
+  uint64_t key;       ///< Of this incarnation alone; a later one's is larger.
+  uint64_t place_key; ///< Hash of its address: the same after a restart.
   xch_peer_t peer;
   bool is_listed;
   uint32_t active;    ///< Requests of this gateway there.
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -280,12 +280,12 @@
   told.who.born_ms = state->born_ms;
   // Whether the next life leaves is told by its own entry and its sidecar.
   told.is_leaving = false;
-  switch (inc_judge (&target->belief, state->born_ms))
+  switch (inc_observe_birth (&target->belief, state->born_ms))
     {
     case INC_STALE:
       gtw_target_turn_away (target, state->born_ms, "sidecar");
       return NULL;
-    case INC_ANOTHER:
+    case INC_NEW:
       return gtw_target_reborn (gateway, target, &told);
     default:
       return target;
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -253,9 +253,10 @@
                             .name = workspace->name,
                             .limit = { limit->rate_per_s, limit->burst },
                             .revision = r->gateway->config->revision };
-  double tokens = r->said.states_tokens ? (double)r->said.prompt_tokens
-                                              + (double)r->said.output_tokens
-                                        : (double)limit->plain_tokens;
+  double tokens
+      = r->said.states_tokens
+            ? (double)r->said.prompt_tokens + (double)r->said.output_tokens
+            : (double)limit->default_request_tokens;
   gtw_quota_use (r, &r->charge, &subject, limit->counts_tokens ? tokens : 1);
 }
 
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -192,12 +192,12 @@
   gtw_target_t *target = kb_map_get (&gateway->present, key);
   if (target == NULL)
     target = gtw_target_add (gateway, told);
-  switch (inc_judge (&target->belief, told->who.born_ms))
+  switch (inc_observe_birth (&target->belief, told->who.born_ms))
     {
     case INC_STALE:
       gtw_target_turn_away (target, told->who.born_ms, "list");
       return;
-    case INC_ANOTHER:
+    case INC_NEW:
       target = gtw_target_reborn (gateway, target, told);
       break;
     case INC_SAME:
--- a/src/protocol/cfgbuild.c
+++ b/src/protocol/cfgbuild.c
@@ -188,8 +188,8 @@
   int64_t priority_class;
   int64_t weight;
   int64_t max_inflight;
-  if ((status
-       = read_int (b, obj, "class", 4, 0, CFG_CLASSES - 1, &priority_class))
+  if ((status = read_int (b, obj, "class", 4, 0, CFG_PRIORITY_CLASS_COUNT - 1,
+                          &priority_class))
           != KB_OK
       || (status = read_int (b, obj, "weight", 1, 1, 1000, &weight)) != KB_OK
       || (status
@@ -236,7 +236,8 @@
   int64_t priority_class;
   if (jsn_get (obj, "class") == NULL)
     return item_error (b, "needs a \"class\"", "");
-  status = read_int (b, obj, "class", 0, 0, CFG_CLASSES - 1, &priority_class);
+  status = read_int (b, obj, "class", 0, 0, CFG_PRIORITY_CLASS_COUNT - 1,
+                     &priority_class);
   r->priority_class = (uint8_t)priority_class;
   return status;
 }
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -37,7 +37,7 @@
   s->table.options.kv_tokens = service->kv_tokens;
   // An engine that is ordered to hold more than its slots or its memory
   // crashes, and with it all that it runs.
-  s->table.options.adapter_slots = svc_service_adapter_places (service);
+  s->table.options.adapter_slots = svc_service_max_adapters (service);
   pce_accept (&s->table.reading.pace,
               svc_service_gap_target_ms (s->config, service->name));
 }
@@ -63,7 +63,7 @@
   s->document_ms = scr_now_ms (s);
   apply_config (s);
   // Two thousand routes take 0.8 MB, at each of hundreds of engines.
-  svc_config_drop_callers (config);
+  svc_config_drop_gateway_data (config);
   log_event_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
     {
--- a/src/state/buf.c
+++ b/src/state/buf.c
@@ -106,13 +106,13 @@
 {
   va_list args;
   va_start (args, format);
-  va_list again;
-  va_copy (again, args);
+  va_list args_copy;
+  va_copy (args_copy, args);
   int need = vsnprintf (NULL, 0, format, args);
   va_end (args);
   buf_reserve (buf, buf->len_bytes + (size_t)need + 1);
-  vsnprintf (buf->ptr + buf->len_bytes, (size_t)need + 1, format, again);
-  va_end (again);
+  vsnprintf (buf->ptr + buf->len_bytes, (size_t)need + 1, format, args_copy);
+  va_end (args_copy);
   buf->len_bytes += (size_t)need;
 }
 
@@ -132,9 +132,9 @@
 void
 kb_buf_swap (kb_buf_t *a, kb_buf_t *b)
 {
-  kb_buf_t held = *a;
+  kb_buf_t saved = *a;
   *a = *b;
-  *b = held;
+  *b = saved;
 }
 
 kb_slice_t
@@ -150,16 +150,18 @@
 }
 
 bool
-kb_slice_decimal (kb_slice_t text, double *out)
+kb_slice_parse_decimal (kb_slice_t text, double *out)
 {
   char digits[32];
   if (text.len_bytes == 0 || text.len_bytes >= sizeof digits)
     return false;
   kb_slice_copy (text, digits, sizeof digits);
-  size_t whole = strspn (digits, "0123456789");
-  size_t point = digits[whole] == '.';
-  size_t part = strspn (digits + whole + point, "0123456789");
-  if (whole + part == 0 || whole + point + part != text.len_bytes)
+  size_t integer_len = strspn (digits, "0123456789");
+  size_t point_len = digits[integer_len] == '.';
+  size_t fraction_len
+      = strspn (digits + integer_len + point_len, "0123456789");
+  if (integer_len + fraction_len == 0
+      || integer_len + point_len + fraction_len != text.len_bytes)
     return false;
   *out = strtod (digits, NULL);
   return true;
--- a/src/state/buf.h
+++ b/src/state/buf.h
@@ -42,7 +42,7 @@
 void kb_slice_copy (kb_slice_t slice, char *out, size_t out_bytes);
 /// Read a decimal number without sign and exponent.
 /// @return  False: it is none.
-bool kb_slice_decimal (kb_slice_t text, double *out);
+bool kb_slice_parse_decimal (kb_slice_t text, double *out);
 
 void kb_buf_init (kb_buf_t *buf);
 void kb_buf_finish (kb_buf_t *buf);
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -29,9 +29,9 @@
       block->next = config->arena.blocks;
       config->arena.blocks = block;
     }
-  void *place = block->bytes + block->used_bytes;
+  void *memory = block->bytes + block->used_bytes;
   block->used_bytes += bytes;
-  return place;
+  return memory;
 }
 
 char *
@@ -95,9 +95,10 @@
 }
 
 static bool
-rule_matches (const char *wanted, kb_slice_t value)
+rule_field_matches (const char *expected, kb_slice_t value)
 {
-  return wanted[0] == '\0' || kb_slice_equal (kb_slice_str (wanted), value);
+  return expected[0] == '\0'
+         || kb_slice_equal (kb_slice_str (expected), value);
 }
 
 static bool
@@ -116,8 +117,8 @@
   for (uint32_t i = 0; i < config->rule_count; i++)
     {
       const cfg_rule_t *rule = &config->rules[i];
-      if (rule_matches (rule->workspace, workspace_name)
-          && rule_matches (rule->service, service)
+      if (rule_field_matches (rule->workspace, workspace_name)
+          && rule_field_matches (rule->service, service)
           && prefix_matches (rule->adapter_prefix, adapter))
         return rule->priority_class;
     }
--- a/src/state/config.h
+++ b/src/state/config.h
@@ -14,7 +14,7 @@
 enum
 {
   CFG_KEY_DIGEST_BYTES = 32, ///< SHA-256 of a workspace's bearer key.
-  CFG_CLASSES = 8,
+  CFG_PRIORITY_CLASS_COUNT = 8,
 };
 
 /// Memory of a configuration's strings and small arrays. Large blocks of its
--- a/src/state/incarnation.c
+++ b/src/state/incarnation.c
@@ -1,36 +1,36 @@
 #include "state/incarnation.h"
 
 /// A number beyond this is no time of day in milliseconds.
-static const int64_t BIRTH_MOST_MS = 100000000000000;
+static const int64_t MAX_BIRTH_MS = 100000000000000;
 
 bool
-inc_is_birth (int64_t born_ms)
+inc_is_valid_birth (int64_t born_ms)
 {
-  return born_ms > 0 && born_ms <= BIRTH_MOST_MS;
+  return born_ms > 0 && born_ms <= MAX_BIRTH_MS;
 }
 
 /// An older birth than the one that is known.
 static inc_verdict_t
-judge_older (inc_belief_t *belief, uint64_t born_ms)
+observe_older_birth (inc_tracker_t *tracker, uint64_t born_ms)
 {
-  if (belief->older_ms != born_ms)
-    belief->older_told = 0;
-  belief->older_ms = born_ms;
-  belief->older_told++;
-  if (belief->older_told < INC_INSIST)
+  if (tracker->older_born_ms != born_ms)
+    tracker->older_report_count = 0;
+  tracker->older_born_ms = born_ms;
+  tracker->older_report_count++;
+  if (tracker->older_report_count < INC_MIN_OLDER_REPORTS)
     return INC_STALE;
-  *belief = (inc_belief_t){ .born_ms = born_ms };
-  return INC_ANOTHER;
+  *tracker = (inc_tracker_t){ .born_ms = born_ms };
+  return INC_NEW;
 }
 
 inc_verdict_t
-inc_judge (inc_belief_t *belief, uint64_t born_ms)
+inc_observe_birth (inc_tracker_t *tracker, uint64_t born_ms)
 {
   if (born_ms == 0)
     return INC_SAME;
-  if (belief->born_ms > 0 && born_ms < belief->born_ms)
-    return judge_older (belief, born_ms);
-  bool is_same = belief->born_ms == 0 || born_ms == belief->born_ms;
-  *belief = (inc_belief_t){ .born_ms = born_ms };
-  return is_same ? INC_SAME : INC_ANOTHER;
+  if (tracker->born_ms > 0 && born_ms < tracker->born_ms)
+    return observe_older_birth (tracker, born_ms);
+  bool is_same = tracker->born_ms == 0 || born_ms == tracker->born_ms;
+  *tracker = (inc_tracker_t){ .born_ms = born_ms };
+  return is_same ? INC_SAME : INC_NEW;
 }
--- a/src/state/incarnation.h
+++ b/src/state/incarnation.h
@@ -20,7 +20,7 @@
   INC_ID_BYTES = 64,
   /// Words in a row that an older birth needs to be believed: heartbeats come
   /// every 1.2 s, and a late write comes once.
-  INC_INSIST = 3,
+  INC_MIN_OLDER_REPORTS = 3,
 };
 
 typedef struct
@@ -31,24 +31,24 @@
 
 typedef enum
 {
-  INC_SAME,    ///< The incarnation that is known.
-  INC_ANOTHER, ///< One that takes its place: it is known from now on.
-  INC_STALE,   ///< An earlier one; the word is turned away.
+  INC_SAME,  ///< The incarnation that is known.
+  INC_NEW,   ///< One that takes its place: it is known from now on.
+  INC_STALE, ///< An earlier one; the word is turned away.
 } inc_verdict_t;
 
 /// What is believed of one id.
 typedef struct
 {
-  uint64_t born_ms;  ///< Zero: not told yet.
-  uint64_t older_ms; ///< The older birth that was told last.
-  uint32_t older_told;
-} inc_belief_t;
+  uint64_t born_ms;       ///< Zero: not told yet.
+  uint64_t older_born_ms; ///< The older birth that was told last.
+  uint32_t older_report_count;
+} inc_tracker_t;
 
 /// Judge a word about an id by the birth that it names, and remember it. A
 /// word without a birth is about the incarnation that is known; the first
 /// birth that is told is taken for its birth.
-inc_verdict_t inc_judge (inc_belief_t *belief, uint64_t born_ms);
+inc_verdict_t inc_observe_birth (inc_tracker_t *tracker, uint64_t born_ms);
 /// @return  Whether a number can be a birth: from 1970 to the year 5138.
-bool inc_is_birth (int64_t born_ms);
+bool inc_is_valid_birth (int64_t born_ms);
 
 #endif
--- a/src/state/limit.c
+++ b/src/state/limit.c
@@ -7,7 +7,7 @@
   *bucket = (lim_bucket_t){ .tokens = burst,
                             .burst = burst,
                             .rate_per_s = rate_per_s,
-                            .filled_ms = now_ms };
+                            .refilled_ms = now_ms };
 }
 
 enum
@@ -19,7 +19,7 @@
 tokens_at (const lim_bucket_t *bucket, uint64_t now_ms)
 {
   double added
-      = (double)(now_ms - bucket->filled_ms) * bucket->rate_per_s / MS_PER_S;
+      = (double)(now_ms - bucket->refilled_ms) * bucket->rate_per_s / MS_PER_S;
   double tokens = bucket->tokens + added;
   return tokens < bucket->burst ? tokens : bucket->burst;
 }
@@ -27,10 +27,10 @@
 uint64_t
 lim_bucket_wait_ms (const lim_bucket_t *bucket, double tokens, uint64_t now_ms)
 {
-  double lacking = tokens - tokens_at (bucket, now_ms);
-  if (bucket->rate_per_s <= 0 || lacking <= 0)
+  double missing = tokens - tokens_at (bucket, now_ms);
+  if (bucket->rate_per_s <= 0 || missing <= 0)
     return 0;
-  return (uint64_t)(lacking * MS_PER_S / bucket->rate_per_s) + 1;
+  return (uint64_t)(missing * MS_PER_S / bucket->rate_per_s) + 1;
 }
 
 void
@@ -41,7 +41,7 @@
   *bucket = (lim_bucket_t){ .tokens = tokens < burst ? tokens : burst,
                             .burst = burst,
                             .rate_per_s = rate_per_s,
-                            .filled_ms = now_ms };
+                            .refilled_ms = now_ms };
 }
 
 bool
@@ -52,7 +52,7 @@
   if (bucket->rate_per_s <= 0)
     return true;
   bucket->tokens = tokens_at (bucket, now_ms);
-  bucket->filled_ms = now_ms;
+  bucket->refilled_ms = now_ms;
   if (bucket->tokens >= 1)
     {
       bucket->tokens -= 1;
@@ -63,20 +63,22 @@
 }
 
 void
-lim_retry_init (lim_retry_t *budget, double share, double most)
+lim_retry_init (lim_retry_budget_t *budget, double ratio, double max_credit)
 {
-  *budget = (lim_retry_t){ .credit = most, .share = share, .most = most };
+  *budget = (lim_retry_budget_t){ .credit = max_credit,
+                                  .ratio = ratio,
+                                  .max_credit = max_credit };
 }
 
 void
-lim_retry_note_first (lim_retry_t *budget)
+lim_retry_record_first_attempt (lim_retry_budget_t *budget)
 {
-  double next = budget->credit + budget->share;
-  budget->credit = next < budget->most ? next : budget->most;
+  double next = budget->credit + budget->ratio;
+  budget->credit = next < budget->max_credit ? next : budget->max_credit;
 }
 
 bool
-lim_retry_take (lim_retry_t *budget)
+lim_retry_take (lim_retry_budget_t *budget)
 {
   if (budget->credit < 1)
     return false;
--- a/src/state/limit.h
+++ b/src/state/limit.h
@@ -13,7 +13,7 @@
   double tokens;
   double burst;
   double rate_per_s; ///< Zero: no limit.
-  uint64_t filled_ms;
+  uint64_t refilled_ms;
 } lim_bucket_t;
 
 void lim_bucket_init (lim_bucket_t *bucket, double rate_per_s, double burst,
@@ -29,18 +29,19 @@
 void lim_bucket_set_rate (lim_bucket_t *bucket, double rate_per_s,
                           double burst, uint64_t now_ms);
 
-/// Retries may be at most a share of recent first attempts, so that overload
-/// is not multiplied by the attempts to escape it.
+/// Retries may be at max_credit a ratio of recent first attempts, so that
+/// overload is not multiplied by the attempts to escape it.
 typedef struct
 {
   double credit;
-  double share; ///< Credit each first attempt adds.
-  double most;
-} lim_retry_t;
+  double ratio; ///< Credit each first attempt adds.
+  double max_credit;
+} lim_retry_budget_t;
 
-void lim_retry_init (lim_retry_t *budget, double share, double most);
-void lim_retry_note_first (lim_retry_t *budget);
+void lim_retry_init (lim_retry_budget_t *budget, double ratio,
+                     double max_credit);
+void lim_retry_record_first_attempt (lim_retry_budget_t *budget);
 /// @return  True when one more retry is allowed.
-bool lim_retry_take (lim_retry_t *budget);
+bool lim_retry_take (lim_retry_budget_t *budget);
 
 #endif
--- a/src/state/service.c
+++ b/src/state/service.c
@@ -47,7 +47,7 @@
 }
 
 void
-svc_config_drop_callers (svc_config_t *config)
+svc_config_drop_gateway_data (svc_config_t *config)
 {
   for (uint32_t i = 0; i < config->route_count; i++)
     route_finish (&config->routes[i]);
@@ -62,7 +62,7 @@
 {
   if (config == NULL)
     return;
-  svc_config_drop_callers (config);
+  svc_config_drop_gateway_data (config);
   for (uint32_t i = 0; i < config->service_count; i++)
     service_finish (&config->services[i]);
   free (config->services);
@@ -73,8 +73,8 @@
 host_compare (kb_slice_t host, const char *text)
 {
   size_t len = strlen (text);
-  size_t least = host.len_bytes < len ? host.len_bytes : len;
-  int by_bytes = strncasecmp (host.ptr, text, least);
+  size_t common_len = host.len_bytes < len ? host.len_bytes : len;
+  int by_bytes = strncasecmp (host.ptr, text, common_len);
   if (by_bytes != 0)
     return by_bytes;
   return host.len_bytes == len ? 0 : host.len_bytes < len ? -1 : 1;
@@ -118,19 +118,19 @@
 }
 
 const char *
-svc_route_pick (const svc_route_t *route, uint64_t draw)
+svc_route_pick (const svc_route_t *route, uint64_t random_number)
 {
   uint64_t total = 0;
   for (uint32_t i = 0; i < route->share_count; i++)
     total += route->shares[i].weight;
   if (total == 0)
     return route->share_count > 0 ? route->shares[0].service : NULL;
-  uint64_t at = draw % total;
+  uint64_t offset = random_number % total;
   for (uint32_t i = 0; i < route->share_count; i++)
     {
-      if (at < route->shares[i].weight)
+      if (offset < route->shares[i].weight)
         return route->shares[i].service;
-      at -= route->shares[i].weight;
+      offset -= route->shares[i].weight;
     }
   return route->shares[0].service;
 }
@@ -145,22 +145,22 @@
 }
 
 uint32_t
-svc_service_adapter_places (const svc_service_t *service)
+svc_service_max_adapters (const svc_service_t *service)
 {
-  uint32_t places = service->adapter_slots;
+  uint32_t max_count = service->adapter_slots;
   if (service->model_count == 0)
-    return places;
+    return max_count;
   const svc_model_t *model = &service->models[0];
   // Zero: the configuration does not bound the memory.
   if (service->memory_mb <= 0 || model->adapter_size_mb <= 0)
-    return places;
-  double room_mb = service->memory_mb - model->size_mb;
-  double fitting = room_mb > 0 ? room_mb / model->adapter_size_mb : 0;
-  return fitting < places ? (uint32_t)fitting : places;
+    return max_count;
+  double free_mb = service->memory_mb - model->size_mb;
+  double fitting_count = free_mb > 0 ? free_mb / model->adapter_size_mb : 0;
+  return fitting_count < max_count ? (uint32_t)fitting_count : max_count;
 }
 
 static bool
-route_leads_to (const svc_route_t *route, const char *service)
+route_has_service (const svc_route_t *route, const char *service)
 {
   for (uint32_t i = 0; i < route->share_count; i++)
     if (strcmp (route->shares[i].service, service) == 0)
@@ -171,15 +171,15 @@
 uint32_t
 svc_service_gap_target_ms (const svc_config_t *config, const char *service)
 {
-  uint32_t least_ms = 0;
+  uint32_t min_gap_ms = 0;
   for (uint32_t i = 0; i < config->route_count; i++)
     {
       const svc_route_t *route = &config->routes[i];
-      uint32_t target_ms = route->gap_target_ms;
-      if (target_ms == 0 || !route_leads_to (route, service))
+      uint32_t gap_ms = route->gap_target_ms;
+      if (gap_ms == 0 || !route_has_service (route, service))
         continue;
-      if (least_ms == 0 || target_ms < least_ms)
-        least_ms = target_ms;
+      if (min_gap_ms == 0 || gap_ms < min_gap_ms)
+        min_gap_ms = gap_ms;
     }
-  return least_ms;
+  return min_gap_ms;
 }
--- a/src/state/service.h
+++ b/src/state/service.h
@@ -20,8 +20,8 @@
 typedef enum
 {
   SVC_KIND_SAFE,   ///< May run more than once.
-  SVC_KIND_UNSAFE, ///< Runs at most once.
-  SVC_KIND_STREAM, ///< A series of events; at most once unless resumable.
+  SVC_KIND_UNSAFE, ///< Runs offset most once.
+  SVC_KIND_STREAM, ///< A series of events; offset most once unless resumable.
 } svc_kind_t;
 
 /// A share of a route's requests.
@@ -95,9 +95,9 @@
 /// Whether a configuration may take the place of the one in force. Revisions
 /// only rise: a late or repeated document must not bring an older one back.
 static inline bool
-svc_revision_is_newer (uint64_t present, uint64_t told)
+svc_revision_is_newer (uint64_t current, uint64_t received)
 {
-  return told > present;
+  return received > current;
 }
 
 /// Order the routes; call once after decoding.
@@ -105,20 +105,20 @@
 void svc_config_free (svc_config_t *config);
 /// Free what only the role needs that takes callers' requests: routes, and
 /// the workspaces with their keys.
-void svc_config_drop_callers (svc_config_t *config);
+void svc_config_drop_gateway_data (svc_config_t *config);
 /// @param host  Without regard to case; a port is ignored.
 /// @param path  With or without a query.
 /// @return      The route with the longest prefix, or NULL.
 const svc_route_t *svc_route_find (const svc_config_t *config, kb_slice_t host,
                                    kb_slice_t path);
 /// Pick a service by the weights of the route's shares.
-/// @param draw  A number that is uniform over all requests.
-const char *svc_route_pick (const svc_route_t *route, uint64_t draw);
+/// @param random_number  A number that is uniform over all requests.
+const char *svc_route_pick (const svc_route_t *route, uint64_t random_number);
 const svc_service_t *svc_service_find (const svc_config_t *config,
                                        const char *name);
 /// @return  Adapters of its first model that an engine of the service may hold
 ///          beside that model: as many as it has slots and memory for.
-uint32_t svc_service_adapter_places (const svc_service_t *service);
+uint32_t svc_service_max_adapters (const svc_service_t *service);
 /// @return  Longest pause between two events that all callers of a service
 ///          accept; zero when no route says.
 uint32_t svc_service_gap_target_ms (const svc_config_t *config,
--- a/src/state/workspace.h
+++ b/src/state/workspace.h
@@ -17,10 +17,11 @@
 /// What a workspace may use, over all gateways together.
 typedef struct
 {
-  double rate_per_s;     ///< Zero: no limit.
-  double burst;          ///< Beyond the rate.
-  bool counts_tokens;    ///< Else requests.
-  uint32_t plain_tokens; ///< Of a request that does not state its tokens.
+  double rate_per_s;  ///< Zero: no limit.
+  double burst;       ///< Beyond the rate.
+  bool counts_tokens; ///< Else requests.
+  uint32_t
+      default_request_tokens; ///< Of a request that does not state its tokens.
 } wsp_limit_t;
 
 typedef struct
@@ -40,15 +41,16 @@
 /// Built by wsp_add and wsp_add_key, then sealed; immutable afterwards.
 typedef struct
 {
-  bool are_keys_required; ///< By routes that are not public.
+  bool is_key_required; ///< By routes that are not public.
   wsp_workspace_t *items;
   uint32_t count;
   uint32_t cap;
   wsp_key_t *keys;
   uint32_t key_count;
   uint32_t key_cap;
-  uint32_t *places; ///< Index of a key plus one, by its digest; zero: free.
-  uint32_t place_count; ///< A power of two.
+  uint32_t
+      *index_slots; ///< Index of a key plus one, by its digest; zero: free.
+  uint32_t index_slot_count; ///< A power of two.
 } wsp_table_t;
 
 void wsp_finish (wsp_table_t *table);
@@ -57,7 +59,7 @@
 wsp_workspace_t *wsp_add (wsp_table_t *table, const char *name);
 /// Add a key of the workspace that was added last.
 void wsp_add_key (wsp_table_t *table, const uint8_t digest[WSP_DIGEST_BYTES]);
-/// Index the keys. Of several workspaces that name the same key, the first
+/// Index the keys. Of several workspaces that name the same key, the initial
 /// holds it.
 void wsp_seal (wsp_table_t *table);
 /// Takes the same time for each key that is known.
--- a/src/transport/engine.c
+++ b/src/transport/engine.c
@@ -184,7 +184,8 @@
 {
   static const char name[] = "x-request-limit-per-s";
   kb_slice_t value = htc_call_header (http, name);
-  if (value.len_bytes == 0 || kb_slice_decimal (value, &head->limit_per_s))
+  if (value.len_bytes == 0
+      || kb_slice_parse_decimal (value, &head->limit_per_s))
     return;
   head->is_limit_malformed = true;
   head->malformed = name;
@@ -201,7 +202,7 @@
   static const char name[] = "retry-after";
   kb_slice_t value = htc_call_header (http, name);
   double seconds = 0;
-  if (value.len_bytes > 0 && !kb_slice_decimal (value, &seconds))
+  if (value.len_bytes > 0 && !kb_slice_parse_decimal (value, &seconds))
     head->malformed = name;
   if (seconds > MOST_S)
     seconds = MOST_S;
--- a/test/model/gateway.cc
+++ b/test/model/gateway.cc
@@ -26,7 +26,7 @@
 one_workspace ()
 {
   wsp_table_t table = {};
-  table.are_keys_required = true;
+  table.is_key_required = true;
   wsp_add (&table, "red");
   wsp_add_key (&table, kDigest);
   wsp_seal (&table);
@@ -142,7 +142,7 @@
   for (const auto &[id, is_used] : in_use_)
     {
       uint64_t parts[3] = { hash, is_used ? beliefs_.at (id).born_ms : 0,
-                            beliefs_.at (id).older_told };
+                            beliefs_.at (id).older_report_count };
       hash = kb_hash (parts, sizeof parts, id.back ());
     }
   for (const flw_reader_t &r : follower_.readers)
@@ -165,9 +165,9 @@
   who.born_ms = item.value.born_ms;
   if (ros_list (&roster_, &who))
     flw_note_new_target (&follower_);
-  inc_belief_t &belief = beliefs_[id];
-  inc_belief_t before = belief;
-  inc_verdict_t verdict = inc_judge (&belief, item.value.born_ms);
+  inc_tracker_t &belief = beliefs_[id];
+  inc_tracker_t before = belief;
+  inc_verdict_t verdict = inc_observe_birth (&belief, item.value.born_ms);
   if (planted_ == Planted::BIRTH_IS_IGNORED && before.born_ms > 0)
     belief = before;
   if (verdict != INC_STALE)
--- a/test/model/gateway.h
+++ b/test/model/gateway.h
@@ -105,7 +105,7 @@
   ros_roster_t roster_;
   ver_table_t versions_;
   Read reads_[FLW_READERS];
-  std::map<std::string, inc_belief_t> beliefs_;
+  std::map<std::string, inc_tracker_t> beliefs_;
   std::map<std::string, bool> in_use_;
 };
 
--- a/test/unit/access_test.cc
+++ b/test/unit/access_test.cc
@@ -14,7 +14,7 @@
 protected:
   Access ()
   {
-    table_.are_keys_required = true;
+    table_.is_key_required = true;
     wsp_add (&table_, "red");
     wsp_add_key (&table_, red_);
     wsp_seal (&table_);
--- a/test/unit/incarnation_test.cc
+++ b/test/unit/incarnation_test.cc
@@ -9,57 +9,57 @@
 namespace
 {
 
-TEST (Incarnation, ALaterBirthTakesItsPlace)
+TEST (Incarnation, LaterBirthReplacesTheKnownOne)
 {
-  inc_belief_t belief = {};
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_SAME);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_SAME);
-  EXPECT_EQ (inc_judge (&belief, 2000), INC_ANOTHER);
-  EXPECT_EQ (belief.born_ms, 2000u);
+  inc_tracker_t tracker = {};
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_SAME);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_SAME);
+  EXPECT_EQ (inc_observe_birth (&tracker, 2000), INC_NEW);
+  EXPECT_EQ (tracker.born_ms, 2000u);
 }
 
 // A word without a birth is about the incarnation that is known.
-TEST (Incarnation, AWordWithoutABirthChangesNothing)
+TEST (Incarnation, ReportWithoutBirthChangesNothing)
 {
-  inc_belief_t belief = { .born_ms = 2000 };
-  EXPECT_EQ (inc_judge (&belief, 0), INC_SAME);
-  EXPECT_EQ (belief.born_ms, 2000u);
+  inc_tracker_t tracker = { .born_ms = 2000 };
+  EXPECT_EQ (inc_observe_birth (&tracker, 0), INC_SAME);
+  EXPECT_EQ (tracker.born_ms, 2000u);
 }
 
 // A target crashed and started again. An entry that it wrote before comes
 // late, or a stale read brings it: it is turned away.
-TEST (Incarnation, AnOlderBirthIsTurnedAway)
+TEST (Incarnation, OlderBirthIsRejected)
 {
-  inc_belief_t belief = { .born_ms = 2000 };
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_STALE);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_STALE);
-  EXPECT_EQ (inc_judge (&belief, 2000), INC_SAME);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_STALE);
-  EXPECT_EQ (inc_judge (&belief, 1500), INC_STALE);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_STALE);
-  EXPECT_EQ (belief.born_ms, 2000u);
+  inc_tracker_t tracker = { .born_ms = 2000 };
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_STALE);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_STALE);
+  EXPECT_EQ (inc_observe_birth (&tracker, 2000), INC_SAME);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_STALE);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1500), INC_STALE);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_STALE);
+  EXPECT_EQ (tracker.born_ms, 2000u);
 }
 
 // The clock of the target's VM was stepped back before it started again: its
 // birth is earlier than the one before, and it is the one that lives. Turned
 // away for good, the target would never be used again.
-TEST (Incarnation, AnOlderBirthThatInsistsIsBelieved)
+TEST (Incarnation, RepeatedOlderBirthIsAccepted)
 {
-  inc_belief_t belief = { .born_ms = 2000 };
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_STALE);
-  EXPECT_EQ (inc_judge (&belief, 0), INC_SAME);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_STALE);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_ANOTHER);
-  EXPECT_EQ (belief.born_ms, 1000u);
-  EXPECT_EQ (inc_judge (&belief, 1000), INC_SAME);
+  inc_tracker_t tracker = { .born_ms = 2000 };
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_STALE);
+  EXPECT_EQ (inc_observe_birth (&tracker, 0), INC_SAME);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_STALE);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_NEW);
+  EXPECT_EQ (tracker.born_ms, 1000u);
+  EXPECT_EQ (inc_observe_birth (&tracker, 1000), INC_SAME);
 }
 
-TEST (Incarnation, NumbersThatAreNoBirth)
+TEST (Incarnation, ValidRangeOfBirths)
 {
-  EXPECT_FALSE (inc_is_birth (0));
-  EXPECT_FALSE (inc_is_birth (-1));
-  EXPECT_FALSE (inc_is_birth (INT64_MAX));
-  EXPECT_TRUE (inc_is_birth (1785123800000));
+  EXPECT_FALSE (inc_is_valid_birth (0));
+  EXPECT_FALSE (inc_is_valid_birth (-1));
+  EXPECT_FALSE (inc_is_valid_birth (INT64_MAX));
+  EXPECT_TRUE (inc_is_valid_birth (1785123800000));
 }
 
 } // namespace
--- a/test/unit/route_test.cc
+++ b/test/unit/route_test.cc
@@ -209,13 +209,13 @@
   EXPECT_FALSE (lim_bucket_take (&bucket, 0, &retry));
   EXPECT_EQ (retry, 101u);
   EXPECT_TRUE (lim_bucket_take (&bucket, 101, &retry));
-  lim_retry_t budget;
+  lim_retry_budget_t budget;
   lim_retry_init (&budget, 0.1, 2);
   EXPECT_TRUE (lim_retry_take (&budget));
   EXPECT_TRUE (lim_retry_take (&budget));
   EXPECT_FALSE (lim_retry_take (&budget));
   for (int i = 0; i < 11; i++)
-    lim_retry_note_first (&budget);
+    lim_retry_record_first_attempt (&budget);
   EXPECT_TRUE (lim_retry_take (&budget));
 }
 
--- a/test/unit/service_test.cc
+++ b/test/unit/service_test.cc
@@ -27,31 +27,31 @@
 // configuration grants an engine 60 adapter slots, but 900 MB beside its
 // model; the 46th adapter of 20 MB is ordered, the engine runs out of memory
 // and crashes. Cause: only the slots were counted.
-TEST (Service, MemoryBoundsTheAdaptersOfAnEngine)
+TEST (Service, MemoryLimitsAdapters)
 {
   svc_service_t service = engine_service (60, 17000, 16100, 20);
-  EXPECT_EQ (svc_service_adapter_places (&service), 45u);
+  EXPECT_EQ (svc_service_max_adapters (&service), 45u);
 }
 
-TEST (Service, SlotsBoundTheAdaptersWhereMemoryIsPlenty)
+TEST (Service, SlotsLimitAdaptersWhenMemorySuffices)
 {
   svc_service_t service = engine_service (6, 35200, 34300, 40);
-  EXPECT_EQ (svc_service_adapter_places (&service), 6u);
+  EXPECT_EQ (svc_service_max_adapters (&service), 6u);
 }
 
-TEST (Service, AModelThatFillsTheMemoryLeavesNoPlace)
+TEST (Service, ModelLargerThanMemoryLeavesNoAdapters)
 {
   svc_service_t service = engine_service (6, 34000, 34300, 40);
-  EXPECT_EQ (svc_service_adapter_places (&service), 0u);
+  EXPECT_EQ (svc_service_max_adapters (&service), 0u);
 }
 
-TEST (Service, WithoutSizesTheSlotsCount)
+TEST (Service, SlotsLimitAdaptersWithoutSizes)
 {
   svc_service_t service = engine_service (6, 0, 0, 0);
-  EXPECT_EQ (svc_service_adapter_places (&service), 6u);
+  EXPECT_EQ (svc_service_max_adapters (&service), 6u);
 }
 
-TEST (Service, TheShortestPauseThatCallersAcceptCounts)
+TEST (Service, GapTargetIsTheShortestOfAllRoutes)
 {
   svc_route_t routes[3] = {};
   char engines[] = "engines";
--- a/test/unit/workspace_table_test.cc
+++ b/test/unit/workspace_table_test.cc
@@ -23,7 +23,7 @@
   uint8_t bytes[WSP_DIGEST_BYTES] = { 0 };
 };
 
-TEST (WorkspaceTable, AnEmptyOneKnowsNoKey)
+TEST (WorkspaceTable, EmptyTableFindsNoKey)
 {
   wsp_table_t table = {};
   wsp_seal (&table);
@@ -31,7 +31,7 @@
   wsp_finish (&table);
 }
 
-TEST (WorkspaceTable, FindsEachOfAThousandWorkspacesByItsKeys)
+TEST (WorkspaceTable, FindsEachOfThousandWorkspacesByKey)
 {
   wsp_table_t table = {};
   for (uint32_t w = 0; w < 1000; w++)
@@ -51,7 +51,7 @@
   wsp_finish (&table);
 }
 
-TEST (WorkspaceTable, TheFirstOfTwoThatNameAKeyHoldsIt)
+TEST (WorkspaceTable, FirstWorkspaceKeepsDuplicateKey)
 {
   wsp_table_t table = {};
   wsp_add (&table, "red");
