--- a/src/cli/cli_config.c
+++ b/src/cli/cli_config.c
@@ -1,11 +1,11 @@
 /// @file cli_config.c
-/// Subcommands on the configuration folder: check, apply, pull, diff.
+/// Subcommands for the configuration folder: check, apply, pull, diff.
 ///
-/// A folder remembers its base: the digest of each file as it was when the
-/// folder and the store last agreed. A file changed local_text and stored_text
-/// since is a conflict; a file changed only stored_text is base_entry as it is
-/// stored_text. So two operators who edit at the same time cannot undo each
-/// other silently.
+/// A folder stores its base: the digest of each file as it was when the folder
+/// and the store last agreed. A file changed since then in both the folder and
+/// the store is a conflict; a file changed only in the store keeps the store's
+/// version. So two operators who edit at the same time cannot silently undo
+/// each other's changes.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -22,7 +22,7 @@
 static const char head_key[] = "kb/w/head";
 static const char base_name[] = ".knapweedbay-base";
 
-/// The store's head as read.
+/// The head read from the store, with its revision in the key-value service.
 typedef struct
 {
   doc_head_t head;
@@ -95,7 +95,7 @@
   int code = CLI_OK;
   if (value.status != KB_OK)
     {
-      fprintf (stderr, "knapweedbay: the key-value service does not answer\n");
+      fprintf (stderr, "knapweedbay: the key-value service did not answer\n");
       code = CLI_UNAVAILABLE;
     }
   else if (value.exists
@@ -130,7 +130,7 @@
       kb_buf_finish (&value.value);
       if (value.status != KB_OK || !value.exists)
         {
-          fprintf (stderr, "knapweedbay: %s: chunk %u cannot be read\n",
+          fprintf (stderr, "knapweedbay: %s: cannot read chunk %u\n",
                    file->name, i);
           return CLI_UNAVAILABLE;
         }
@@ -144,7 +144,7 @@
   snprintf (out, out_bytes, "%s/%s", cli->folder, base_name);
 }
 
-/// A folder without a base file has the empty_text base.
+/// @return  The base of the folder; empty when there is no valid base file.
 static doc_head_t
 read_base (const cli_t *cli)
 {
@@ -186,7 +186,7 @@
   kb_buf_finish (&text);
   if (status == KB_OK)
     return CLI_OK;
-  fprintf (stderr, "knapweedbay: %s: cannot be written\n", path);
+  fprintf (stderr, "knapweedbay: %s: cannot write the file\n", path);
   return CLI_BAD_INPUT;
 }
 
@@ -198,7 +198,7 @@
   return doc_digest_equal (a->digest, b->digest);
 }
 
-/// Where a file stands in folder, base and store.
+/// A file in the folder, the base and the store; NULL where it is absent.
 typedef struct
 {
   const doc_file_t *local;
@@ -223,7 +223,7 @@
          && !is_same_file (s->local, s->stored);
 }
 
-/// Put the names of all files of a folder into `names`.
+/// Add the names of all files of a folder to `names`.
 static void
 collect_names (const doc_folder_t *folder, doc_folder_t *names)
 {
@@ -242,9 +242,9 @@
   collect_names (&stored->folder, names);
 }
 
-/// Merge the folder with what others changed in the store.
-/// @return  CLI_CONFLICT when a file changed on both sides; all such files
-///          are named.
+/// Merge the folder with the changes of other operators in the store.
+/// @return  CLI_CONFLICT when a file changed in both; all such files are
+///          reported.
 static int
 merge_with_store (cli_t *cli, const doc_folder_t *local,
                   const doc_head_t *base, stored_head_t *stored,
@@ -313,8 +313,8 @@
   return false;
 }
 
-/// Write the chunks that the store does not have. They are named by their
-/// content, so writing one twice changes nothing.
+/// Write the chunks that the store does not have. Their keys are digests of
+/// their content, so writing one twice is harmless.
 static kb_status_t
 put_chunks (cli_t *cli, const doc_folder_t *folder, const doc_head_t *stored)
 {
@@ -358,8 +358,8 @@
   return status;
 }
 
-/// After an apply the base is what folder and store agree on; a file that
-/// only the store has keeps its previous base, so that the next pull brings
+/// After an apply the base is what folder and store agree on. A file that
+/// differs in the store keeps its previous base, so that the next pull fetches
 /// it.
 static int
 update_base (cli_t *cli, const doc_folder_t *local, const doc_head_t *base,
@@ -403,12 +403,12 @@
     printf ("nothing to apply; revision %" PRIu64 " is in force\n", revision);
 }
 
-/// State of one apply over its tries.
+/// State of one apply over its attempts.
 typedef struct
 {
   doc_folder_t local;
   doc_head_t base;
-  uint64_t change; ///< Id that marks this apply in the head.
+  uint64_t change; ///< Id that identifies this apply in the head.
   bool may_have_swapped;
   bool is_finished;
 } apply_t;
@@ -424,7 +424,7 @@
       doc_head_finish (&stored.head);
       return a->may_have_swapped ? CLI_UNKNOWN : code;
     }
-  // The answer of an earlier swap was lost, but the swap took effect.
+  // An earlier swap took effect, but its answer was lost.
   if (doc_head_has_change (&stored.head, a->change))
     {
       a->is_finished = true;
@@ -436,8 +436,8 @@
     }
   if (stored.head.revision < a->base.revision)
     {
-      // A store that lost its content looks as if others had removed every
-      // file, and merging with it would apply an empty_text configuration.
+      // When the store has lost its content, every file seems to have been
+      // removed by others, and a merge would apply an empty configuration.
       fprintf (stderr,
                "knapweedbay: the store is at revision %" PRIu64
                ", older than this folder's base %" PRIu64
@@ -509,7 +509,7 @@
     }
   if (code == CLI_UNKNOWN)
     fprintf (stderr, "knapweedbay: the change may have taken effect; run "
-                     "apply again, it is safe\n");
+                     "apply again, which is safe\n");
   doc_head_finish (&a.base);
   doc_folder_finish (&a.local);
   return code;
@@ -524,8 +524,8 @@
   if (has_conflict (s))
     {
       fprintf (stderr,
-               "knapweedbay: conflict: %s differs here and in the store; "
-               "it was left alone\n",
+               "knapweedbay: conflict: %s was changed in the folder and in "
+               "the store; it was not updated\n",
                name);
       if (s->base != NULL)
         {
@@ -593,7 +593,7 @@
   return code;
 }
 
-/// Count and print lines that only one of two texts has.
+/// Print the lines of `from` that `other` does not have.
 static void
 diff_lines (const char *prefix, kb_slice_t from, kb_slice_t other)
 {
@@ -642,7 +642,7 @@
         continue;
       has_difference = true;
       printf ("%s: %s\n", names.files[i].name,
-              s.stored == NULL  ? "only here"
+              s.stored == NULL  ? "only in the folder"
               : s.local == NULL ? "only in the store"
                                 : "differs");
       kb_slice_t empty_text = { "", 0 };
--- a/src/cli/cli_defs.h
+++ b/src/cli/cli_defs.h
@@ -1,5 +1,5 @@
 /// @file cli_defs.h
-/// What the subcommands of the operators' tool share.
+/// Declarations shared by the subcommands of the operators' tool.
 #ifndef KB_CLI_CLI_DEFS_H
 #define KB_CLI_CLI_DEFS_H
 
@@ -10,9 +10,9 @@
 enum
 {
   CLI_OK = 0,
-  CLI_CONFLICT = 1,    ///< Another operator's change differs; see the output.
-  CLI_BAD_INPUT = 2,   ///< The command line or a file is wrong.
-  CLI_UNAVAILABLE = 3, ///< Nothing was changed: a service did not answer.
+  CLI_CONFLICT = 1,    ///< Conflict or difference; see the output.
+  CLI_BAD_INPUT = 2,   ///< The command line or a file is invalid.
+  CLI_UNAVAILABLE = 3, ///< A service did not answer; nothing was changed.
   CLI_UNKNOWN = 4,     ///< The change may have taken effect; run it again.
 };
 
@@ -29,7 +29,7 @@
   uint16_t kv_port;
   char daemons[CLI_MAX_DAEMONS][CLI_ADDRESS_BYTES]; ///< "ip:port"
   uint32_t daemon_count;
-  char key[160];
+  char key[160]; ///< Operator or workspace key.
   char folder[512];
   const char *request_id;
   const char *files[CLI_MAX_FILES];
@@ -42,7 +42,7 @@
   kvc_client_t kv;
 } cli_t;
 
-/// A value read from the store.
+/// A value read from the key-value service.
 typedef struct
 {
   kb_status_t status;
@@ -53,16 +53,22 @@
 
 // cli_net.c
 void cli_net_init (cli_t *cli);
+/// Blocking calls to the key-value service.
 cli_value_t cli_kv_get (cli_t *cli, const char *key);
 kb_status_t cli_kv_put (cli_t *cli, const char *key, kb_slice_t value);
+/// @param expected  The mod_revision that the key must still have; zero: the
+///                  key must not exist.
 kb_status_t cli_kv_cas (cli_t *cli, const char *key, uint64_t expected,
                         kb_slice_t value);
-/// One HTTP call to a daemon.
-/// @return  The HTTP status, or 0 when it did not answer.
+/// Send one HTTP request to a daemon, with the operator key.
+/// @param body  The body of the answer is appended here.
+/// @return      The HTTP status, or 0 when the daemon did not answer.
 int cli_http (cli_t *cli, const char *daemon, const char *method,
               const char *path, kb_buf_t *body);
 void cli_sleep_ms (uint64_t delay_ms);
 /// Split "ip:port".
+/// @param address  Receives the address; of CLI_ADDRESS_BYTES.
+/// @return         False when the text is malformed.
 bool cli_parse_address (const char *text, char *address, uint16_t *port);
 
 // cli_config.c
--- a/src/cli/cli_logs.c
+++ b/src/cli/cli_logs.c
@@ -1,6 +1,6 @@
 /// @file cli_logs.c
-/// The request_log of one request, put together from the logs of several
-/// processes.
+/// Subcommand logs: the log lines of one request, merged from the logs of
+/// several processes.
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,11 +14,11 @@
   MS_PER_S = 1000,
 };
 
-/// One line that names the request.
+/// A log line of the request.
 typedef struct
 {
   int64_t wall_ms;
-  uint64_t sequence; ///< Of reading, for lines of the same moment.
+  uint64_t sequence; ///< Order of reading; sorts lines of the same time.
   struct json_object *fields;
 } request_line_t;
 
@@ -40,8 +40,8 @@
                                           : left->sequence > right->sequence;
 }
 
-/// Take a line if it is about the request. Anything before the first brace,
-/// such as a time set by a collector, is passed over.
+/// Add a line if it is about the request. Text before the first brace, such as
+/// a log collector's timestamp, is ignored.
 static void
 request_log_add_line (request_log_t *request_log, const char *text,
                       const char *id)
--- a/src/cli/cli_net.c
+++ b/src/cli/cli_net.c
@@ -1,5 +1,5 @@
 /// @file cli_net.c
-/// Blocking forms of the asynchronous clients, for the command line.
+/// Blocking wrappers of the asynchronous clients, for the command line.
 #include <stdio.h>
 #include <stdlib.h>
 #include <unistd.h>
@@ -44,7 +44,7 @@
   return true;
 }
 
-/// Where a call's result is put.
+/// A pending call of the key-value service, and its result.
 typedef struct
 {
   bool is_done;
--- a/src/cli/cli_status.c
+++ b/src/cli/cli_status.c
@@ -1,5 +1,5 @@
 /// @file cli_status.c
-/// Subcommands on running daemons, and the helpers for keys.
+/// Subcommands for running daemons and for keys.
 #include <inttypes.h>
 #include <openssl/sha.h>
 #include <stdio.h>
@@ -79,9 +79,9 @@
       if (docs[i] == NULL)
         {
           fprintf (stderr, "knapweedbay: %s: %s\n", cli->daemons[i],
-                   http_status == 0     ? "does not answer"
-                   : http_status == 401 ? "refuses the operator key"
-                                        : "answers with an error");
+                   http_status == 0     ? "did not answer"
+                   : http_status == 401 ? "rejected the operator key"
+                                        : "answered with an error");
           code = CLI_UNAVAILABLE;
         }
       int64_t revision = jsn_int (docs[i], "revision", 0);
@@ -128,8 +128,9 @@
       else
         {
           fprintf (stderr, "knapweedbay: %s: %s\n", cli->daemons[i],
-                   http_status == 0 ? "does not answer"
-                                    : "refuses; check the operator key");
+                   http_status == 0
+                       ? "did not answer"
+                       : "rejected the request; check the operator key");
           code = CLI_UNAVAILABLE;
         }
       kb_buf_finish (&body);
@@ -144,7 +145,8 @@
   char secret_key[41];
   if (zmq_curve_keypair (public_key, secret_key) != 0)
     {
-      fprintf (stderr, "knapweedbay: no CURVE support\n");
+      fprintf (stderr,
+               "knapweedbay: libzmq was built without CURVE support\n");
       return CLI_UNAVAILABLE;
     }
   printf ("\"curve_public_key\": \"%s\",\n\"curve_secret_key\": \"%s\"\n",
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -1,5 +1,5 @@
 /// @file main.c
-/// Entry file of knapweedbay, the operators' tool.
+/// Command line of knapweedbay, the operators' tool.
 #include <argtable2.h>
 #include <stdio.h>
 
@@ -20,21 +20,21 @@
 static const command_t commands[] = {
   { "check", "check a configuration folder", cli_check, true, false, false,
     false },
-  { "apply", "apply a folder; it holds everywhere within seconds", cli_apply,
-    true, true, false, false },
-  { "pull", "bring a folder up to date with what is in force", cli_pull, true,
-    true, false, false },
-  { "diff", "show how a folder differs from what is in force", cli_diff, true,
+  { "apply", "apply a folder; it takes effect everywhere within seconds",
+    cli_apply, true, true, false, false },
+  { "pull", "update a folder to the configuration in force", cli_pull, true,
     true, false, false },
+  { "diff", "show how a folder differs from the configuration in force",
+    cli_diff, true, true, false, false },
   { "status", "show daemons, targets, stalls, step fill and revisions",
     cli_status, false, false, true, true },
-  { "drain", "shut daemons down without cutting a request", cli_drain, false,
-    false, true, true },
-  { "keygen", "make a CURVE key pair for the settings", cli_keygen, false,
+  { "drain", "shut daemons down without breaking off requests", cli_drain,
+    false, false, true, true },
+  { "keygen", "generate a CURVE key pair for the settings", cli_keygen, false,
     false, false, false },
-  { "hash-key", "print a workspace key in the form of the configuration",
+  { "hash-key", "print the digest of a workspace key for the configuration",
     cli_hash_key, false, false, false, true },
-  { "logs", "print one request's story from the logs of several processes",
+  { "logs", "print the log lines of one request from several processes",
     cli_logs, false, false, false, false },
 };
 
@@ -50,7 +50,7 @@
   for (int i = 0; i < COMMAND_COUNT; i++)
     printf ("  %-10s %s\n", commands[i].name, commands[i].help);
   printf ("\nExit codes: 0 done, 1 conflict or difference, 2 bad input, "
-          "3 unavailable and nothing changed,\n4 unknown, run again. "
+          "3 unavailable and nothing changed,\n4 outcome unknown, run again. "
           "`knapweedbay COMMAND --help` shows the options.\n");
 }
 
@@ -144,7 +144,7 @@
     }
   options_t o = {
     .help = arg_lit0 ("h", "help", "show this help"),
-    .json = arg_lit0 (NULL, "json", "output for scripts"),
+    .json = arg_lit0 (NULL, "json", "print JSON, for scripts"),
     .watch = arg_lit0 (NULL, "watch", "status: repeat every second"),
     .kv = arg_str0 (NULL, "kv", "IP:PORT", "key-value service"),
     .daemon
@@ -152,8 +152,8 @@
     .key = arg_str0 (NULL, "key", "KEY", "operator or workspace key"),
     .id = arg_str0 (NULL, "id", "ID", "logs: id of the request"),
     .folder = arg_filen (NULL, NULL, "FOLDER|LOG", 0, CLI_MAX_FILES,
-                         "configuration folder; logs: files to read, or "
-                         "standard input"),
+                         "configuration folder; logs: files to read, "
+                         "standard input by default"),
     .end = arg_end (8),
   };
   void *table[] = { o.help, o.json, o.watch,  o.kv, o.daemon,
--- a/src/state/buf.h
+++ b/src/state/buf.h
@@ -15,8 +15,8 @@
   uint32_t len_bytes;
 } kb_slice_t;
 
-/// A growing byte buffer; always terminated by a zero byte beyond `len_bytes`
-/// once something was appended.
+/// A growing byte buffer. After the first append, a zero byte not counted in
+/// `len_bytes` follows the content.
 typedef struct
 {
   char *ptr;
@@ -38,10 +38,10 @@
          && (a.len_bytes == 0 || memcmp (a.ptr, b.ptr, a.len_bytes) == 0);
 }
 
-/// Copy a slice into a fixed array, cut to fit, zero-terminated.
+/// Copy a slice into a fixed array, truncated to fit and zero-terminated.
 void kb_slice_copy (kb_slice_t slice, char *out, size_t out_bytes);
-/// Read a decimal number without sign and exponent.
-/// @return  False: it is none.
+/// Parse a decimal number without sign or exponent.
+/// @return  False when the text is not such a number.
 bool kb_slice_parse_decimal (kb_slice_t text, double *out);
 
 void kb_buf_init (kb_buf_t *buf);
@@ -57,8 +57,9 @@
 void kb_buf_swap (kb_buf_t *a, kb_buf_t *b);
 kb_slice_t kb_buf_slice (const kb_buf_t *buf);
 
-/// Allocation that ends the process when memory is exhausted: a daemon that
-/// cannot allocate cannot keep any promise, and its VM is replaceable.
+/// Allocate zeroed memory. This and the three functions below abort the
+/// process when memory is exhausted: a daemon that cannot allocate cannot meet
+/// any of its guarantees, and its VM is replaceable.
 void *kb_alloc (size_t bytes);
 void *kb_realloc (void *ptr, size_t bytes);
 char *kb_strdup (const char *text);
--- a/src/state/config.c
+++ b/src/state/config.c
@@ -4,7 +4,7 @@
 
 enum
 {
-  BLOCK_BYTES = 256 << 10, ///< Above the size that malloc maps on its own.
+  BLOCK_BYTES = 256 << 10, ///< Above malloc's mmap threshold.
   ALIGN_BYTES = 8
 };
 
--- a/src/state/config.h
+++ b/src/state/config.h
@@ -17,9 +17,9 @@
   CFG_PRIORITY_CLASS_COUNT = 8,
 };
 
-/// Memory of a configuration's strings and small arrays. Large blocks of its
-/// own keep them apart from the short-lived objects of the parse, so that the
-/// parse's memory can go back to the system.
+/// Memory of a configuration's strings and small arrays. It is allocated in
+/// large blocks, apart from the short-lived objects of the parser, so that the
+/// parser's memory can be returned to the system.
 typedef struct cfg_block cfg_block_t;
 
 typedef struct
@@ -32,21 +32,21 @@
   char *name;
   bool is_plain;
   char *base_model; ///< Engines only.
-  /// Whether a call that does not say so may be repeated.
+  /// Whether a request that does not state it may be repeated.
   bool is_idempotent;
 } cfg_service_t;
 
 typedef struct
 {
   uint32_t number;
-  char *source; ///< Where the weight store keeps it.
+  char *source; ///< Location in the weight store.
 } cfg_version_t;
 
 typedef struct
 {
   char *name;
   uint32_t service; ///< Index into services.
-  uint32_t current; ///< Version used when a request names none.
+  uint32_t current; ///< Version used when a request gives none.
   uint32_t version_count;
   cfg_version_t *versions; ///< Ordered by number.
 } cfg_adapter_t;
@@ -61,7 +61,7 @@
   double rate_per_s;     ///< Zero: no limit.
 } cfg_workspace_t;
 
-/// Overrides a workspace's class for some of its requests.
+/// Overrides a workspace's priority class for the requests that match.
 typedef struct
 {
   char *name;
@@ -80,16 +80,16 @@
   uint32_t adapter_count;
   cfg_workspace_t *workspaces;
   uint32_t workspace_count;
-  cfg_rule_t *rules; ///< In the order of their names; the first match wins.
+  cfg_rule_t *rules; ///< Sorted by name; the first match wins.
   uint32_t rule_count;
   kb_map_t adapter_by_name;
   cfg_arena_t arena;
 } cfg_config_t;
 
-/// Zeroed memory that lives as long as the configuration.
+/// @return  Zeroed memory that is freed with the configuration.
 void *cfg_alloc (cfg_config_t *config, size_t bytes);
 char *cfg_strdup (cfg_config_t *config, const char *text);
-/// Release everything; the struct itself is the caller's.
+/// Free everything but the struct itself, which the caller owns.
 void cfg_config_finish (cfg_config_t *config);
 const cfg_service_t *cfg_service_find (const cfg_config_t *config,
                                        kb_slice_t name);
@@ -99,7 +99,8 @@
                                        uint32_t number);
 const cfg_workspace_t *cfg_workspace_find (const cfg_config_t *config,
                                            const uint8_t *key_digest);
-/// The priority class of a request.
+/// @return  The priority class of a request: of the first rule that matches,
+///          else of its workspace.
 uint8_t cfg_priority_class (const cfg_config_t *config,
                             const cfg_workspace_t *workspace,
                             kb_slice_t service, kb_slice_t adapter);
--- a/src/state/incarnation.c
+++ b/src/state/incarnation.c
@@ -1,6 +1,6 @@
 #include "state/incarnation.h"
 
-/// A number beyond this is no time of day in milliseconds.
+/// Early in the year 5138; larger numbers are not times in milliseconds.
 static const int64_t MAX_BIRTH_MS = 100000000000000;
 
 bool
@@ -9,7 +9,7 @@
   return born_ms > 0 && born_ms <= MAX_BIRTH_MS;
 }
 
-/// An older birth than the one that is known.
+/// Apply a report of a birth older than the known one.
 static inc_verdict_t
 observe_older_birth (inc_tracker_t *tracker, uint64_t born_ms)
 {
--- a/src/state/map.h
+++ b/src/state/map.h
@@ -10,7 +10,7 @@
 
 typedef struct
 {
-  uint64_t key; ///< Zero marks a free place.
+  uint64_t key; ///< Zero marks an empty slot.
   void *value;
 } kb_map_entry_t;
 
@@ -30,7 +30,7 @@
 void kb_map_put (kb_map_t *map, uint64_t key, void *value);
 /// @return  The removed value, or NULL.
 void *kb_map_remove (kb_map_t *map, uint64_t key);
-/// Iterate: start with `*at` = 0; the map must not change meanwhile.
+/// Iterate, starting with `*at` = 0. The map must not change meanwhile.
 /// @return  The next value, or NULL at the end.
 void *kb_map_next (const kb_map_t *map, uint32_t *at);
 
--- a/src/state/service.c
+++ b/src/state/service.c
@@ -151,7 +151,7 @@
   if (service->model_count == 0)
     return max_count;
   const svc_model_t *model = &service->models[0];
-  // Zero: the configuration does not bound the memory.
+  // Zero: the configuration does not limit the memory.
   if (service->memory_mb <= 0 || model->adapter_size_mb <= 0)
     return max_count;
   double free_mb = service->memory_mb - model->size_mb;
--- a/src/state/workspace.c
+++ b/src/state/workspace.c
@@ -9,7 +9,7 @@
 {
   INITIAL_WORKSPACES = 16,
   INITIAL_KEYS = 32,
-  /// Of the index, for each key; probes stay short.
+  /// Keeps the probe sequences short.
   INDEX_SLOTS_PER_KEY = 2,
 };
 
@@ -24,7 +24,7 @@
   *table = (wsp_table_t){ 0 };
 }
 
-/// @return  Room for slot least one item more.
+/// @return  A capacity with room for at least one more item.
 static uint32_t
 next_capacity (uint32_t cap, uint32_t initial)
 {
@@ -59,7 +59,9 @@
   key->workspace = table->count - 1;
 }
 
-/// Where the search for a digest begins. Digests are uniform.
+/// @return  The slot where the search for a digest begins. Digests are
+/// uniform,
+///          so their first bytes serve as the hash.
 static uint32_t
 first_index_slot (const wsp_table_t *table, const uint8_t *digest)
 {
@@ -68,7 +70,7 @@
   return start & (table->index_slot_count - 1);
 }
 
-/// The time does not depend on where two digests differ.
+/// Compares in constant time, independent of where two digests differ.
 static bool
 is_digest_equal (const uint8_t *a, const uint8_t *b)
 {
--- a/test/unit/incarnation_test.cc
+++ b/test/unit/incarnation_test.cc
@@ -1,4 +1,4 @@
-// Which life of a target a word is about.
+// Which incarnation of a target a report is about.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -18,7 +18,7 @@
   EXPECT_EQ (tracker.born_ms, 2000u);
 }
 
-// A word without a birth is about the incarnation that is known.
+// A report without a birth is about the known incarnation.
 TEST (Incarnation, ReportWithoutBirthChangesNothing)
 {
   inc_tracker_t tracker = { .born_ms = 2000 };
@@ -26,8 +26,8 @@
   EXPECT_EQ (tracker.born_ms, 2000u);
 }
 
-// A target crashed and started again. An entry that it wrote before comes
-// late, or a stale read brings it: it is turned away.
+// A target crashed and restarted. An entry that it wrote before the crash
+// arrives late or by a stale read, and must be rejected.
 TEST (Incarnation, OlderBirthIsRejected)
 {
   inc_tracker_t tracker = { .born_ms = 2000 };
@@ -40,9 +40,9 @@
   EXPECT_EQ (tracker.born_ms, 2000u);
 }
 
-// The clock of the target's VM was stepped back before it started again: its
-// birth is earlier than the one before, and it is the one that lives. Turned
-// away for good, the target would never be used again.
+// The clock of the target's VM was stepped back before the target restarted,
+// so the running incarnation has an earlier birth than the previous one.
+// Rejected for good, the target would never be used again.
 TEST (Incarnation, RepeatedOlderBirthIsAccepted)
 {
   inc_tracker_t tracker = { .born_ms = 2000 };
--- a/test/unit/service_test.cc
+++ b/test/unit/service_test.cc
@@ -1,4 +1,4 @@
-// What a configuration says of a service, as values.
+// Values derived from the configuration of a service.
 #include <gtest/gtest.h>
 
 extern "C"
@@ -23,10 +23,10 @@
   return service;
 }
 
-// A user sees streams break off whenever many adapters are in demand. The
-// configuration grants an engine 60 adapter slots, but 900 MB beside its
-// model; the 46th adapter of 20 MB is ordered, the engine runs out of memory
-// and crashes. Cause: only the slots were counted.
+// When only the slots are counted, an engine with 60 adapter slots but 900 MB
+// beside its model is ordered to load a 46th adapter of 20 MB, runs out of
+// memory and crashes; users see streams break off whenever many adapters are
+// in demand.
 TEST (Service, MemoryLimitsAdapters)
 {
   svc_service_t service = engine_service (60, 17000, 16100, 20);
--- a/test/unit/workspace_table_test.cc
+++ b/test/unit/workspace_table_test.cc
@@ -1,4 +1,4 @@
-// Keys and workspaces of a configuration.
+// Lookup of a configuration's workspaces by key.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Digest number n; neighbours begin their search at the same place.
+/// Digest number n. All start their search at the same slot of the index, so
+/// that lookups have to probe.
 struct Digest
 {
   explicit Digest (uint32_t n)
