--- a/src/coordination/access.c
+++ b/src/coordination/access.c
@@ -45,7 +45,7 @@
   acc_result_t result = authorize_key (table, request, freshness);
   // A request that needs no key is never refused because of one; with a valid
   // key it acts for that workspace.
-  if (!table->are_keys_required || request->is_route_public)
+  if (!table->is_key_required || request->is_route_public)
     result.outcome = ACC_ADMITTED;
   return result;
 }
--- a/src/coordination/share.c
+++ b/src/coordination/share.c
@@ -8,8 +8,8 @@
   /// pause; otherwise both sides would exchange messages in a busy loop.
   MIN_GAIN_DIVISOR = 8,
   /// Equal changes in a row that are forwarded: an older birth time is
-  /// accepted after INC_INSIST equal reports in a row, some of which may be
-  /// missed. Further heartbeats are not forwarded.
+  /// accepted after INC_MIN_OLDER_REPORTS equal reports in a row, some of
+  /// which may be missed. Further heartbeats are not forwarded.
   MAX_FORWARDED_REPEATS = 8,
 };
 
--- a/src/daemon/agent.c
+++ b/src/daemon/agent.c
@@ -38,8 +38,8 @@
   if (pause_ms > wait_ms)
     wait_ms = pause_ms;
   if (wait_ms > 0)
-    tmr_after (&agent->daemon->timers, &agent->meter_timer, wait_ms,
-               schedule_again, agent);
+    tmr_start_once (&agent->daemon->timers, &agent->meter_timer, wait_ms,
+                    schedule_again, agent);
   return wait_ms > 0;
 }
 
@@ -299,8 +299,8 @@
 exit_after_flush (void *arg)
 {
   agt_agent_t *agent = arg;
-  tmr_after (&agent->daemon->timers, &agent->exit_timer, EXIT_FLUSH_MS,
-             exit_now, agent);
+  tmr_start_once (&agent->daemon->timers, &agent->exit_timer, EXIT_FLUSH_MS,
+                  exit_now, agent);
 }
 
 /// Send the claim records to entries, so that an owner that rebuilds its
@@ -328,8 +328,8 @@
   kb_buf_finish (&records);
   // The roster may say "left" only after an entry has confirmed the records:
   // otherwise the next incarnation would claim a history that no process has.
-  tmr_after (&agent->daemon->timers, &agent->exit_timer,
-             sent > 0 ? HANDOVER_TIMEOUT_MS : 0, exit_after_flush, agent);
+  tmr_start_once (&agent->daemon->timers, &agent->exit_timer,
+                  sent > 0 ? HANDOVER_TIMEOUT_MS : 0, exit_after_flush, agent);
 }
 
 static void
@@ -497,7 +497,7 @@
                    (uint64_t)s->load_timeout_ms);
   agt_fence_start (&agent);
   agt_engine_poll (&agent);
-  tmr_every (&daemon->timers, &agent.tick, TICK_MS, tick, &agent);
-  tmr_every (&daemon->timers, &agent.poll, POLL_MS, poll, &agent);
+  tmr_start_periodic (&daemon->timers, &agent.tick, TICK_MS, tick, &agent);
+  tmr_start_periodic (&daemon->timers, &agent.poll, POLL_MS, poll, &agent);
   return KB_OK;
 }
--- a/src/daemon/agent_backpressure.c
+++ b/src/daemon/agent_backpressure.c
@@ -51,12 +51,12 @@
   {
     HTTP_UNAVAILABLE = 503,
   };
-  if (head->malformed != NULL)
+  if (head->malformed_field != NULL)
     {
       MET_INC ("knapweedbay_answer_fields_ignored_total", "");
       log_write (LOG_WARN, "engine",
                  "Ignored the invalid field %s of an answer.",
-                 head->malformed);
+                 head->malformed_field);
     }
   if (!head->is_limit_malformed)
     apply_limit (r, head);
@@ -83,7 +83,7 @@
 static bool
 is_leaving (const agt_agent_t *agent)
 {
-  uint64_t reported_ms = agent->engine.leaving_ms;
+  uint64_t reported_ms = agent->engine.leaving_reported_ms;
   return reported_ms > 0 && tmr_now_ms () - reported_ms < LEAVING_EXPIRY_MS;
 }
 
@@ -102,7 +102,7 @@
 void
 agt_backpressure_reset (agt_agent_t *agent)
 {
-  agent->engine.leaving_ms = 0;
+  agent->engine.leaving_reported_ms = 0;
   agent->paused_until_ms = 0;
   bkp_limit_t none = { .at_ms = tmr_now_ms () };
   bkp_meter_merge (&agent->meter, &none, none.at_ms);
--- a/src/daemon/agent_defs.h
+++ b/src/daemon/agent_defs.h
@@ -49,7 +49,7 @@
   char *path;
   kb_buf_t body;
   trc_context_t trace;
-  char traceparent[TRC_PARENT_BYTES];
+  char traceparent[TRC_TRACEPARENT_BYTES];
   uint64_t version;
   uint64_t fingerprint;
   aln_request_t alone;
@@ -119,7 +119,7 @@
   aln_gate_t alone;
   bkp_meter_t meter;        ///< Enforces the target's stated request rate.
   uint64_t paused_until_ms; ///< End of the pause the target requested.
-  tmr_sub_t meter_timer;
+  tmr_timer_t meter_timer;
   qrt_table_t quarantine; ///< Requests under which this target ended.
   agt_broken_run_t
       broken_runs[AGT_MAX_BROKEN_RUNS]; ///< The newest, in a ring.
@@ -153,10 +153,10 @@
   uint64_t drain_started_ms;
   bool is_handover_started;
   bool is_handover_confirmed; ///< An entry has stored the claim records.
-  tmr_sub_t tick;
-  tmr_sub_t poll;
-  tmr_sub_t retry_fence;
-  tmr_sub_t exit_timer;
+  tmr_timer_t tick;
+  tmr_timer_t poll;
+  tmr_timer_t retry_fence;
+  tmr_timer_t exit_timer;
   tmr_fn_t on_left; ///< Called when writing the "left" entry has ended.
   uint32_t ticks;
 };
--- a/src/daemon/agent_engine.c
+++ b/src/daemon/agent_engine.c
@@ -271,10 +271,11 @@
   if (gate == NULL)
     return;
   snprintf (load_permit->gate, sizeof load_permit->gate, "%s", gate->name);
-  msg_t msg = { .type = MSG_GATE_ASK };
-  msg.gate_ask = (msg_gate_ask_t){ .id = load_permit->id,
-                                   .waiting = wanted->waiting,
-                                   .priority_class = wanted->priority_class };
+  msg_t msg = { .type = MSG_GATE_REQUEST };
+  msg.gate_request
+      = (msg_gate_request_t){ .id = load_permit->id,
+                              .waiting = wanted->waiting,
+                              .priority_class = wanted->priority_class };
   // The send failed: exclude this gate, so that the next call selects another
   // entry.
   if (dmn_send (agent->daemon, load_permit->gate, &msg) == KB_OK)
--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -46,7 +46,7 @@
   qrt_expire (&agent->quarantine, tmr_now_ms ());
   qrt_pack_all (&agent->quarantine, tmr_now_ms (), &packed);
   msg_t msg = { .type = MSG_QUARANTINE };
-  msg.quarantine.words = kb_buf_slice (&packed);
+  msg.quarantine.records = kb_buf_slice (&packed);
   if (packed.len_bytes > 0)
     dmn_send (agent->daemon, peer->name, &msg);
   kb_buf_finish (&packed);
--- a/src/daemon/agent_run.c
+++ b/src/daemon/agent_run.c
@@ -128,18 +128,18 @@
 export_spans (agt_request_t *r, uint64_t now_us, const char *outcome)
 {
   uint64_t started = r->started_us != 0 ? r->started_us : now_us;
-  trc_context_t queue = trc_child (&r->trace, dmn_random ());
+  trc_context_t queue = trc_make_child (&r->trace, dmn_random ());
   trc_export (&queue, "agent.queue", r->arrived_wall_us,
               started - r->arrived_us, outcome);
   if (r->load_us > 0)
     {
-      trc_context_t load = trc_child (&queue, dmn_random ());
+      trc_context_t load = trc_make_child (&queue, dmn_random ());
       trc_export (&load, "adapter.load", r->arrived_wall_us, r->load_us,
                   outcome);
     }
   if (r->started_us == 0)
     return;
-  trc_context_t run = trc_child (&r->trace, dmn_random ());
+  trc_context_t run = trc_make_child (&r->trace, dmn_random ());
   trc_export (&run, "engine.run",
               r->arrived_wall_us + (started - r->arrived_us), now_us - started,
               outcome);
@@ -388,7 +388,7 @@
       run_fail (r, MSG_OUTCOME_NOT_RUN, "the target refuses connections");
       return;
     }
-  if (end != HTC_END_WHOLE)
+  if (end != HTC_END_COMPLETE)
     {
       if (end != HTC_END_TIMEOUT)
         agt_quarantine_record_broken_run (r);
@@ -463,7 +463,7 @@
     {
       // The attempt was sent to a former incarnation; that this one does not
       // know it is no proof that it did not run.
-      msg.revoked.state = MSG_REVOKED_FOREIGN;
+      msg.revoked.state = MSG_REVOKED_OTHER_INCARNATION;
       lnk_link_send (&agent->daemon->link, peer, &msg);
       return;
     }
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -40,13 +40,13 @@
     }
   uint64_t wait_us = gat_wait_us (&entry->gate, tmr_now_us ());
   if (wait_us > 0)
-    tmr_after (&entry->daemon->timers, &entry->gate_timer, wait_us / 1000 + 1,
-               gate_timer_on_expire, entry);
+    tmr_start_once (&entry->daemon->timers, &entry->gate_timer,
+                    wait_us / 1000 + 1, gate_timer_on_expire, entry);
 }
 
 static void
 on_gate_request (ent_entry_t *entry, ent_vm_t *vm,
-                 const msg_gate_ask_t *load_request)
+                 const msg_gate_request_t *load_request)
 {
   gat_request_load (&entry->gate, vm->id, load_request->id,
                     (uint8_t)load_request->priority_class,
@@ -78,13 +78,13 @@
       ent_request_on_end (entry, kb_slice_str (vm->name), &msg->end);
       break;
     case MSG_QUARANTINE:
-      ent_quarantine_merge (entry, msg->quarantine.words);
+      ent_quarantine_merge (entry, msg->quarantine.records);
       break;
     case MSG_REVOKED:
       ent_request_on_revoked (entry, &msg->revoked);
       break;
-    case MSG_GATE_ASK:
-      on_gate_request (entry, vm, &msg->gate_ask);
+    case MSG_GATE_REQUEST:
+      on_gate_request (entry, vm, &msg->gate_request);
       break;
     case MSG_GATE_DONE:
       gat_end_load (&entry->gate, vm->id, msg->gate_done.id);
@@ -125,8 +125,8 @@
     case MSG_CLAIM_REPLY:
       ent_claims_on_reply (entry, &msg->claim_reply);
       break;
-    case MSG_CLAIM_NOTE:
-      ent_claims_on_note (entry, &msg->claim_note);
+    case MSG_CLAIM_OUTCOME:
+      ent_claims_on_note (entry, &msg->claim_outcome);
       break;
     case MSG_RECORDS:
       ent_claims_on_records (entry, from, &msg->records);
@@ -166,7 +166,7 @@
 static void
 check_drain_progress (ent_entry_t *entry, uint64_t now)
 {
-  if (!entry->daemon->is_draining || entry->exit_timer.heap_at != 0)
+  if (!entry->daemon->is_draining || entry->exit_timer.heap_position != 0)
     return;
   uint64_t limit_ms = (uint64_t)entry->daemon->settings.drain_limit_ms;
   bool is_limit_reached = now - entry->drain_started_ms > limit_ms;
@@ -177,8 +177,8 @@
     log_write (LOG_ERROR, "daemon",
                "The drain limit is reached with %u requests in progress.",
                entry->request_count);
-  tmr_after (&entry->daemon->timers, &entry->exit_timer, EXIT_FLUSH_MS,
-             exit_timer_on_expire, entry);
+  tmr_start_once (&entry->daemon->timers, &entry->exit_timer, EXIT_FLUSH_MS,
+                  exit_timer_on_expire, entry);
 }
 
 static void
@@ -305,6 +305,7 @@
   if (status != KB_OK)
     return status;
   ent_members_start (&entry);
-  tmr_every (&daemon->timers, &entry.tick_timer, TICK_MS, on_tick, &entry);
+  tmr_start_periodic (&daemon->timers, &entry.tick_timer, TICK_MS, on_tick,
+                      &entry);
   return KB_OK;
 }
--- a/src/daemon/entry_claims.c
+++ b/src/daemon/entry_claims.c
@@ -64,10 +64,10 @@
     }
   // If the message is lost, the owner has to query the runner later; no
   // guarantee depends on it.
-  msg_t msg = { .type = MSG_CLAIM_NOTE };
-  msg.claim_note = (msg_claim_note_t){ .claim_key = r->claim_key,
-                                       .attempt = attempt,
-                                       .outcome = state };
+  msg_t msg = { .type = MSG_CLAIM_OUTCOME };
+  msg.claim_outcome = (msg_claim_outcome_t){ .claim_key = r->claim_key,
+                                             .attempt = attempt,
+                                             .outcome = state };
   dmn_send (entry->daemon, entry->shard_map[s].owner, &msg);
 }
 
@@ -111,7 +111,7 @@
 }
 
 void
-ent_claims_on_note (ent_entry_t *entry, const msg_claim_note_t *note)
+ent_claims_on_note (ent_entry_t *entry, const msg_claim_outcome_t *note)
 {
   clm_owner_record_outcome (
       &entry->claim_owner, note->claim_key, note->attempt,
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -122,8 +122,8 @@
   uint64_t arrived_us;
   uint64_t arrived_wall_us;
   uint64_t first_dispatch_us;
-  tmr_sub_t deadline_timer;
-  tmr_sub_t claim_retry_timer;
+  tmr_timer_t deadline_timer;
+  tmr_timer_t claim_retry_timer;
 } ent_request_t;
 
 /// A roster member or entry whose records a rebuild needs.
@@ -190,7 +190,7 @@
   uint32_t request_count;
   kb_map_t requests_by_attempt;
   kb_map_t workspaces;
-  lim_retry_t retry_budget;
+  lim_retry_budget_t retry_budget;
   qrt_table_t quarantine;
   gat_gate_t gate;
   ent_config_t config;
@@ -214,10 +214,10 @@
   bool is_handover_done;
   bool is_list_known;
   uint64_t tick_count;
-  tmr_sub_t tick_timer;
-  tmr_sub_t list_poll_timer;
-  tmr_sub_t gate_timer;
-  tmr_sub_t exit_timer;
+  tmr_timer_t tick_timer;
+  tmr_timer_t list_poll_timer;
+  tmr_timer_t gate_timer;
+  tmr_timer_t exit_timer;
 };
 
 // entry_http.c
@@ -329,7 +329,7 @@
 void ent_claims_on_claim (ent_entry_t *entry, kb_slice_t from,
                           const msg_claim_t *claim);
 void ent_claims_on_reply (ent_entry_t *entry, const msg_claim_reply_t *reply);
-void ent_claims_on_note (ent_entry_t *entry, const msg_claim_note_t *note);
+void ent_claims_on_note (ent_entry_t *entry, const msg_claim_outcome_t *note);
 void ent_claims_on_recover (ent_entry_t *entry, kb_slice_t from,
                             const msg_recover_t *recover);
 
--- a/src/daemon/entry_keyed.c
+++ b/src/daemon/entry_keyed.c
@@ -35,8 +35,8 @@
   // The owner in the shard map didn't reply as the owner: the map is stale.
   if (r->claim_retry_count > 1)
     ent_claims_read_map (r->entry);
-  tmr_after (&r->entry->daemon->timers, &r->claim_retry_timer,
-             CLAIM_RETRY_INTERVAL_MS, claim_retry_timer_on_expire, r);
+  tmr_start_once (&r->entry->daemon->timers, &r->claim_retry_timer,
+                  CLAIM_RETRY_INTERVAL_MS, claim_retry_timer_on_expire, r);
 }
 
 /// Bind the request to the target of the earlier attempt with the same key.
@@ -160,7 +160,8 @@
                                     0);
       else if (revoked->state != MSG_REVOKED_RUNNING)
         ent_request_handle_unknown (r, "the answer was lost with a connection",
-                                    revoked->state != MSG_REVOKED_FOREIGN);
+                                    revoked->state
+                                        != MSG_REVOKED_OTHER_INCARNATION);
       return;
     }
   for (r = entry->requests; r != NULL; r = r->next)
--- a/src/daemon/entry_members.c
+++ b/src/daemon/entry_members.c
@@ -277,8 +277,9 @@
 ent_members_start (ent_entry_t *entry)
 {
   read_list (entry);
-  tmr_every (&entry->daemon->timers, &entry->list_poll_timer,
-             (uint64_t)entry->daemon->settings.list_poll_ms, read_list, entry);
+  tmr_start_periodic (&entry->daemon->timers, &entry->list_poll_timer,
+                      (uint64_t)entry->daemon->settings.list_poll_ms,
+                      read_list, entry);
 }
 
 static void
--- a/src/daemon/entry_request.c
+++ b/src/daemon/entry_request.c
@@ -68,7 +68,7 @@
   uint64_t now_us = tmr_now_us ();
   if (r->first_dispatch_us != 0)
     {
-      trc_context_t route = trc_child (&r->trace, dmn_random ());
+      trc_context_t route = trc_make_child (&r->trace, dmn_random ());
       trc_export (&route, "entry.route", r->arrived_wall_us,
                   r->first_dispatch_us - r->arrived_us, outcome);
     }
@@ -245,8 +245,8 @@
 {
   ent_entry_t *entry = r->entry;
   uint64_t now = tmr_now_ms ();
-  char parent[TRC_PARENT_BYTES];
-  trc_write_parent (&r->trace, parent);
+  char parent[TRC_TRACEPARENT_BYTES];
+  trc_format_traceparent (&r->trace, parent);
   msg_t msg = { .type = MSG_DISPATCH };
   msg.dispatch = (msg_dispatch_t){
     .attempt = r->attempt,
@@ -342,12 +342,12 @@
     entry->requests->prev = r;
   entry->requests = r;
   entry->request_count++;
-  lim_retry_note_first (&entry->retry_budget);
+  lim_retry_record_first_attempt (&entry->retry_budget);
   uint64_t now = tmr_now_ms ();
   uint64_t remaining_ms
       = r->deadline_at_ms > now ? r->deadline_at_ms - now : 0;
-  tmr_after (&entry->daemon->timers, &r->deadline_timer,
-             remaining_ms + DEADLINE_GRACE_MS, on_deadline, r);
+  tmr_start_once (&entry->daemon->timers, &r->deadline_timer,
+                  remaining_ms + DEADLINE_GRACE_MS, on_deadline, r);
   ent_request_begin_attempt (r);
 }
 
@@ -372,8 +372,8 @@
                          kb_slice_str (r->model));
   hts_response_header (r->http, "x-knapweedbay-outcome",
                        kb_slice_str ("done"));
-  char parent[TRC_PARENT_BYTES];
-  trc_write_parent (&r->trace, parent);
+  char parent[TRC_TRACEPARENT_BYTES];
+  trc_format_traceparent (&r->trace, parent);
   hts_response_header (r->http, "traceparent", kb_slice_str (parent));
 }
 
@@ -433,7 +433,7 @@
       return;
     }
   deliver_stream (r, part->data);
-  if (hts_stream_pending (r->http) > MAX_STREAM_PENDING_BYTES)
+  if (hts_stream_unsent_bytes (r->http) > MAX_STREAM_PENDING_BYTES)
     {
       MET_INC ("knapweedbay_slow_callers_total", "");
       send_cancel (r);
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -117,8 +117,8 @@
   uint64_t left_ms = gtw_remaining_ms (end_ms, now_ms);
   if (left_ms <= RESUME_RESERVE_MS)
     return false;
-  tmr_after (&r->gateway->host.timers, &r->silence_timer,
-             left_ms - RESUME_RESERVE_MS, attempt_on_silence, r);
+  tmr_start_once (&r->gateway->host.timers, &r->silence_timer,
+                  left_ms - RESUME_RESERVE_MS, attempt_on_silence, r);
   return true;
 }
 
@@ -145,8 +145,8 @@
     limit_ms = SILENCE_OBJECTIVES * (r->objective_ms - r->arrived_ms);
   else if (!r->has_event)
     limit_ms = FIRST_EVENT_SILENCE_MS;
-  tmr_after (&r->gateway->host.timers, &r->silence_timer, limit_ms,
-             attempt_on_silence, r);
+  tmr_start_once (&r->gateway->host.timers, &r->silence_timer, limit_ms,
+                  attempt_on_silence, r);
 }
 
 /// Relay bytes of the body, after the head if it is not written yet.
@@ -181,7 +181,7 @@
 record_gap (gtw_request_t *r, uint64_t gap_ms)
 {
   r->longest_gap_ms = gap_ms;
-  log_event_t line;
+  log_line_t line;
   if (gap_ms < MIN_LOGGED_GAP_MS
       || !log_begin (&line, LOG_INFO, "gateway", "stream_paused"))
     return;
@@ -275,7 +275,7 @@
 
 /// Handle an answer which says that the target did not run the request.
 static void
-attempt_handle_not_run (gtw_request_t *r, const rly_answer_t *answer)
+attempt_handle_not_run (gtw_request_t *r, const rly_response_t *answer)
 {
   gtw_log_attempt (r, "attempt_not_run", "target_refused");
   // Another incarnation answers at the address. An engine sends this status
@@ -301,7 +301,7 @@
 /// @return  Whether an answer is the target's own and usable, as far as its
 ///          head shows.
 static bool
-is_valid_answer (const gtw_request_t *r, const rly_answer_t *answer)
+is_valid_answer (const gtw_request_t *r, const rly_response_t *answer)
 {
   if (answer->is_encoded)
     return false;
@@ -324,7 +324,7 @@
           .is_last = gtw_client_is_last_answer (r->client) };
   r->is_chunked = framing.is_chunked;
   kb_buf_clear (&r->head);
-  r->gateway->dialect->write_answer (conn, &framing, &r->head);
+  r->gateway->dialect->write_response (conn, &framing, &r->head);
 }
 
 static void
@@ -332,14 +332,14 @@
 {
   gtw_request_t *r = x->owner;
   const h1_conn_t *conn = xch_conn (x);
-  rly_answer_t answer;
-  r->gateway->dialect->read_answer (conn, &answer);
+  rly_response_t answer;
+  r->gateway->dialect->read_response (conn, &answer);
   // A late answer to an earlier request on this connection.
   if (answer.attempt_id.len_bytes > 0
       && !kb_slice_equal (answer.attempt_id, kb_slice_str (r->attempt_id)))
     {
       MET_INC ("knapweedbay_stray_answers_total", "");
-      xch_skip (x);
+      xch_discard_response (x);
       return;
     }
   r->http_status = conn->parser.status_code;
@@ -432,7 +432,7 @@
 }
 
 static void
-answer_on_fail (xch_t *x, xch_fail_t fail)
+answer_on_fail (xch_t *x, xch_failure_t fail)
 {
   static const char *const names[] = { "not_sent", "reset", "malformed" };
   if (fail == XCH_RESET)
@@ -458,7 +458,7 @@
     .adapter_version = r->granted_version,
     .priority = r->is_engine ? (int32_t)priority : -1,
     .is_resume = r->has_event,
-    .resume_after = r->last_event_id,
+    .resume_after_event_id = r->last_event_id,
     .body_bytes = r->body.len_bytes,
   };
 }
@@ -492,14 +492,14 @@
       = { .head = kb_buf_slice (&head),
           .body = kb_buf_slice (&r->body),
           .max_idle_ms
-          = is_idempotent (r) ? XCH_ANY_IDLE : MAX_IDLE_NON_IDEMPOTENT_MS,
+          = is_idempotent (r) ? XCH_ANY_IDLE_MS : MAX_IDLE_NON_IDEMPOTENT_MS,
           .connect_timeout_ms = CONNECT_TIMEOUT_MS,
-          .expects_no_body = r->client->conn.parser.method == HTTP_HEAD };
+          .is_head_method = r->client->conn.parser.method == HTTP_HEAD };
   r->stage = r->is_head_written ? GTW_STAGE_RELAYING : GTW_STAGE_SENT;
   r->send_count++;
   r->is_permit_used = true;
   r->sent_ms = gtw_now_ms (gateway);
-  r->sent_boot_ms = tmr_boot_ms ();
+  r->sent_boot_ms = tmr_boottime_ms ();
   r->possible_runs++;
   r->is_begun = false;
   xch_start (&r->exchange, &r->target->peer, &answer_events, r, &request);
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -15,7 +15,7 @@
 static void
 log_limit (const gtw_request_t *r, const gtw_advertised_t *stated)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_limit"))
     return;
   log_text (&line, "target", stated->identity.id);
@@ -29,7 +29,7 @@
 log_malformed (const gtw_request_t *r, const char *field)
 {
   MET_INC ("knapweedbay_answer_fields_ignored_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "gateway", "answer_field_ignored"))
     return;
   log_text (&line, "id", r->attempt_id);
@@ -80,12 +80,12 @@
 
 static void
 apply_limit (gtw_request_t *r, gtw_advertised_t *stated,
-             const rly_answer_t *answer)
+             const rly_response_t *answer)
 {
-  double per_s = answer->states_limit ? answer->limit_per_s : -1;
+  double per_s = answer->has_limit ? answer->limit_per_s : -1;
   if (answer->is_limit_malformed
       || !bkp_limit_apply_answer (&stated->limit, per_s, r->sent_boot_ms,
-                                  tmr_boot_ms ()))
+                                  tmr_boottime_ms ()))
     return;
   log_limit (r, stated);
   // The next tick reports it to the sidecar.
@@ -99,7 +99,7 @@
   if (stated->is_leaving)
     return;
   stated->is_leaving = true;
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_states_leaving"))
     return;
   log_text (&line, "target", stated->identity.id);
@@ -114,12 +114,12 @@
 apply_pause (const gtw_request_t *r, gtw_advertised_t *stated,
              uint64_t pause_ms)
 {
-  uint64_t until_ms = tmr_boot_ms () + pause_ms;
+  uint64_t until_ms = tmr_boottime_ms () + pause_ms;
   if (until_ms <= stated->paused_until_ms)
     return;
   stated->paused_until_ms = until_ms;
   MET_INC ("knapweedbay_target_pauses_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "target_paused"))
     return;
   log_text (&line, "target", stated->identity.id);
@@ -129,7 +129,7 @@
 }
 
 void
-gtw_backpressure_apply_answer (gtw_request_t *r, const rly_answer_t *answer)
+gtw_backpressure_apply_answer (gtw_request_t *r, const rly_response_t *answer)
 {
   enum
   {
@@ -139,8 +139,8 @@
   // Another incarnation may give this answer at the target's address.
   if (r->http_status == HTTP_MISDIRECTED)
     return;
-  if (answer->malformed != NULL)
-    log_malformed (r, answer->malformed);
+  if (answer->malformed_field != NULL)
+    log_malformed (r, answer->malformed_field);
   gtw_advertised_t *stated = stated_of_addressee (r);
   apply_limit (r, stated, answer);
   if (answer->is_leaving)
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -100,9 +100,9 @@
       const msg_engine_adapter_t *a = &target->adapters[i];
       if (a->key != r->adapter_key)
         continue;
-      if (a->state == MSG_ADAPTER_COMING)
+      if (a->state == MSG_ADAPTER_FETCHING)
         return PLC_LOADING;
-      if (a->state == MSG_ADAPTER_AWAITED)
+      if (a->state == MSG_ADAPTER_PENDING)
         return PLC_PENDING;
       return a->version >= newest ? PLC_HELD : PLC_ABSENT;
     }
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -61,8 +61,8 @@
 /// A target that is listed or still has requests or connections.
 typedef struct
 {
-  src_target_t list_entry;  ///< Newest entry of the target list.
-  inc_belief_t known_birth; ///< Identifies the incarnation.
+  src_target_t list_entry;   ///< Newest entry of the target list.
+  inc_tracker_t known_birth; ///< Identifies the incarnation.
   uint64_t key;          ///< Unique per incarnation; a later one's is larger.
   uint64_t address_hash; ///< The same after a restart of the target.
   xch_peer_t peer;
@@ -202,8 +202,8 @@
   uint64_t limit_wait_ms; ///< Shortest wait for a permit of a limited target;
                           ///< zero: none was refused.
   xch_t exchange;
-  tmr_sub_t expiry_timer;  ///< At the deadline or timeout.
-  tmr_sub_t silence_timer; ///< No answer or no further event in time.
+  tmr_timer_t expiry_timer;  ///< At the deadline or timeout.
+  tmr_timer_t silence_timer; ///< No answer or no further event in time.
 
   // The answer.
   int http_status;
@@ -271,7 +271,7 @@
   uint64_t writing_fingerprint; ///< Zero: no write under way.
   uint64_t retry_pause_ms;      ///< Before the next try; zero: the last one
                                 ///< succeeded.
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } gtw_record_writer_t;
 
 /// The request for store changes that is pending at a sidecar.
@@ -283,7 +283,7 @@
   uint64_t id; ///< Zero: none is pending.
   uint64_t link_key;
   uint64_t requested_ms;
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } gtw_peers_t;
 
 struct gtw_gateway
@@ -316,7 +316,7 @@
   kb_map_t quotas;              ///< gtw_quota_t by key of the quota's subject.
   gtw_charge_t *decided;        ///< Charges that no longer wait for credit.
   tmr_fn_t on_decided;          ///< Resumes the requests of those charges.
-  tmr_sub_t decided_timer;
+  tmr_timer_t decided_timer;
   uint64_t last_unlink_ms;     ///< When a link to a sidecar was closed last;
                                ///< boot clock.
   uint64_t last_no_contact_ms; ///< When this gateway last had contact with no
@@ -334,8 +334,8 @@
   uint64_t rate_updated_ms;
   uint32_t gateway_count; ///< As reported by sidecars.
   uint64_t stop_began_ms; ///< When the stop began; zero: running.
-  tmr_sub_t tick;
-  tmr_sub_t exit_timer;
+  tmr_timer_t tick;
+  tmr_timer_t exit_timer;
 };
 
 /// @return  The moment at which a request expires: its caller's deadline or
@@ -392,7 +392,7 @@
 gtw_target_pause_ms (const gtw_target_t *target)
 {
   uint64_t until_ms = target->advertised.paused_until_ms;
-  return until_ms == 0 ? 0 : gtw_remaining_ms (until_ms, tmr_boot_ms ());
+  return until_ms == 0 ? 0 : gtw_remaining_ms (until_ms, tmr_boottime_ms ());
 }
 
 /// @return  The key of a sidecar's name in gtw_gateway_t.links.
@@ -512,7 +512,7 @@
 /// Apply the limit, drain and pause that the current target advertises in an
 /// answer's head.
 void gtw_backpressure_apply_answer (gtw_request_t *r,
-                                    const rly_answer_t *answer);
+                                    const rly_response_t *answer);
 /// Acquire a permit of the rate limit of the current target, which is plain,
 /// or return the result of an earlier request for one.
 qsp_verdict_t gtw_backpressure_try_permit (gtw_request_t *r);
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -69,9 +69,9 @@
                     .quarantine_stamp = qrt_digest (&gateway->quarantine),
                     .gateway_peak = gateway->gateway_peak.count,
                     .gateway_peak_age_ms
-                    = tmr_boot_ms () - gateway->gateway_peak.seen_ms,
+                    = tmr_boottime_ms () - gateway->gateway_peak.seen_ms,
                     .limit_milli = limit_milli (limit),
-                    .limit_age_ms = tmr_boot_ms () - limit->at_ms,
+                    .limit_age_ms = tmr_boottime_ms () - limit->at_ms,
                     .lent_elsewhere = kb_buf_slice (&lent_subjects),
                     .places = kb_buf_slice (&places) } };
   if (hst_send (&gateway->host, target->link, &msg) != KB_OK)
@@ -178,7 +178,7 @@
   gateway->config = config;
   kb_buf_clear (&gateway->config_document);
   kb_buf_append (&gateway->config_document, document.ptr, document.len_bytes);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
     {
       log_int (&line, "revision", (int64_t)config->revision);
@@ -198,10 +198,10 @@
       = ver_table_update (&gateway->versions, model, adapter, version);
   if (item == NULL)
     return;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "config", "adapter_version"))
     {
-      log_str (&line, "adapter", adapter);
+      log_slice (&line, "adapter", adapter);
       log_int (&line, "version", version);
       log_end (&line);
     }
@@ -286,12 +286,12 @@
   listing.identity.born_ms = state->born_ms;
   // The next incarnation's list entry and sidecar state whether it leaves.
   listing.is_leaving = false;
-  switch (inc_judge (&target->known_birth, state->born_ms))
+  switch (inc_observe_birth (&target->known_birth, state->born_ms))
     {
     case INC_STALE:
       gtw_target_report_stale (target, state->born_ms, "sidecar");
       return NULL;
-    case INC_ANOTHER:
+    case INC_NEW:
       return gtw_target_replace_incarnation (gateway, target, &listing);
     default:
       return target;
@@ -335,7 +335,7 @@
   target->sidecar_versions = state->versions_known;
   target->quarantine_stamp = state->quarantine_stamp;
   qgw_peak_merge (&gateway->gateway_peak, (uint32_t)state->gateway_peak,
-                  state->gateway_peak_age_ms, tmr_boot_ms ());
+                  state->gateway_peak_age_ms, tmr_boottime_ms ());
   target->condition = (msg_engine_condition_t)state->condition;
   target->slots = (uint32_t)state->slots;
   target->granted = (uint32_t)state->granted;
@@ -407,7 +407,7 @@
       gtw_quota_receive_grant (gateway, &msg->quota_grant);
       break;
     case MSG_QUARANTINE:
-      gtw_quarantine_merge_records (gateway, msg->quarantine.words);
+      gtw_quarantine_merge_records (gateway, msg->quarantine.records);
       break;
     case MSG_DOCUMENT:
       apply_document (gateway, &msg->document, target->link);
--- a/src/gateway/gateway_log.c
+++ b/src/gateway/gateway_log.c
@@ -21,7 +21,7 @@
   gtw_metrics_observe_end (r, http_status);
   uint64_t now_ms = gtw_now_ms (r->gateway);
   bool is_good = http_status >= 200 && http_status < 300;
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, is_good ? LOG_INFO : LOG_WARN, "gateway",
                   "request_end"))
     return;
@@ -53,7 +53,7 @@
 /// Begin a log line with the fields common to events of a request.
 /// @return  Whether the line is to be written.
 static bool
-begin_request_line (log_event_t *line, const gtw_request_t *r,
+begin_request_line (log_line_t *line, const gtw_request_t *r,
                     const char *event, const char *reason)
 {
   if (!log_begin (line, LOG_INFO, "gateway", event))
@@ -69,7 +69,7 @@
 gtw_log_request_event (const gtw_request_t *r, const char *event,
                        const char *reason)
 {
-  log_event_t line;
+  log_line_t line;
   if (!begin_request_line (&line, r, event, reason))
     return;
   log_int (&line, "word_age_ms", report_age_ms (r));
@@ -80,7 +80,7 @@
 void
 gtw_log_attempt (gtw_request_t *r, const char *event, const char *reason)
 {
-  log_event_t line;
+  log_line_t line;
   if (!begin_request_line (&line, r, event, reason))
     return;
   log_int (&line, "send", r->send_count);
@@ -101,7 +101,7 @@
 gtw_log_choice (const gtw_request_t *r)
 {
   const gtw_target_t *t = r->target;
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_DEBUG, "gateway", "target_chosen"))
     return;
   log_text (&line, "id", r->attempt_id);
--- a/src/gateway/gateway_peers.c
+++ b/src/gateway/gateway_peers.c
@@ -112,7 +112,7 @@
   gtw_target_t *target = kb_map_get (&gateway->links, peers->link_key);
   if (target != NULL)
     target->changes_request_failed_ms = now_ms;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "store", "shared_read_failed"))
     {
       log_text (&line, "sidecar", target == NULL ? "" : target->link);
@@ -150,17 +150,17 @@
       peers->link_key = gtw_link_key (kb_slice_str (target->link));
       const char *store = gateway->host.settings.store_address;
       msg_t msg
-          = { .type = MSG_CHANGES_ASK,
-              .changes_ask = { .id = peers->id,
-                               .store = kb_hash (store, strlen (store), 0),
-                               .after = query->after,
-                               .known_age_ms = query->known_age_ms,
-                               .pause_ms = query->pause_ms } };
+          = { .type = MSG_CHANGES_REQUEST,
+              .changes_request = { .id = peers->id,
+                                   .store = kb_hash (store, strlen (store), 0),
+                                   .after = query->after,
+                                   .known_age_ms = query->known_age_ms,
+                                   .pause_ms = query->pause_ms } };
       is_sent = hst_send (&gateway->host, target->link, &msg) == KB_OK;
     }
-  tmr_after (&gateway->host.timers, &peers->timer,
-             is_sent ? query->timeout_ms : 0,
-             is_sent ? query_on_timeout : query_on_unsent, peers);
+  tmr_start_once (&gateway->host.timers, &peers->timer,
+                  is_sent ? query->timeout_ms : 0,
+                  is_sent ? query_on_timeout : query_on_unsent, peers);
 }
 
 /// @return  False: the bytes are malformed.
@@ -202,14 +202,14 @@
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"not_asked\"");
       return;
     }
-  if (answer->status == MSG_CHANGES_BEHIND)
+  if (answer->status == MSG_CHANGES_NOT_RETAINED)
     {
       query_finish (peers, NULL);
       return;
     }
   src_change_t *changes = NULL;
   uint32_t count = 0;
-  if (answer->status != MSG_CHANGES_KNOWN)
+  if (answer->status != MSG_CHANGES_AVAILABLE)
     query_fail (peers, "store_silent");
   else if (!unpack_changes (answer->changes, &changes, &count))
     query_fail (peers, "malformed");
--- a/src/gateway/gateway_place.c
+++ b/src/gateway/gateway_place.c
@@ -33,7 +33,7 @@
 static uint32_t
 expected_output_tokens (const rly_request_t *parsed)
 {
-  uint32_t expected = parsed->likely_tokens;
+  uint32_t expected = parsed->output_tokens_hint;
   return expected > 0 && expected < parsed->output_tokens
              ? expected
              : parsed->output_tokens;
@@ -55,8 +55,8 @@
                         ? gtw_request_caller_timeout_ms (r, r->relayed_ms)
                         : r->first_event_due_ms;
   uint64_t objective_ms = r->has_event ? due_ms : r->objective_ms;
-  msg_t msg = { .type = MSG_PLACE_ASK,
-                .place_ask
+  msg_t msg = { .type = MSG_PLACE_REQUEST,
+                .place_request
                 = { .id = r->place_id,
                     .priority = r->priority,
                     .prompt_tokens = r->parsed_head.prompt_tokens,
@@ -64,7 +64,7 @@
                     .left_ms = gtw_remaining_ms (due_ms, now_ms),
                     .objective_ms = gtw_remaining_ms (objective_ms, now_ms),
                     .version = ver_newest (&gateway->versions, r->adapter_key),
-                    .declined = r->excluded_target_count,
+                    .decline_count = r->excluded_target_count,
                     .is_alone = r->is_alone_attempt,
                     .model = r->parsed_head.model,
                     .adapter = r->parsed_head.adapter,
--- a/src/gateway/gateway_probe.c
+++ b/src/gateway/gateway_probe.c
@@ -25,7 +25,7 @@
   uint64_t target_key; ///< The target may be freed meanwhile.
   uint32_t refusals;
   bool is_refused; ///< The current try.
-  tmr_sub_t timer;
+  tmr_timer_t timer;
 } probe_t;
 
 static void probe_connect (void *arg);
@@ -48,8 +48,8 @@
   probe_t *probe = (probe_t *)handle;
   probe->refusals += probe->is_refused;
   if (probe->is_refused && probe->refusals < MIN_REFUSALS)
-    tmr_after (&probe->gateway->host.timers, &probe->timer, RETRY_PAUSE_MS,
-               probe_connect, probe);
+    tmr_start_once (&probe->gateway->host.timers, &probe->timer,
+                    RETRY_PAUSE_MS, probe_connect, probe);
   else
     probe_end (probe);
 }
@@ -87,8 +87,8 @@
       probe_end (probe);
       return;
     }
-  tmr_after (&gateway->host.timers, &probe->timer, CONNECT_TIMEOUT_MS,
-             probe_close, probe);
+  tmr_start_once (&gateway->host.timers, &probe->timer, CONNECT_TIMEOUT_MS,
+                  probe_close, probe);
   uv_tcp_init (&gateway->host.loop, &probe->tcp);
   int status = uv_tcp_connect (
       &probe->connect, &probe->tcp,
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -177,7 +177,7 @@
       = qrt_judge (&gateway->quarantine, request, broken->caller,
                    gtw_now_ms (gateway), &hold_ms);
   static const char *const names[] = { "free", "alone", "held" };
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, verdict == QRT_HELD ? LOG_WARN : LOG_INFO, "gateway",
                   "request_suspected"))
     return;
@@ -281,7 +281,7 @@
   target->ended_ms = gtw_now_ms (gateway);
   uint32_t count = record_suspects (gateway, target);
   MET_INC ("knapweedbay_targets_ended_total", "");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "gateway", "target_ended"))
     return;
   log_text (&line, "target", target->list_entry.identity.id);
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -32,7 +32,7 @@
 revision_to_send (const gtw_quota_t *quota,
                   const qln_request_t *credit_request)
 {
-  return quota->is_target_limit ? tmr_boot_ms () - credit_request->revision
+  return quota->is_target_limit ? tmr_boottime_ms () - credit_request->revision
                                 : credit_request->revision;
 }
 
@@ -45,26 +45,27 @@
   const gtw_target_t *target
       = kb_map_get (&gateway->links, spender->lender.id);
   msg_t msg = {
-    .type = MSG_QUOTA_ASK,
-    .quota_ask
+    .type = MSG_QUOTA_REQUEST,
+    .quota_request
     = { .id = id,
         .subject = credit_request->workspace,
         .is_of_target = quota->is_target_limit,
         .revision = revision_to_send (quota, credit_request),
         .rate_milli = (uint64_t)(credit_request->limit.rate_per_s * MILLI),
         .burst_milli = (uint64_t)(credit_request->limit.burst * MILLI),
-        .least_milli = (uint64_t)(credit_request->min_amount * MILLI),
-        .want_milli = (uint64_t)(credit_request->wanted_amount * MILLI) + 1,
+        .min_milli = (uint64_t)(credit_request->min_amount * MILLI),
+        .wanted_milli = (uint64_t)(credit_request->wanted_amount * MILLI) + 1,
         .unspent_milli = (uint64_t)(credit_request->unspent * MILLI),
         .since_ms = credit_request->lender_age_ms,
-        .life = credit_request->lender_incarnation,
+        .sidecar_incarnation = credit_request->lender_incarnation,
         .uptime_ms = credit_request->uptime_ms,
-        .reach_milli = (uint64_t)(credit_request->reach * MILLI),
-        .past = credit_request->prior,
+        .reachable_milli = (uint64_t)(credit_request->reach * MILLI),
+        .prior = credit_request->prior,
         .ledger_age_ms = credit_request->ledger_age_ms,
         .ledger = credit_request->ledger,
         .gateway_peak = gateway->gateway_peak.count,
-        .gateway_peak_age_ms = tmr_boot_ms () - gateway->gateway_peak.seen_ms }
+        .gateway_peak_age_ms
+        = tmr_boottime_ms () - gateway->gateway_peak.seen_ms }
   };
   MET_INC ("knapweedbay_quota_asks_total", "");
   // A request that can not be sent is sent again by the next tick.
@@ -79,15 +80,15 @@
   gtw_gateway_t *gateway = ((gtw_quota_t *)spender)->gateway;
   gtw_charge_t *charge = charge_from_waiter (waiter);
   charge->verdict = verdict;
-  charge->charged_ms = tmr_boot_ms ();
+  charge->charged_ms = tmr_boottime_ms ();
   charge->is_decided = true;
   charge->next_decided = NULL;
   gtw_charge_t **at = &gateway->decided;
   while (*at != NULL)
     at = &(*at)->next_decided;
   *at = charge;
-  tmr_after (&gateway->host.timers, &gateway->decided_timer, DECIDED_DELAY_MS,
-             gateway->on_decided, gateway);
+  tmr_start_once (&gateway->host.timers, &gateway->decided_timer,
+                  DECIDED_DELAY_MS, gateway->on_decided, gateway);
 }
 
 static const qsp_callbacks_t spender_callbacks
@@ -132,7 +133,8 @@
 is_recently_started (const gtw_gateway_t *gateway,
                      const quo_tolerance_t *tolerance)
 {
-  return tmr_boot_ms () - gateway->started_boot_ms < quo_window_ms (tolerance);
+  return tmr_boottime_ms () - gateway->started_boot_ms
+         < quo_window_ms (tolerance);
 }
 
 static gtw_quota_t *
@@ -153,7 +155,7 @@
                       ? QLN_PRIOR_LOST
                       : QLN_PRIOR_NONE;
   qsp_init (&quota->spender, &spender_callbacks, gateway, &options,
-            tmr_boot_ms ());
+            tmr_boottime_ms ());
   kb_map_put (&gateway->quotas, subject->key, quota);
   return quota;
 }
@@ -228,7 +230,7 @@
     return;
   expedite_state_report (gateway, before);
   expedite_state_report (gateway, quota->standby_lender);
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", "quota_lender"))
     return;
   const gtw_target_t *lender = kb_map_get (&gateway->links, first.link);
@@ -251,7 +253,7 @@
     quota = quota_create (gateway, subject);
   qsp_set_limit (&quota->spender, &subject->limit, subject->revision);
   if (is_new)
-    update_lender (quota, tmr_boot_ms ());
+    update_lender (quota, tmr_boottime_ms ());
   quota->charge_count++;
   *charge = (gtw_charge_t){
     .quota = quota, .request = r, .amount = amount, .verdict = QSP_WAITING
@@ -269,10 +271,10 @@
                                   .name = workspace->name,
                                   .limit = { limit->rate_per_s, limit->burst },
                                   .revision = r->gateway->config->revision };
-  double tokens = r->parsed_head.states_tokens
+  double tokens = r->parsed_head.has_token_counts
                       ? (double)r->parsed_head.prompt_tokens
                             + (double)r->parsed_head.output_tokens
-                      : (double)limit->plain_tokens;
+                      : (double)limit->default_request_tokens;
   gtw_quota_prepare_charge (r, &r->charge, &subject,
                             limit->counts_tokens ? tokens : 1);
 }
@@ -285,7 +287,7 @@
   if (charge->is_requested)
     return charge->verdict;
   charge->is_requested = true;
-  charge->charged_ms = tmr_boot_ms ();
+  charge->charged_ms = tmr_boottime_ms ();
   charge->verdict = qsp_admit (&charge->quota->spender, &charge->waiter,
                                charge->amount, charge->charged_ms);
   return charge->verdict;
@@ -300,14 +302,14 @@
 uint64_t
 gtw_quota_wait_ms (const gtw_charge_t *charge)
 {
-  return qsp_wait_ms (&charge->quota->spender, tmr_boot_ms ());
+  return qsp_wait_ms (&charge->quota->spender, tmr_boottime_ms ());
 }
 
 uint64_t
 gtw_quota_subject_wait_ms (const gtw_gateway_t *gateway, uint64_t subject)
 {
   const gtw_quota_t *quota = kb_map_get (&gateway->quotas, subject);
-  return quota == NULL ? 0 : qsp_wait_ms (&quota->spender, tmr_boot_ms ());
+  return quota == NULL ? 0 : qsp_wait_ms (&quota->spender, tmr_boottime_ms ());
 }
 
 void
@@ -339,7 +341,7 @@
                         .is_pause = grant_msg->is_pause != 0,
                         .is_refused = grant_msg->is_refused != 0 };
   qsp_apply_grant (&quota->spender, grant_msg->id, &grant, grant_msg->ledger,
-                   tmr_boot_ms ());
+                   tmr_boottime_ms ());
 }
 
 static void
@@ -389,7 +391,7 @@
 void
 gtw_quotas_tick (gtw_gateway_t *gateway)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   update_contacts (gateway, now_ms);
   gtw_quota_t *idle = find_idle (gateway, now_ms);
   if (idle != NULL)
@@ -410,7 +412,7 @@
 gtw_quotas_pack_lent_elsewhere (const gtw_gateway_t *gateway, uint64_t link,
                                 kb_buf_t *out)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   const gtw_target_t *target = kb_map_get (&gateway->links, link);
   // A sidecar without contact to this gateway may lend to others.
   bool is_silent
--- a/src/gateway/gateway_records.c
+++ b/src/gateway/gateway_records.c
@@ -63,8 +63,8 @@
   if (writer->retry_pause_ms > MAX_RETRY_PAUSE_MS)
     writer->retry_pause_ms = MAX_RETRY_PAUSE_MS;
   gtw_records_enqueue (writer->gateway, fingerprint);
-  tmr_after (&writer->gateway->host.timers, &writer->timer,
-             writer->retry_pause_ms, on_retry_timer, writer);
+  tmr_start_once (&writer->gateway->host.timers, &writer->timer,
+                  writer->retry_pause_ms, on_retry_timer, writer);
 }
 
 /// @return  False: the quarantine has no entry of the request any more.
@@ -154,10 +154,10 @@
   if (is_good)
     return;
   MET_INC ("knapweedbay_entries_ignored_total", "reason=\"record\"");
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_WARN, "store", "entry_ignored"))
     return;
-  log_str (&line, "key", stored->key);
+  log_slice (&line, "key", stored->key);
   log_text (&line, "reason",
             "not a valid record of requests that end targets");
   log_end (&line);
--- a/src/gateway/gateway_request.c
+++ b/src/gateway/gateway_request.c
@@ -161,7 +161,7 @@
   const h1_conn_t *conn = &client->conn;
   rly_request_t parsed;
   kb_error_t error = { 0 };
-  if (!h1_request_is_proper (conn))
+  if (!h1_request_is_well_formed (conn))
     return refuse_head (client, HTTP_BAD_REQUEST, "the request is ambiguous");
   kb_status_t status
       = gateway->dialect->read_request (&conn->head, &parsed, &error);
@@ -302,8 +302,8 @@
 {
   uint64_t left_ms
       = gtw_remaining_ms (gtw_request_expiry_ms (r), gtw_now_ms (r->gateway));
-  tmr_after (&r->gateway->host.timers, &r->expiry_timer, left_ms,
-             request_on_expiry, r);
+  tmr_start_once (&r->gateway->host.timers, &r->expiry_timer, left_ms,
+                  request_on_expiry, r);
 }
 
 void
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -136,14 +136,14 @@
   target->is_linked = false;
   target->last_contact_ms = 0;
   target->contact_since_ms = 0;
-  gateway->last_unlink_ms = tmr_boot_ms ();
+  gateway->last_unlink_ms = tmr_boottime_ms ();
   target->condition = MSG_ENGINE_DOWN;
 }
 
 void
 gtw_target_log_event (const gtw_target_t *target, const char *event)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "gateway", event))
     return;
   log_text (&line, "target", target->list_entry.identity.id);
@@ -194,12 +194,12 @@
   gtw_target_t *target = kb_map_get (&gateway->newest_targets, key);
   if (target == NULL)
     target = gtw_target_add (gateway, listing);
-  switch (inc_judge (&target->known_birth, listing->identity.born_ms))
+  switch (inc_observe_birth (&target->known_birth, listing->identity.born_ms))
     {
     case INC_STALE:
       gtw_target_report_stale (target, listing->identity.born_ms, "list");
       return;
-    case INC_ANOTHER:
+    case INC_NEW:
       target = gtw_target_replace_incarnation (gateway, target, listing);
       break;
     case INC_SAME:
--- a/src/gateway/source.h
+++ b/src/gateway/source.h
@@ -125,7 +125,7 @@
   void (*store_record) (src_source_t *source, const src_record_t *record,
                         uint64_t ttl_ms, src_record_done_t done, void *arg);
   /// @return  When the newest answered read of the store began, by the clock
-  ///          of tmr_boot_ms; zero: none was answered.
+  ///          of tmr_boottime_ms; zero: none was answered.
   uint64_t (*last_read_boot_ms) (const src_source_t *source);
   /// Update the gauges of the metrics page.
   void (*set_gauges) (src_source_t *source);
--- a/src/protocol/cfgbuild.c
+++ b/src/protocol/cfgbuild.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/// What every builder of one item needs.
+/// Context for building one item.
 typedef struct
 {
   const kb_map_t *origins;
@@ -31,9 +31,10 @@
                        name[0] ? " \"" : "", name, name[0] ? "\"" : "");
 }
 
+/// @param known_members  Names, ended by NULL.
 static kb_status_t
 check_members (const build_t *b, struct json_object *obj,
-               const char *const *known)
+               const char *const *known_members)
 {
   if (!json_object_is_type (obj, json_type_object))
     return item_error (b, "must be an object", "");
@@ -41,15 +42,16 @@
   {
     (void)value;
     bool is_known = false;
-    for (int i = 0; known[i] != NULL; i++)
-      is_known |= strcmp (known[i], name) == 0;
+    for (int i = 0; known_members[i] != NULL; i++)
+      is_known |= strcmp (known_members[i], name) == 0;
     if (!is_known)
       return item_error (b, "unknown member", name);
   }
   return KB_OK;
 }
 
-/// @return  KB_EINVAL when a member is present but not from min to max.
+/// @return  KB_EINVAL if the member is present but not an integer from min to
+///          max.
 static kb_status_t
 read_int (const build_t *b, struct json_object *obj, const char *name,
           int64_t fallback, int64_t min, int64_t max, int64_t *out)
@@ -69,9 +71,9 @@
 static kb_status_t
 build_service (build_t *b, struct json_object *obj)
 {
-  static const char *const known[]
+  static const char *const known_members[]
       = { "kind", "base_model", "idempotent", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
   const char *kind = jsn_str (obj, "kind", "engine");
@@ -123,9 +125,9 @@
 static kb_status_t
 build_adapter (build_t *b, struct json_object *obj)
 {
-  static const char *const known[]
+  static const char *const known_members[]
       = { "service", "current", "versions", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
   if (strchr (b->item, '@') != NULL)
@@ -175,32 +177,33 @@
 static kb_status_t
 build_workspace (build_t *b, struct json_object *obj)
 {
-  static const char *const known[] = { "key_sha256",   "class",      "weight",
-                                       "max_inflight", "rate_per_s", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  static const char *const known_members[] = { "key_sha256", "class",
+                                               "weight",     "max_inflight",
+                                               "rate_per_s", NULL };
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
-  cfg_workspace_t *p = &b->config->workspaces[b->config->workspace_count++];
-  p->name = cfg_strdup (b->config, b->item);
-  if (!parse_hex (jsn_str (obj, "key_sha256", NULL), p->key_digest,
+  cfg_workspace_t *w = &b->config->workspaces[b->config->workspace_count++];
+  w->name = cfg_strdup (b->config, b->item);
+  if (!parse_hex (jsn_str (obj, "key_sha256", NULL), w->key_digest,
                   CFG_KEY_DIGEST_BYTES))
     return item_error (b, "\"key_sha256\" must be 64 hex digits", "");
   int64_t priority_class;
   int64_t weight;
   int64_t max_inflight;
-  if ((status
-       = read_int (b, obj, "class", 4, 0, CFG_CLASSES - 1, &priority_class))
+  if ((status = read_int (b, obj, "class", 4, 0, CFG_PRIORITY_CLASS_COUNT - 1,
+                          &priority_class))
           != KB_OK
       || (status = read_int (b, obj, "weight", 1, 1, 1000, &weight)) != KB_OK
       || (status
           = read_int (b, obj, "max_inflight", 0, 0, 1000000, &max_inflight))
              != KB_OK)
     return status;
-  p->priority_class = (uint8_t)priority_class;
-  p->weight = (uint32_t)weight;
-  p->max_inflight = (uint32_t)max_inflight;
-  p->rate_per_s = jsn_num (obj, "rate_per_s", 0);
-  if (p->rate_per_s < 0)
+  w->priority_class = (uint8_t)priority_class;
+  w->weight = (uint32_t)weight;
+  w->max_inflight = (uint32_t)max_inflight;
+  w->rate_per_s = jsn_num (obj, "rate_per_s", 0);
+  if (w->rate_per_s < 0)
     return item_error (b, "out of range:", "rate_per_s");
   return KB_OK;
 }
@@ -217,9 +220,9 @@
 static kb_status_t
 build_rule (build_t *b, struct json_object *obj)
 {
-  static const char *const known[]
+  static const char *const known_members[]
       = { "workspace", "service", "adapter_prefix", "class", NULL };
-  kb_status_t status = check_members (b, obj, known);
+  kb_status_t status = check_members (b, obj, known_members);
   if (status != KB_OK)
     return status;
   cfg_rule_t *r = &b->config->rules[b->config->rule_count++];
@@ -236,7 +239,8 @@
   int64_t priority_class;
   if (jsn_get (obj, "class") == NULL)
     return item_error (b, "needs a \"class\"", "");
-  status = read_int (b, obj, "class", 0, 0, CFG_CLASSES - 1, &priority_class);
+  status = read_int (b, obj, "class", 0, 0, CFG_PRIORITY_CLASS_COUNT - 1,
+                     &priority_class);
   r->priority_class = (uint8_t)priority_class;
   return status;
 }
--- a/src/protocol/msg.c
+++ b/src/protocol/msg.c
@@ -3,8 +3,8 @@
 #include <msgpack.h>
 #include <stddef.h>
 
-/// Fields of one message type, as offsets into msg_t. A positive entry is an
-/// integer field, a negative one a slice.
+/// Fields of one message type in wire order, as offsets into msg_t: positive
+/// for an integer (UINT), negated for a slice (BYTES).
 typedef struct
 {
   const char *name;
@@ -12,199 +12,217 @@
   int16_t fields[24];
 } msg_layout_t;
 
-#define N(member, field) (int16_t) offsetof (msg_t, member.field) // NOLINT
-#define S(member, field)                           /* NOLINT */               \
+#define UINT(member, field) (int16_t) offsetof (msg_t, member.field) // NOLINT
+#define BYTES(member, field)                       /* NOLINT */               \
   (int16_t) (-(int)offsetof (msg_t, member.field)) // NOLINT
 
 static const msg_layout_t layouts[MSG_TYPE_END] = {
   [MSG_HELLO]
   = { "hello",
       13,
-      { S (hello, name), N (hello, role), N (hello, incarnation),
-        S (hello, failure_domain), S (hello, service), N (hello, is_plain),
-        N (hello, slots), N (hello, max_batch), N (hello, revision),
-        N (hello, state), N (hello, memory_since_wall_ms), N (hello, is_reply),
-        S (hello, resident) } },
-  [MSG_PING]
-  = { "ping",
-      3,
-      { N (ping, stamp_us), N (ping, revision), N (ping, target_count) } },
-  [MSG_PONG]
-  = { "pong",
-      8,
-      { N (pong, stamp_us), N (pong, revision), N (pong, state),
-        N (pong, queue_len), N (pong, running), N (pong, expected_wait_ms),
-        N (pong, stall_us_total), N (pong, fill_permille) } },
+      { BYTES (hello, name), UINT (hello, role), UINT (hello, incarnation),
+        BYTES (hello, failure_domain), BYTES (hello, service),
+        UINT (hello, is_plain), UINT (hello, slots), UINT (hello, max_batch),
+        UINT (hello, revision), UINT (hello, state),
+        UINT (hello, memory_since_wall_ms), UINT (hello, is_reply),
+        BYTES (hello, resident) } },
+  [MSG_PING] = { "ping",
+                 3,
+                 { UINT (ping, stamp_us), UINT (ping, revision),
+                   UINT (ping, target_count) } },
+  [MSG_PONG] = { "pong",
+                 8,
+                 { UINT (pong, stamp_us), UINT (pong, revision),
+                   UINT (pong, state), UINT (pong, queue_len),
+                   UINT (pong, running), UINT (pong, expected_wait_ms),
+                   UINT (pong, stall_us_total), UINT (pong, fill_permille) } },
   [MSG_DISPATCH]
   = { "dispatch",
       20,
-      { N (dispatch, attempt),        N (dispatch, claim_key),
-        N (dispatch, claim_digest),   N (dispatch, claim_epoch),
-        N (dispatch, deadline_ms),    N (dispatch, flags),
-        N (dispatch, priority_class), N (dispatch, weight),
-        N (dispatch, revision),       N (dispatch, version),
-        N (dispatch, max_tokens),     N (dispatch, incarnation),
-        N (dispatch, fingerprint),    S (dispatch, workspace),
-        S (dispatch, adapter),        S (dispatch, source),
-        S (dispatch, method),         S (dispatch, path),
-        S (dispatch, body),           S (dispatch, traceparent) } },
-  [MSG_PART] = { "part",
-                 5,
-                 { N (part, attempt), N (part, seq), N (part, http_status),
-                   S (part, content_type), S (part, data) } },
+      { UINT (dispatch, attempt),        UINT (dispatch, claim_key),
+        UINT (dispatch, claim_digest),   UINT (dispatch, claim_epoch),
+        UINT (dispatch, deadline_ms),    UINT (dispatch, flags),
+        UINT (dispatch, priority_class), UINT (dispatch, weight),
+        UINT (dispatch, revision),       UINT (dispatch, version),
+        UINT (dispatch, max_tokens),     UINT (dispatch, incarnation),
+        UINT (dispatch, fingerprint),    BYTES (dispatch, workspace),
+        BYTES (dispatch, adapter),       BYTES (dispatch, source),
+        BYTES (dispatch, method),        BYTES (dispatch, path),
+        BYTES (dispatch, body),          BYTES (dispatch, traceparent) } },
+  [MSG_PART]
+  = { "part",
+      5,
+      { UINT (part, attempt), UINT (part, seq), UINT (part, http_status),
+        BYTES (part, content_type), BYTES (part, data) } },
   [MSG_END]
   = { "end",
       18,
-      { N (end, attempt), N (end, seq), N (end, outcome), N (end, http_status),
-        N (end, retry_after_ms), N (end, queue_len), N (end, running),
-        N (end, expected_wait_ms), N (end, demand_permille),
-        N (end, is_resident), N (end, queue_us), N (end, load_us),
-        N (end, run_us), N (end, revision), N (end, state), N (end, version),
-        S (end, adapter), S (end, reason) } },
-  [MSG_CANCEL] = { "cancel", 1, { N (cancel, attempt) } },
+      { UINT (end, attempt), UINT (end, seq), UINT (end, outcome),
+        UINT (end, http_status), UINT (end, retry_after_ms),
+        UINT (end, queue_len), UINT (end, running),
+        UINT (end, expected_wait_ms), UINT (end, demand_permille),
+        UINT (end, is_resident), UINT (end, queue_us), UINT (end, load_us),
+        UINT (end, run_us), UINT (end, revision), UINT (end, state),
+        UINT (end, version), BYTES (end, adapter), BYTES (end, reason) } },
+  [MSG_CANCEL] = { "cancel", 1, { UINT (cancel, attempt) } },
   [MSG_REVOKE] = { "revoke",
                    3,
-                   { N (revoke, attempt), N (revoke, claim_key),
-                     N (revoke, incarnation) } },
-  [MSG_REVOKED]
-  = { "revoked",
-      3,
-      { N (revoked, attempt), N (revoked, claim_key), N (revoked, state) } },
-  [MSG_CLAIM] = { "claim",
-                  7,
-                  { N (claim, id), N (claim, claim_key), N (claim, digest),
-                    N (claim, attempt), N (claim, voided_attempt),
-                    N (claim, incarnation), N (claim, runner) } },
+                   { UINT (revoke, attempt), UINT (revoke, claim_key),
+                     UINT (revoke, incarnation) } },
+  [MSG_REVOKED] = { "revoked",
+                    3,
+                    { UINT (revoked, attempt), UINT (revoked, claim_key),
+                      UINT (revoked, state) } },
+  [MSG_CLAIM]
+  = { "claim",
+      7,
+      { UINT (claim, id), UINT (claim, claim_key), UINT (claim, digest),
+        UINT (claim, attempt), UINT (claim, voided_attempt),
+        UINT (claim, incarnation), UINT (claim, runner) } },
   [MSG_CLAIM_REPLY]
   = { "claim_reply",
       7,
-      { N (claim_reply, id), N (claim_reply, verdict), N (claim_reply, epoch),
-        N (claim_reply, attempt), N (claim_reply, incarnation),
-        N (claim_reply, outcome), N (claim_reply, runner) } },
-  [MSG_CLAIM_NOTE] = { "claim_note",
-                       3,
-                       { N (claim_note, claim_key), N (claim_note, attempt),
-                         N (claim_note, outcome) } },
-  [MSG_RECOVER] = { "recover", 2, { N (recover, id), S (recover, epochs) } },
+      { UINT (claim_reply, id), UINT (claim_reply, verdict),
+        UINT (claim_reply, epoch), UINT (claim_reply, attempt),
+        UINT (claim_reply, incarnation), UINT (claim_reply, outcome),
+        UINT (claim_reply, runner) } },
+  [MSG_CLAIM_OUTCOME]
+  = { "claim_note",
+      3,
+      { UINT (claim_outcome, claim_key), UINT (claim_outcome, attempt),
+        UINT (claim_outcome, outcome) } },
+  [MSG_RECOVER]
+  = { "recover", 2, { UINT (recover, id), BYTES (recover, epochs) } },
   [MSG_RECORDS]
   = { "records",
       5,
-      { N (records, id), N (records, is_last), N (records, purpose),
-        N (records, memory_since_wall_ms), S (records, records) } },
-  [MSG_GATE_ASK] = { "gate_ask",
-                     3,
-                     { N (gate_ask, id), N (gate_ask, waiting),
-                       N (gate_ask, priority_class) } },
-  [MSG_GATE_GRANT] = { "gate_grant", 1, { N (gate_grant, id) } },
-  [MSG_GATE_DONE] = { "gate_done", 1, { N (gate_done, id) } },
+      { UINT (records, id), UINT (records, is_last), UINT (records, purpose),
+        UINT (records, memory_since_wall_ms), BYTES (records, records) } },
+  [MSG_GATE_REQUEST]
+  = { "gate_ask",
+      3,
+      { UINT (gate_request, id), UINT (gate_request, waiting),
+        UINT (gate_request, priority_class) } },
+  [MSG_GATE_GRANT] = { "gate_grant", 1, { UINT (gate_grant, id) } },
+  [MSG_GATE_DONE] = { "gate_done", 1, { UINT (gate_done, id) } },
   [MSG_ANNOUNCE]
-  = { "announce", 2, { N (announce, revision), N (announce, map_revision) } },
+  = { "announce",
+      2,
+      { UINT (announce, revision), UINT (announce, map_revision) } },
   [MSG_CONFIG_PULL]
   = { "config_pull",
       2,
-      { N (config_pull, have_revision), S (config_pull, digests) } },
-  [MSG_CONFIG_PART] = { "config_part",
-                        4,
-                        { N (config_part, revision), N (config_part, is_head),
-                          S (config_part, digest), S (config_part, data) } },
+      { UINT (config_pull, have_revision), BYTES (config_pull, digests) } },
+  [MSG_CONFIG_PART]
+  = { "config_part",
+      4,
+      { UINT (config_part, revision), UINT (config_part, is_head),
+        BYTES (config_part, digest), BYTES (config_part, data) } },
   [MSG_GATEWAY_STATE]
   = { "gateway_state",
       12,
-      { N (gateway_state, incarnation), N (gateway_state, revision),
-        N (gateway_state, versions_known), N (gateway_state, engine_count),
-        N (gateway_state, list_stamp), N (gateway_state, quarantine_stamp),
-        S (gateway_state, places), N (gateway_state, gateway_peak),
-        N (gateway_state, gateway_peak_age_ms),
-        S (gateway_state, lent_elsewhere), N (gateway_state, limit_milli),
-        N (gateway_state, limit_age_ms) } },
+      { UINT (gateway_state, incarnation), UINT (gateway_state, revision),
+        UINT (gateway_state, versions_known),
+        UINT (gateway_state, engine_count), UINT (gateway_state, list_stamp),
+        UINT (gateway_state, quarantine_stamp), BYTES (gateway_state, places),
+        UINT (gateway_state, gateway_peak),
+        UINT (gateway_state, gateway_peak_age_ms),
+        BYTES (gateway_state, lent_elsewhere),
+        UINT (gateway_state, limit_milli),
+        UINT (gateway_state, limit_age_ms) } },
   [MSG_ENGINE_STATE] = { "engine_state",
                          21,
-                         { N (engine_state, incarnation),
-                           N (engine_state, revision),
-                           N (engine_state, versions_known),
-                           N (engine_state, condition),
-                           N (engine_state, slots),
-                           N (engine_state, granted),
-                           N (engine_state, waiting),
-                           N (engine_state, gateway_count),
-                           N (engine_state, backlog_us),
-                           N (engine_state, tokens_per_s),
-                           N (engine_state, load_wait_ms),
-                           N (engine_state, held_for_ms),
-                           S (engine_state, instance),
-                           N (engine_state, born_ms),
-                           N (engine_state, list_stamp),
-                           N (engine_state, quarantine_stamp),
-                           S (engine_state, adapters),
-                           N (engine_state, gateway_peak),
-                           N (engine_state, gateway_peak_age_ms),
-                           N (engine_state, start_wait_ms),
-                           N (engine_state, start_every_ms) } },
-  [MSG_PLACE_ASK]
+                         { UINT (engine_state, incarnation),
+                           UINT (engine_state, revision),
+                           UINT (engine_state, versions_known),
+                           UINT (engine_state, condition),
+                           UINT (engine_state, slots),
+                           UINT (engine_state, granted),
+                           UINT (engine_state, waiting),
+                           UINT (engine_state, gateway_count),
+                           UINT (engine_state, backlog_us),
+                           UINT (engine_state, tokens_per_s),
+                           UINT (engine_state, load_wait_ms),
+                           UINT (engine_state, held_for_ms),
+                           BYTES (engine_state, instance),
+                           UINT (engine_state, born_ms),
+                           UINT (engine_state, list_stamp),
+                           UINT (engine_state, quarantine_stamp),
+                           BYTES (engine_state, adapters),
+                           UINT (engine_state, gateway_peak),
+                           UINT (engine_state, gateway_peak_age_ms),
+                           UINT (engine_state, start_wait_ms),
+                           UINT (engine_state, start_every_ms) } },
+  [MSG_PLACE_REQUEST]
   = { "place_ask",
       12,
-      { N (place_ask, id), N (place_ask, priority),
-        N (place_ask, prompt_tokens), N (place_ask, output_tokens),
-        N (place_ask, left_ms), N (place_ask, objective_ms),
-        N (place_ask, version), N (place_ask, declined),
-        N (place_ask, is_alone), S (place_ask, model), S (place_ask, adapter),
-        S (place_ask, attempt) } },
+      { UINT (place_request, id), UINT (place_request, priority),
+        UINT (place_request, prompt_tokens),
+        UINT (place_request, output_tokens), UINT (place_request, left_ms),
+        UINT (place_request, objective_ms), UINT (place_request, version),
+        UINT (place_request, decline_count), UINT (place_request, is_alone),
+        BYTES (place_request, model), BYTES (place_request, adapter),
+        BYTES (place_request, attempt) } },
   [MSG_PLACE_GRANT]
   = { "place_grant",
       6,
-      { N (place_grant, id), N (place_grant, version),
-        N (place_grant, load_us), S (place_grant, instance),
-        N (place_grant, born_ms), N (place_grant, is_alone) } },
+      { UINT (place_grant, id), UINT (place_grant, version),
+        UINT (place_grant, load_us), BYTES (place_grant, instance),
+        UINT (place_grant, born_ms), UINT (place_grant, is_alone) } },
   [MSG_PLACE_DECLINE]
   = { "place_decline",
       3,
-      { N (place_decline, id), N (place_decline, retry_after_ms),
-        S (place_decline, reason) } },
-  [MSG_PLACE_RELEASE] = { "place_release",
-                          3,
-                          { N (place_release, id), N (place_release, gaps),
-                            N (place_release, gaps_ms) } },
-  [MSG_PLACE_BEGUN] = { "place_begun", 1, { N (place_begun, id) } },
+      { UINT (place_decline, id), UINT (place_decline, retry_after_ms),
+        BYTES (place_decline, reason) } },
+  [MSG_PLACE_RELEASE]
+  = { "place_release",
+      3,
+      { UINT (place_release, id), UINT (place_release, gaps),
+        UINT (place_release, gaps_ms) } },
+  [MSG_PLACE_BEGUN] = { "place_begun", 1, { UINT (place_begun, id) } },
   [MSG_DOCUMENT]
-  = { "document", 2, { N (document, revision), S (document, data) } },
+  = { "document", 2, { UINT (document, revision), BYTES (document, data) } },
   [MSG_ADAPTER_VERSION]
   = { "adapter_version",
       3,
-      { N (adapter_version, version), S (adapter_version, model),
-        S (adapter_version, adapter) } },
-  [MSG_CHANGES_ASK]
+      { UINT (adapter_version, version), BYTES (adapter_version, model),
+        BYTES (adapter_version, adapter) } },
+  [MSG_CHANGES_REQUEST]
   = { "changes_ask",
       5,
-      { N (changes_ask, id), N (changes_ask, store), N (changes_ask, after),
-        N (changes_ask, known_age_ms), N (changes_ask, pause_ms) } },
+      { UINT (changes_request, id), UINT (changes_request, store),
+        UINT (changes_request, after), UINT (changes_request, known_age_ms),
+        UINT (changes_request, pause_ms) } },
   [MSG_CHANGES]
   = { "changes",
       7,
-      { N (changes, id), N (changes, status), N (changes, as_of),
-        N (changes, began_before_ms), N (changes, began_after_ms),
-        N (changes, config_revision), S (changes, changes) } },
-  [MSG_QUARANTINE] = { "quarantine", 1, { S (quarantine, words) } },
-  [MSG_QUOTA_ASK]
+      { UINT (changes, id), UINT (changes, status), UINT (changes, as_of),
+        UINT (changes, began_before_ms), UINT (changes, began_after_ms),
+        UINT (changes, config_revision), BYTES (changes, changes) } },
+  [MSG_QUARANTINE] = { "quarantine", 1, { BYTES (quarantine, records) } },
+  [MSG_QUOTA_REQUEST]
   = { "quota_ask",
       18,
-      { N (quota_ask, id), N (quota_ask, subject), N (quota_ask, is_of_target),
-        N (quota_ask, revision), N (quota_ask, rate_milli),
-        N (quota_ask, burst_milli), N (quota_ask, least_milli),
-        N (quota_ask, want_milli), N (quota_ask, unspent_milli),
-        N (quota_ask, since_ms), N (quota_ask, life), N (quota_ask, uptime_ms),
-        N (quota_ask, reach_milli), N (quota_ask, past),
-        N (quota_ask, ledger_age_ms), S (quota_ask, ledger),
-        N (quota_ask, gateway_peak), N (quota_ask, gateway_peak_age_ms) } },
+      { UINT (quota_request, id), UINT (quota_request, subject),
+        UINT (quota_request, is_of_target), UINT (quota_request, revision),
+        UINT (quota_request, rate_milli), UINT (quota_request, burst_milli),
+        UINT (quota_request, min_milli), UINT (quota_request, wanted_milli),
+        UINT (quota_request, unspent_milli), UINT (quota_request, since_ms),
+        UINT (quota_request, sidecar_incarnation),
+        UINT (quota_request, uptime_ms), UINT (quota_request, reachable_milli),
+        UINT (quota_request, prior), UINT (quota_request, ledger_age_ms),
+        BYTES (quota_request, ledger), UINT (quota_request, gateway_peak),
+        UINT (quota_request, gateway_peak_age_ms) } },
   [MSG_QUOTA_GRANT]
   = { "quota_grant",
       8,
-      { N (quota_grant, id), N (quota_grant, subject),
-        N (quota_grant, granted_milli), N (quota_grant, lasts_ms),
-        N (quota_grant, wait_ms), N (quota_grant, is_pause),
-        N (quota_grant, is_refused), S (quota_grant, ledger) } },
+      { UINT (quota_grant, id), UINT (quota_grant, subject),
+        UINT (quota_grant, granted_milli), UINT (quota_grant, lasts_ms),
+        UINT (quota_grant, wait_ms), UINT (quota_grant, is_pause),
+        UINT (quota_grant, is_refused), BYTES (quota_grant, ledger) } },
 };
-#undef N
-#undef S
+#undef UINT
+#undef BYTES
 
 const char *
 msg_type_name (msg_type_t type)
@@ -288,9 +306,9 @@
   return KB_OK;
 }
 
-/// A hostile array header can announce billions of elements, for which the
-/// library would reserve memory before it reads them. Only small arrays with
-/// a 1- or 3-byte header are ever written, so all others are refused.
+/// A malicious array header can announce billions of elements, and the library
+/// would allocate memory for them before reading them. The encoder only writes
+/// small arrays with a header of 1 or 3 bytes, so any other one is rejected.
 static bool
 header_is_plausible (kb_slice_t bytes)
 {
@@ -310,8 +328,8 @@
          && (uint8_t)bytes.ptr[2] <= MAX_FIELDS;
 }
 
-/// Fields are integers and byte strings only; a nested container would let
-/// the inner element count grow without bound.
+/// Fields are only integers and byte strings. A nested container is rejected,
+/// since its element count would be unbounded.
 static bool
 elements_are_flat (kb_slice_t bytes)
 {
@@ -364,9 +382,9 @@
   msgpack_object object;
   size_t offset = 0;
   kb_status_t status = KB_EINVAL;
-  msgpack_unpack_return got
+  msgpack_unpack_return unpack_result
       = msgpack_unpack (bytes.ptr, bytes.len_bytes, &offset, &zone, &object);
-  if (got == MSGPACK_UNPACK_SUCCESS && offset == bytes.len_bytes
+  if (unpack_result == MSGPACK_UNPACK_SUCCESS && offset == bytes.len_bytes
       && object.type == MSGPACK_OBJECT_ARRAY)
     status = array_read (&object.via.array, out);
   msgpack_zone_destroy (&zone);
--- a/src/relay/forward.c
+++ b/src/relay/forward.c
@@ -45,6 +45,6 @@
   if (records->len_bytes == 0)
     return;
   msg_t msg = { .type = MSG_QUARANTINE,
-                .quarantine = { .words = kb_buf_slice (records) } };
+                .quarantine = { .records = kb_buf_slice (records) } };
   send_or_count (host, peer, &msg);
 }
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -38,7 +38,7 @@
           i++;
           continue;
         }
-      log_event_t line;
+      log_line_t line;
       if (log_begin (&line, LOG_WARN, "sidecar", "gateway_lost"))
         {
           log_text (&line, "gateway", gateway->name);
@@ -71,7 +71,7 @@
   s->table.is_engine_ready = false;
   scr_send_state (s, NULL);
   scr_process_queue (s);
-  tmr_after (&host->timers, &s->exit_timer, EXIT_MS, on_exit_timer, s);
+  tmr_start_once (&host->timers, &s->exit_timer, EXIT_MS, on_exit_timer, s);
 }
 
 static void
@@ -144,9 +144,9 @@
       || plk_link_bind (&s->host.link, settings->listen_address, &port, error)
              != KB_OK)
     return NULL;
-  tmr_every (&s->host.timers, &s->heartbeat_timer, TRN_HEARTBEAT_MS,
-             check_gateways, s);
-  tmr_after (&s->host.timers, &s->poll_timer, 0, scr_poll_engine, s);
+  tmr_start_periodic (&s->host.timers, &s->heartbeat_timer, TRN_HEARTBEAT_MS,
+                      check_gateways, s);
+  tmr_start_once (&s->host.timers, &s->poll_timer, 0, scr_poll_engine, s);
   return s;
 }
 
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -69,15 +69,15 @@
   lto_orders_t late_orders; ///< Orders that got no answer.
   rdr_reader_t *reader;     ///< Of the store; NULL: no store address is set.
   shr_cache_t *share_cache; ///< NULL: no gateway has requested changes lately.
-  tmr_sub_t share_timer;
-  tmr_sub_t share_idle_timer;
+  tmr_timer_t share_timer;
+  tmr_timer_t share_idle_timer;
   bool is_state_pending;
   uint64_t state_sent_ms;
-  tmr_sub_t poll_timer;
-  tmr_sub_t state_timer;
-  tmr_sub_t heartbeat_timer;
-  tmr_sub_t queue_timer;
-  tmr_sub_t exit_timer;
+  tmr_timer_t poll_timer;
+  tmr_timer_t state_timer;
+  tmr_timer_t heartbeat_timer;
+  tmr_timer_t queue_timer;
+  tmr_timer_t exit_timer;
 };
 
 static inline uint64_t
@@ -114,7 +114,7 @@
 // sidecar_share.c
 /// Handle a request for changes of the store.
 void scr_share_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                               const msg_changes_ask_t *msg);
+                               const msg_changes_request_t *msg);
 
 // sidecar_quarantine.c
 /// Receive records of requests during which targets terminated.
@@ -132,7 +132,7 @@
                               const msg_gateway_state_t *state);
 /// Handle a request for credit.
 void scr_quota_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                               const msg_quota_ask_t *msg);
+                               const msg_quota_request_t *msg);
 
 // sidecar_engine.c
 /// Grant and decline places and order the engine, as far as possible now.
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -38,7 +38,7 @@
 log_order (const scr_sidecar_t *s, const adm_adapter_t *adapter,
            egn_order_outcome_t outcome)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, outcome <= EGN_ORDER_SATISFIED ? LOG_DEBUG : LOG_WARN,
                   "sidecar", "order"))
     return;
@@ -121,8 +121,8 @@
   // The count of orders in the report shows whether an order without an answer
   // was accepted.
   if (!s->is_engine_call_pending)
-    tmr_after (&s->host.timers, &s->poll_timer, is_done ? POLL_LOADING_MS : 0,
-               scr_poll_engine, s);
+    tmr_start_once (&s->host.timers, &s->poll_timer,
+                    is_done ? POLL_LOADING_MS : 0, scr_poll_engine, s);
 }
 
 /// Order the engine to load or unload an adapter.
@@ -175,8 +175,8 @@
         {
         case ADM_ACTION_NONE:
           if (s->table.waiting > 0)
-            tmr_after (&s->host.timers, &s->queue_timer, QUEUE_RETRY_MS,
-                       process_queue_on_timer, s);
+            tmr_start_once (&s->host.timers, &s->queue_timer, QUEUE_RETRY_MS,
+                            process_queue_on_timer, s);
           return;
         case ADM_ACTION_GRANT:
           scr_grant (s, action.request);
@@ -255,7 +255,7 @@
     return;
   kb_slice_copy (instance, s->engine_incarnation.id,
                  sizeof s->engine_incarnation.id);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "engine_identified"))
     {
       log_text (&line, "instance", s->engine_incarnation.id);
@@ -283,7 +283,7 @@
 static void
 engine_restarted (scr_sidecar_t *s)
 {
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_WARN, "sidecar", "engine_restarted"))
     {
       log_text (&line, "instance", s->engine_incarnation.id);
@@ -295,7 +295,7 @@
   s->identify_sent_ms = 0;
   lto_restarted (&s->late_orders);
   adm_handle_engine_restart (&s->table);
-  bkp_limit_t no_limit = { .at_ms = tmr_boot_ms () };
+  bkp_limit_t no_limit = { .at_ms = tmr_boottime_ms () };
   bkp_meter_merge (&s->table.meter, &no_limit, scr_now_ms (s));
   scr_state_changed (s);
 }
@@ -375,7 +375,8 @@
                       : s->table.granted > 0 || s->table.waiting > 0
                           ? POLL_BUSY_MS
                           : POLL_IDLE_MS;
-  tmr_after (&s->host.timers, &s->poll_timer, pause_ms, scr_poll_engine, s);
+  tmr_start_once (&s->host.timers, &s->poll_timer, pause_ms, scr_poll_engine,
+                  s);
 }
 
 void
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -36,7 +36,7 @@
   s->table.options.kv_tokens = service->kv_tokens;
   // An engine that is ordered to hold more than fits its slots or its memory
   // crashes, and all its runs fail.
-  s->table.options.adapter_slots = svc_service_adapter_places (service);
+  s->table.options.adapter_slots = svc_service_max_adapters (service);
   pce_set_max_gap (&s->table.reading.pace,
                    svc_service_gap_target_ms (s->config, service->name));
 }
@@ -63,8 +63,8 @@
   apply_config (s);
   // Routes of callers are not needed here; 2,000 of them take 0.8 MB at each
   // of hundreds of engines.
-  svc_config_drop_callers (config);
-  log_event_t line;
+  svc_config_drop_gateway_data (config);
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "config", "config_in_force"))
     {
       log_int (&line, "revision", (int64_t)config->revision);
@@ -109,7 +109,7 @@
   adm_adapter_t *adapter = kb_map_get (&s->table.adapters, item->key);
   if (adapter != NULL)
     adm_adapter_require_version (adapter, item->version);
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "adapter_version"))
     {
       log_text (&line, "adapter", item->adapter);
@@ -198,11 +198,11 @@
       answered++;
     }
   uint32_t released = adm_reconcile_end (&s->table, owner);
-  log_event_t line;
+  log_line_t line;
   if (answered + released == 0
       || !log_begin (&line, LOG_INFO, "sidecar", "places_reconciled"))
     return;
-  log_str (&line, "gateway", peer);
+  log_slice (&line, "gateway", peer);
   log_int (&line, "answered", answered);
   log_int (&line, "released", released);
   log_end (&line);
@@ -212,7 +212,7 @@
 static void
 apply_limit (scr_sidecar_t *s, const msg_gateway_state_t *state)
 {
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   bkp_limit_t limit
       = { .is_limited = state->limit_milli > 0,
           .per_s = (double)state->limit_milli / MILLI,
@@ -221,7 +221,7 @@
   if (!bkp_meter_merge (&s->table.meter, &limit, scr_now_ms (s)))
     return;
   scr_state_changed (s);
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "sidecar", "engine_limit"))
     return;
   log_int (&line, "is_limited", limit.is_limited);
@@ -263,10 +263,10 @@
 log_decline (const scr_sidecar_t *s, kb_slice_t attempt, const char *reason,
              uint64_t wait_ms)
 {
-  log_event_t line;
+  log_line_t line;
   if (!log_begin (&line, LOG_INFO, "sidecar", "place_refused"))
     return;
-  log_str (&line, "id", attempt);
+  log_slice (&line, "id", attempt);
   log_text (&line, "reason", reason);
   log_int (&line, "wait_ms", (int64_t)wait_ms);
   log_int (&line, "fetch_ms", (int64_t)s->table.fetch_limit.mean_fetch_ms);
@@ -280,7 +280,7 @@
 
 static void
 handle_place_request (scr_sidecar_t *s, kb_slice_t peer,
-                      const msg_place_ask_t *msg)
+                      const msg_place_request_t *msg)
 {
   if (s->condition != MSG_ENGINE_READY || s->host.is_stopping)
     {
@@ -293,7 +293,7 @@
       = { .id = msg->id,
           .owner = scr_name_id (peer),
           .priority = (uint32_t)msg->priority,
-          .decline_count = (uint32_t)msg->declined,
+          .decline_count = (uint32_t)msg->decline_count,
           .alone.is_alone = msg->is_alone != 0,
           .kv_tokens_needed
           = (uint32_t)(msg->prompt_tokens + msg->output_tokens),
@@ -380,8 +380,8 @@
     case MSG_GATEWAY_STATE:
       handle_gateway_state (s, peer, &msg->gateway_state);
       break;
-    case MSG_PLACE_ASK:
-      handle_place_request (s, peer, &msg->place_ask);
+    case MSG_PLACE_REQUEST:
+      handle_place_request (s, peer, &msg->place_request);
       break;
     case MSG_PLACE_RELEASE:
       handle_place_release (s, peer, &msg->place_release);
@@ -389,14 +389,14 @@
     case MSG_PLACE_BEGUN:
       handle_place_begun (s, peer, msg->place_begun.id);
       break;
-    case MSG_CHANGES_ASK:
-      scr_share_handle_request (s, peer, &msg->changes_ask);
+    case MSG_CHANGES_REQUEST:
+      scr_share_handle_request (s, peer, &msg->changes_request);
       break;
-    case MSG_QUOTA_ASK:
-      scr_quota_handle_request (s, peer, &msg->quota_ask);
+    case MSG_QUOTA_REQUEST:
+      scr_quota_handle_request (s, peer, &msg->quota_request);
       break;
     case MSG_QUARANTINE:
-      scr_quarantine_receive (s, msg->quarantine.words);
+      scr_quarantine_receive (s, msg->quarantine.records);
       break;
     case MSG_DOCUMENT:
       apply_document (s, &msg->document);
--- a/src/sidecar/sidecar_share.c
+++ b/src/sidecar/sidecar_share.c
@@ -28,9 +28,9 @@
   switch (status)
     {
     case SHR_CHANGES_KNOWN:
-      return MSG_CHANGES_KNOWN;
+      return MSG_CHANGES_AVAILABLE;
     case SHR_TOO_OLD:
-      return MSG_CHANGES_BEHIND;
+      return MSG_CHANGES_NOT_RETAINED;
     case SHR_READ_FAILED:
       break;
     }
@@ -92,13 +92,13 @@
   else
     {
       MET_INC ("knapweedbay_shared_reads_total", "result=\"failed\"");
-      log_event_t line;
+      log_line_t line;
       if (log_begin (&line, LOG_INFO, "store", "store_read_failed"))
         {
           log_int (&line, "behind", (int64_t)s->share_cache->as_of);
-          log_int (
-              &line, "waited_ms",
-              (int64_t)(tmr_boot_ms () - s->share_cache->reading_since_ms));
+          log_int (&line, "waited_ms",
+                   (int64_t)(tmr_boottime_ms ()
+                             - s->share_cache->reading_since_ms));
           log_int (&line, "asked_by", s->share_cache->request_count);
           log_end (&line);
         }
@@ -113,7 +113,7 @@
 share_update (scr_sidecar_t *s)
 {
   shr_cache_t *cache = s->share_cache;
-  uint64_t now_ms = tmr_boot_ms ();
+  uint64_t now_ms = tmr_boottime_ms ();
   shr_request_t request;
   shr_status_t status;
   while (shr_request_pop (cache, now_ms, &request, &status))
@@ -123,8 +123,8 @@
     s->reader->vtable->read (s->reader, after, share_read_done, s);
   uint64_t due_ms = shr_due_ms (cache);
   if (due_ms != UINT64_MAX)
-    tmr_after (&s->host.timers, &s->share_timer,
-               due_ms > now_ms ? due_ms - now_ms : 0, share_on_timer, s);
+    tmr_start_once (&s->host.timers, &s->share_timer,
+                    due_ms > now_ms ? due_ms - now_ms : 0, share_on_timer, s);
 }
 
 static void
@@ -133,8 +133,8 @@
   scr_sidecar_t *s = arg;
   if (s->share_cache->is_reading)
     {
-      tmr_after (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
-                 share_on_idle, s);
+      tmr_start_once (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
+                      share_on_idle, s);
       return;
     }
   tmr_cancel (&s->host.timers, &s->share_timer);
@@ -163,13 +163,13 @@
 
 void
 scr_share_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                          const msg_changes_ask_t *msg)
+                          const msg_changes_request_t *msg)
 {
   shr_request_t request = { .id = msg->id,
                             .after = msg->after,
                             .known_age_ms = msg->known_age_ms,
                             .pause_ms = msg->pause_ms,
-                            .arrived_ms = tmr_boot_ms () };
+                            .arrived_ms = tmr_boottime_ms () };
   kb_slice_copy (peer, request.gateway, sizeof request.gateway);
   bool is_open = s->reader != NULL && !s->host.is_stopping && msg->after > 0
                  && is_same_store (s, msg->store);
@@ -183,7 +183,7 @@
       share_refuse (s, request.gateway, request.id);
       return;
     }
-  tmr_after (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
-             share_on_idle, s);
+  tmr_start_once (&s->host.timers, &s->share_idle_timer, SHARE_IDLE_MS,
+                  share_on_idle, s);
   share_update (s);
 }
--- a/src/sidecar/sidecar_state.c
+++ b/src/sidecar/sidecar_state.c
@@ -34,11 +34,11 @@
     case ADM_HELD:
       return MSG_ADAPTER_HELD;
     case ADM_LOADING:
-      return MSG_ADAPTER_COMING;
+      return MSG_ADAPTER_FETCHING;
     case ADM_ABSENT:
       break;
     }
-  return MSG_ADAPTER_AWAITED;
+  return MSG_ADAPTER_PENDING;
 }
 
 static void
@@ -107,7 +107,8 @@
         .born_ms = s->engine_incarnation.born_ms,
         .quarantine_stamp = qrt_digest (&s->quarantine),
         .gateway_peak = s->lender_role.peak.count,
-        .gateway_peak_age_ms = tmr_boot_ms () - s->lender_role.peak.seen_ms,
+        .gateway_peak_age_ms
+        = tmr_boottime_ms () - s->lender_role.peak.seen_ms,
         .list_stamp = kb_hash (adapters.ptr, adapters.len_bytes, 1) | 1 }
   };
   if (only != NULL)
@@ -137,9 +138,9 @@
   s->is_state_pending = true;
   uint64_t since_ms = scr_now_ms (s) - s->state_sent_ms;
   uint64_t pause_ms = trn_report_interval_ms (s->gateway_count);
-  tmr_after (&s->host.timers, &s->state_timer,
-             since_ms >= pause_ms ? 0 : pause_ms - since_ms,
-             send_state_on_timer, s);
+  tmr_start_once (&s->host.timers, &s->state_timer,
+                  since_ms >= pause_ms ? 0 : pause_ms - since_ms,
+                  send_state_on_timer, s);
 }
 
 void
@@ -148,7 +149,7 @@
   static const char *const names[] = { "?", "down", "ready", "leaving" };
   if (s->condition == condition)
     return;
-  log_event_t line;
+  log_line_t line;
   if (log_begin (&line, LOG_INFO, "sidecar", "engine_condition"))
     {
       log_text (&line, "from", names[s->condition]);
--- a/src/transport/h1_head.c
+++ b/src/transport/h1_head.c
@@ -1,6 +1,6 @@
 /// @file h1_head.c
-/// Reading of message heads: fields, tokens, and what is too ambiguous to be
-/// relayed.
+/// Access to the fields of a message head, and checks that a request head is
+/// unambiguous enough to be forwarded.
 #include <ctype.h>
 #include <stdlib.h>
 #include <strings.h>
@@ -8,17 +8,17 @@
 #include "transport/h1.h"
 
 kb_slice_t
-h1_field_name (const h1_head_t *head, uint32_t at)
+h1_field_name (const h1_head_t *head, uint32_t index)
 {
-  const h1_field_t *f = &head->fields[at];
-  return (kb_slice_t){ head->bytes.ptr + f->name_at, f->name_bytes };
+  const h1_field_t *f = &head->fields[index];
+  return (kb_slice_t){ head->bytes.ptr + f->name_offset, f->name_bytes };
 }
 
 kb_slice_t
-h1_field_value (const h1_head_t *head, uint32_t at)
+h1_field_value (const h1_head_t *head, uint32_t index)
 {
-  const h1_field_t *f = &head->fields[at];
-  return (kb_slice_t){ head->bytes.ptr + f->value_at, f->value_bytes };
+  const h1_field_t *f = &head->fields[index];
+  return (kb_slice_t){ head->bytes.ptr + f->value_offset, f->value_bytes };
 }
 
 kb_slice_t
@@ -54,9 +54,9 @@
 }
 
 bool
-h1_has_token (kb_slice_t value, const char *token)
+h1_value_has_token (kb_slice_t value, const char *token)
 {
-  size_t want = strlen (token);
+  size_t token_bytes = strlen (token);
   uint32_t at = 0;
   while (at < value.len_bytes)
     {
@@ -68,7 +68,8 @@
       while (end < value.len_bytes && value.ptr[end] != ','
              && value.ptr[end] != ' ' && value.ptr[end] != '\t')
         end++;
-      if (end - at == want && strncasecmp (value.ptr + at, token, want) == 0)
+      if (end - at == token_bytes
+          && strncasecmp (value.ptr + at, token, token_bytes) == 0)
         return true;
       at = end;
       while (at < value.len_bytes && value.ptr[at] != ',')
@@ -95,7 +96,7 @@
 }
 
 bool
-h1_request_is_proper (const h1_conn_t *conn)
+h1_request_is_well_formed (const h1_conn_t *conn)
 {
   const h1_head_t *head = &conn->head;
   for (uint32_t i = 0; i < head->field_count; i++)
@@ -105,9 +106,10 @@
     return false;
   if (conn->parser.http_major != 1 || h1_head_count (head, "host") != 1)
     return false;
-  // Two readers that disagree on where a body ends see different requests on
-  // one connection; what lies behind the body would run as another caller's
-  // request. Only one plain statement of the length is accepted.
+  // Guards against request smuggling: two parsers that disagree on where a
+  // body ends see different requests on one connection, and bytes after the
+  // body would run as another caller's request. At most one Content-Length or
+  // Transfer-Encoding field is accepted, and the latter only as "chunked".
   uint32_t lengths = h1_head_count (head, "content-length");
   uint32_t codings = h1_head_count (head, "transfer-encoding");
   if (lengths + codings > 1)
@@ -119,7 +121,7 @@
 }
 
 bool
-h1_body_is_unframed (const h1_conn_t *conn)
+h1_body_is_close_delimited (const h1_conn_t *conn)
 {
   return h1_head_count (&conn->head, "content-length") == 0
          && h1_head_count (&conn->head, "transfer-encoding") == 0;
--- a/test/relay/relay_test.cc
+++ b/test/relay/relay_test.cc
@@ -1,5 +1,5 @@
-// The relay roles before stand-ins: what callers and targets see of one
-// request, and what is asked of callers.
+// Gateway and sidecars between test callers and simulated targets: what both
+// sides see of one request, and the limits on callers.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -19,7 +19,7 @@
   ASSERT_TRUE (site.wait_ready ());
   Message m = send_call (site.gateways[0], plain_call ("p1"));
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
   EXPECT_EQ (m.header ("x-knapweedbay-attempt-id"), "p1");
   EXPECT_NE (m.header ("x-knapweedbay-server-seal"), "");
   for (const char *adapter : { "a1", "a2", "a3", "a4", "a5", "a6" })
@@ -27,14 +27,14 @@
       m = send_call (site.gateways[0],
                      stream_call (std::string ("s") + adapter, adapter));
       EXPECT_EQ (m.status, 200) << adapter;
-      EXPECT_TRUE (m.is_whole);
+      EXPECT_TRUE (m.is_complete);
       EXPECT_EQ (event_ids (m.body), up_to (10));
     }
   for (auto &e : site.engines)
     EXPECT_LE (e.target->most_held (), 4u);
 }
 
-TEST (Relay, ChunkedBodiesAndKeptConnections)
+TEST (Relay, ChunkedBodiesAndPersistentConnections)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -44,19 +44,19 @@
   call.headers = "Transfer-Encoding: chunked\r\n";
   connection->write (call.text () + chunk ("hello ") + chunk ("world")
                      + "0\r\n\r\n");
-  EXPECT_EQ (connection->read_answer ().status, 200);
+  EXPECT_EQ (connection->read_response ().status, 200);
   connection->write (plain_call ("c2").text ());
-  EXPECT_EQ (connection->read_answer ().status, 200);
+  EXPECT_EQ (connection->read_response ().status, 200);
   auto requests = site.plain[0]->requests ();
   ASSERT_EQ (requests.size (), 2u);
   EXPECT_EQ (requests[0].body, "hello world");
   EXPECT_EQ (requests[0].start, "POST /unsafe/x HTTP/1.1");
 }
 
-// A caller's map is cut in half and looks complete: the target crashed in the
-// middle of an answer without a length, its reset came together with the last
-// bytes, and was taken for the regular end of the connection.
-TEST (Relay, AnAnswerThatEndsByResetIsNotComplete)
+// Guards against truncated responses that look complete: a target crashes
+// within a close-delimited response, and its reset, arriving together with the
+// last bytes, is mistaken for an orderly close.
+TEST (Relay, ResponseEndedByResetIsIncomplete)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -65,18 +65,18 @@
       site.plain[0]->fail_next ({ Fault::CUT_UNFRAMED });
       std::string id = "u" + std::to_string (i);
       Message m = send_call (site.gateways[0], plain_call (id, "/unsafe/x"));
-      EXPECT_FALSE (m.status == 200 && m.is_whole) << m.body;
+      EXPECT_FALSE (m.status == 200 && m.is_complete) << m.body;
       EXPECT_EQ (site.runs_of (id), 1);
     }
   site.plain[0]->fail_next ({ Fault::END_UNFRAMED });
   Message m = send_call (site.gateways[0], plain_call ("ok", "/unsafe/x"));
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
 }
 
-// A drive-test reading is counted twice: its answer was lost, and the request
-// was sent to a second target although the first had run it.
-TEST (Relay, AnUnsafeRequestNeverRunsTwice)
+// Guards against double execution: the response is lost, and the request is
+// sent to a second target although the first has run it.
+TEST (Relay, UnsafeRequestNeverRunsTwice)
 {
   Site site (0, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -88,14 +88,14 @@
       std::string id = "x" + std::to_string ((int)fault);
       Message m = send_call (site.gateways[0], plain_call (id, "/unsafe/x"));
       EXPECT_EQ (site.runs_of (id), 1);
-      // Nothing that promises "not run".
+      // No status that implies that the request did not run.
       EXPECT_TRUE (m.status == 502 || m.status == 500) << m.status;
       for (auto &p : site.plain)
         p->fail_next ({});
     }
 }
 
-TEST (Relay, WhatATargetDidNotRunGoesToAnother)
+TEST (Relay, RequestNotRunIsSentToAnotherTarget)
 {
   Site site (0, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -121,14 +121,14 @@
       Message m = send_call (site.gateways[0],
                              plain_call ("s" + std::to_string ((int)fault)));
       EXPECT_EQ (m.status, 200) << (int)fault;
-      EXPECT_TRUE (m.is_whole);
+      EXPECT_TRUE (m.is_complete);
       site.plain[0]->fail_next ({});
     }
 }
 
-// A caller gets another caller's answer: one that came late on a kept
-// connection is taken for the answer of the next request there.
-TEST (Relay, AStrayAnswerIsNotPassedOn)
+// Guards against responses delivered to the wrong caller: a late response on a
+// persistent connection is taken for the response to the next request.
+TEST (Relay, StrayResponseIsNotForwarded)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -144,9 +144,9 @@
     }
 }
 
-// A caption breaks off while it is written. Another engine goes on behind the
-// last whole event, and the caller must see every event once.
-TEST (Relay, ABrokenStreamIsResumedElsewhere)
+// A stream breaks within an event. Another engine resumes after the last
+// complete event, and the caller must receive every event exactly once.
+TEST (Relay, BrokenStreamIsResumedOnAnotherEngine)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -158,7 +158,7 @@
       Message m = send_call (site.gateways[0],
                              stream_call (id, "a" + std::to_string (i)));
       EXPECT_EQ (m.status, 200);
-      EXPECT_TRUE (m.is_whole);
+      EXPECT_TRUE (m.is_complete);
       EXPECT_EQ (event_ids (m.body), up_to (10));
       EXPECT_NE (m.body.find ("data: e10\n\n"), std::string::npos);
       resumed += site.runs_of (id) == 2;
@@ -166,35 +166,37 @@
   EXPECT_GT (resumed, 0);
 }
 
-// An engine breaks a stream off while the only other one's agent is being
-// restarted. Nobody could take the stream over at that moment, and it was cut,
-// though its caller waits for seconds and the agent is back within one.
-TEST (Relay, ABrokenStreamWaitsForAnEngineToResumeAt)
+// Guards against aborting a stream too early: an engine breaks a stream while
+// the sidecar of the only other engine restarts. No engine can resume the
+// stream at that moment, but the sidecar is back within 1 s and the caller
+// waits for several.
+TEST (Relay, BrokenStreamWaitsForEngineToResumeOn)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
   site.stop (&site.engines[1].sidecar, SIGKILL);
-  // The gateway takes a silent agent for lost after 1.3 s.
+  // The gateway considers a silent sidecar lost after 1.3 s.
   std::this_thread::sleep_for (std::chrono::milliseconds (1600));
   site.engines[0].target->fail_next ({ Fault::CUT_WITHIN_EVENT });
-  std::thread later ([&site] {
+  std::thread restarter ([&site] {
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
     site.start (&site.engines[1].sidecar);
   });
   Message m = send_call (site.gateways[0], stream_call ("w1", "a1"));
-  later.join ();
+  restarter.join ();
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
   EXPECT_EQ (event_ids (m.body), up_to (10));
   EXPECT_EQ (site.runs_of ("w1"), 2);
 }
 
-// A crowded engine makes no event of a stream for longer than a second: it has
-// put the run back for more urgent ones. Its own VM says that it is well. The
-// stream was cut there and was to go on elsewhere, where a crowd waits as
-// well: no place came before the caller's patience ended, and the caller lost
-// a stream that its engine would have finished.
-TEST (Relay, APausedStreamOfALiveEngineIsNotCut)
+// Guards against aborting paused streams: an overloaded engine preempts a run
+// for more urgent ones and sends no event for more than 1 s, while its sidecar
+// reports it as healthy. Resuming the stream elsewhere needs a place on
+// another overloaded engine, which may not be granted before the caller's
+// deadline; the caller then loses a stream that its own engine would have
+// finished.
+TEST (Relay, PausedStreamOfHealthyEngineIsNotAborted)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -205,15 +207,15 @@
     }
   Message m = send_call (site.gateways[0], stream_call ("p1", "a1"));
   EXPECT_EQ (m.status, 200);
-  EXPECT_TRUE (m.is_whole);
+  EXPECT_TRUE (m.is_complete);
   EXPECT_EQ (event_ids (m.body), up_to (2));
   EXPECT_EQ (site.runs_of ("p1"), 1);
 }
 
-// Engines answer part of their streams with 500 while their reports look well.
-// A stream that may be resumed may run again from its beginning; its caller
-// got the 500 though another engine would have served it.
-TEST (Relay, AStreamThatAnEngineFailsRunsAtAnother)
+// Guards against forwarding avoidable errors: an engine answers some streams
+// with 500 although its reports look healthy. A resumable stream may also be
+// rerun from its beginning, so another engine must serve it.
+TEST (Relay, FailedStreamRunsOnAnotherEngine)
 {
   Site site (2, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -231,7 +233,7 @@
   EXPECT_GT (failed, 0);
 }
 
-TEST (Relay, AStreamThatMayNotRunTwiceGetsItsEnginesFailure)
+TEST (Relay, NonIdempotentStreamForwardsEngineError)
 {
   Site site (2, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -242,19 +244,20 @@
   EXPECT_EQ (site.runs_of ("h1"), 1);
 }
 
-TEST (Relay, AStreamThatMayNotRunTwiceIsCutNotRepeated)
+TEST (Relay, NonIdempotentBrokenStreamIsAbortedNotRetried)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
   for (auto &e : site.engines)
     e.target->fail_next ({ Fault::CUT_WITHIN_EVENT });
   Message m = send_call (site.gateways[0], stream_call ("o1", "a1", false));
-  EXPECT_FALSE (m.is_whole);
+  EXPECT_FALSE (m.is_complete);
   EXPECT_EQ (site.runs_of ("o1"), 1);
 }
 
-// Engines work on for callers that have left, and others wait behind them.
-TEST (Relay, ACallerThatLeavesStopsItsRun)
+// Guards against engines that keep working for disconnected callers while
+// other requests wait.
+TEST (Relay, CallerDisconnectStopsItsRun)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -265,7 +268,7 @@
   connection->close ();
   EXPECT_TRUE (Site::wait_for (
       [&] { return site.engines[0].target->abandoned == 1; }, 2000));
-  // Also before the first event.
+  // The same before the first event.
   site.engines[0].target->event_ms = 400;
   connection = dial (site.gateways[0].address);
   connection->write (stream_call ("l2", "a1").text ());
@@ -275,9 +278,9 @@
       [&] { return site.engines[0].target->abandoned == 2; }, 2000));
 }
 
-/// No engine takes requests, and the gateway knows it.
+/// Make the only engine refuse requests and wait until the gateway knows.
 void
-close_engine (Site &site)
+make_engine_leave (Site &site)
 {
   site.engines[0].target->set_leaving (true);
   ASSERT_TRUE (Site::wait_for ([&] {
@@ -288,14 +291,14 @@
   std::this_thread::sleep_for (std::chrono::milliseconds (200));
 }
 
-// All engines come back from a loss of power and load their model, which takes
-// them a second. Callers that were refused meanwhile came back once, were
-// refused again by the crowd that came with them, and gave up.
+// After a power loss, all engines load their model for about 1 s. Callers that
+// are refused in that time retry once, all together, are refused again because
+// of the load and give up. Requests must wait instead.
 TEST (Relay, RequestsWaitWhileNoEngineIsUp)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
-  close_engine (site);
+  make_engine_leave (site);
   std::thread engine ([&] {
     std::this_thread::sleep_for (std::chrono::milliseconds (300));
     site.engines[0].target->set_leaving (false);
@@ -306,35 +309,35 @@
   EXPECT_EQ (event_ids (m.body), up_to (10));
 }
 
-// The wait has an end: engines that stay away are no reason to keep callers,
-// who could do something else.
-TEST (Relay, RequestsAreRefusedWhenNoEngineComes)
+// The wait for an engine is bounded, so that callers can turn to something
+// else when no engine returns.
+TEST (Relay, RequestsAreRefusedWhenNoEngineReturns)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
-  close_engine (site);
+  make_engine_leave (site);
   Message m = send_call (site.gateways[0], stream_call ("w2", "a1"));
   EXPECT_EQ (m.status, 503);
   EXPECT_NE (m.body.find ("no_target"), std::string::npos) << m.body;
   EXPECT_NE (m.header ("retry-after"), "");
 }
 
-TEST (Relay, AStopServesWhatIsOpenAndSaysClose)
+TEST (Relay, ShutdownCompletesOpenRequestsAndSendsConnectionClose)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
   site.engines[0].target->events = 100;
   site.engines[0].target->event_ms = 10;
-  auto kept = dial (site.gateways[0].address);
-  kept->write (plain_call ("k1").text ());
-  EXPECT_EQ (kept->read_answer ().status, 200);
+  auto persistent = dial (site.gateways[0].address);
+  persistent->write (plain_call ("k1").text ());
+  EXPECT_EQ (persistent->read_response ().status, 200);
   auto connection = dial (site.gateways[0].address);
   connection->write (stream_call ("z1", "a1").text ());
   EXPECT_NE (connection->read_some (5000).find ("200 OK"), std::string::npos);
   kill (site.gateways[0].daemon.pid, SIGTERM);
   EXPECT_TRUE (Site::wait_for ([&] { return site.ready_status () == 503; }));
-  kept->write (plain_call ("k2").text ());
-  Message m = kept->read_answer ();
+  persistent->write (plain_call ("k2").text ());
+  Message m = persistent->read_response ();
   EXPECT_EQ (m.status, 200);
   EXPECT_EQ (m.header ("connection"), "close");
   std::string rest;
@@ -349,20 +352,21 @@
   site.stop (&site.gateways[0].daemon, SIGTERM);
 }
 
-TEST (Relay, OwnAnswers)
+TEST (Relay, GatewayErrorResponses)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
   EXPECT_EQ (send_call (site.gateways[0], plain_call ("x", "/none/x")).status,
              404);
-  // No engine: refused at once, with a time to come back.
+  // No engine: refused immediately, with Retry-After.
   Message m = send_call (site.gateways[0], stream_call ("x1", "a1"));
   EXPECT_EQ (m.status, 503);
   EXPECT_GT (atof (m.header ("retry-after").c_str ()), 0.0);
   EXPECT_EQ (m.header ("x-knapweedbay-server-seal"), "");
 }
 
-/// The gateway starts while the store is away: it has no configuration.
+/// Restart the gateway while the store is unavailable, so that it has no
+/// configuration.
 void
 restart_without_store (Site &site)
 {
@@ -373,7 +377,7 @@
       [&] { return dial (site.gateways[0].address) != nullptr; }));
 }
 
-TEST (Relay, NoConfigurationIsNoReasonForNotFound)
+TEST (Relay, MissingConfigurationGives503Not404)
 {
   Site site (0, 1);
   restart_without_store (site);
@@ -381,9 +385,9 @@
   EXPECT_EQ (site.ready_status (), 503);
 }
 
-// All processes come back from a loss of power while the store is away. The
-// first callers were refused at once and told to come back after half a
-// second; they came back once, all were refused again, and gave up.
+// After a power loss, all processes start while the store is unavailable.
+// Callers that are refused immediately with a Retry-After of 0.5 s retry once,
+// are refused again and give up. Requests must wait instead.
 TEST (Relay, RequestsWaitForTheFirstConfiguration)
 {
   Site site (0, 1);
@@ -399,11 +403,12 @@
   EXPECT_EQ (denied.status, 404);
 }
 
-// Requests without a route wait for the first configuration with all others.
-// Their 404 frees them, and the next request of the same connection took the
-// memory; what was still done for the first was done to the second: it was
-// sent twice, or the process crashed with all its streams.
-TEST (Relay, RequestsWithoutARouteThatWaitedAreDeniedOnce)
+// Guards against a use after free: requests without a route also wait for the
+// first configuration. Their 404 response frees them, and the next request on
+// the same connection reuses the memory. Remaining work on the first request
+// was applied to the second, which was sent twice, or the process crashed with
+// all its streams.
+TEST (Relay, QueuedRequestsWithoutRouteAreDeniedOnce)
 {
   constexpr int kConnections = 20;
   Site site (0, 1);
@@ -421,17 +426,17 @@
   site.store.set_mode (Store::WELL);
   for (int i = 0; i < kConnections; i++)
     {
-      EXPECT_EQ (connections[(size_t)i]->read_answer ().status, 404) << i;
-      EXPECT_EQ (connections[(size_t)i]->read_answer ().status, 200) << i;
+      EXPECT_EQ (connections[(size_t)i]->read_response ().status, 404) << i;
+      EXPECT_EQ (connections[(size_t)i]->read_response ().status, 200) << i;
       EXPECT_EQ (site.runs_of ("u" + std::to_string (i)), 1) << i;
     }
   EXPECT_EQ (site.ready_status (), 200);
 }
 
-// A request waits for the first configuration, and its target then hangs. Its
-// route allows 2 s; armed before the route was known, the limit was the 9 s
-// that the caller would have waited.
-TEST (Relay, ARequestThatWaitedKeepsToItsRoutesTimeout)
+// Guards against a timeout that is set before the route is known: a request
+// waits for the first configuration, and its target then hangs. The timeout
+// must be the 2 s of the route, not the caller's deadline of 9 s.
+TEST (Relay, QueuedRequestUsesItsRouteTimeout)
 {
   Site site (0, 1);
   restart_without_store (site);
@@ -444,13 +449,13 @@
   call.deadline_ms = 9000;
   auto before = std::chrono::steady_clock::now ();
   Message m = send_call (site.gateways[0], call);
-  auto took = std::chrono::steady_clock::now () - before;
+  auto elapsed = std::chrono::steady_clock::now () - before;
   store.join ();
   EXPECT_EQ (m.status, 504);
-  EXPECT_LT (took, std::chrono::seconds (5));
+  EXPECT_LT (elapsed, std::chrono::seconds (5));
 }
 
-TEST (Relay, CallersComeBackLateWhenTheEndOfAnOutageIsNotKnown)
+TEST (Relay, RetryAfterIsLongWhenOutageEndIsUnknown)
 {
   Site site (0, 1);
   restart_without_store (site);
@@ -463,7 +468,8 @@
   EXPECT_LE (retry_after_s, 3.0);
 }
 
-// A request hidden in another one's body runs under a name nobody sent.
+// Guards against request smuggling: a request hidden in the body of another
+// one would run with an attempt id that no caller sent.
 TEST (Relay, AmbiguousRequestsReachNoTarget)
 {
   Site site (0, 1);
@@ -487,14 +493,14 @@
       auto connection = dial (site.gateways[0].address);
       connection->write ("POST /unsafe/x HTTP/1.1\r\nHost: a.example\r\n" + id
                          + "h\r\n" + head + "\r\n0\r\n\r\n" + hidden);
-      Message m = connection->read_answer (2000);
+      Message m = connection->read_response (2000);
       EXPECT_EQ (m.status, 400) << head;
     }
   std::this_thread::sleep_for (std::chrono::milliseconds (200));
   EXPECT_TRUE (site.plain[0]->requests ().empty ());
 }
 
-TEST (Relay, LimitsOnWhatCallersSend)
+TEST (Relay, LimitsOnCallerRequests)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -509,16 +515,16 @@
   call.headers = "Transfer-Encoding: chunked\r\n";
   auto connection = dial (site.gateways[0].address);
   connection->write (call.text () + chunk (std::string (70000, 'x')));
-  EXPECT_EQ (connection->read_answer ().status, 413);
+  EXPECT_EQ (connection->read_response ().status, 413);
   connection = dial (site.gateways[0].address);
   connection->write ("POST /unsafe/x HTTP/1.1\r\nHost: a.ex");
-  EXPECT_EQ (connection->read_answer ().status, 408);
+  EXPECT_EQ (connection->read_response ().status, 408);
   connection = dial (site.gateways[0].address);
-  EXPECT_TRUE (connection->peer_is_gone (6000));
+  EXPECT_TRUE (connection->peer_has_closed (6000));
   EXPECT_TRUE (site.plain[0]->requests ().empty ());
 }
 
-TEST (Relay, ARouteTimeoutGetsAFinalAnswer)
+TEST (Relay, RouteTimeoutGetsFinalResponse)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -530,7 +536,7 @@
   }));
   site.engines[0].target->events = 1000;
   Message m = send_call (site.gateways[0], stream_call ("t1", "a1"));
-  EXPECT_FALSE (m.is_whole);
+  EXPECT_FALSE (m.is_complete);
   site.plain[0]->fail_next ({ Fault::HANG });
   EXPECT_EQ (
       send_call (site.gateways[0], plain_call ("t2", "/unsafe/x")).status,
--- a/test/unit/peers_test.cc
+++ b/test/unit/peers_test.cc
@@ -67,7 +67,7 @@
   {
     msg_changes_t answer = {};
     answer.id = 5;
-    answer.status = MSG_CHANGES_KNOWN;
+    answer.status = MSG_CHANGES_AVAILABLE;
     answer.as_of = 20;
     return answer;
   }
--- a/test/unit/workspace_table_test.cc
+++ b/test/unit/workspace_table_test.cc
@@ -1,4 +1,4 @@
-// Keys and workspaces of a configuration.
+// Lookup of a configuration's workspaces by key.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,7 +11,8 @@
 namespace
 {
 
-/// Digest number n; neighbours begin their search at the same place.
+/// Digest number n. All start their search at the same slot of the index, so
+/// that lookups have to probe.
 struct Digest
 {
   explicit Digest (uint32_t n)
@@ -23,7 +24,7 @@
   uint8_t bytes[WSP_DIGEST_BYTES] = { 0 };
 };
 
-TEST (WorkspaceTable, AnEmptyOneKnowsNoKey)
+TEST (WorkspaceTable, EmptyTableFindsNoKey)
 {
   wsp_table_t table = {};
   wsp_seal (&table);
@@ -31,7 +32,7 @@
   wsp_finish (&table);
 }
 
-TEST (WorkspaceTable, FindsEachOfAThousandWorkspacesByItsKeys)
+TEST (WorkspaceTable, FindsEachOfThousandWorkspacesByKey)
 {
   wsp_table_t table = {};
   for (uint32_t w = 0; w < 1000; w++)
@@ -51,7 +52,7 @@
   wsp_finish (&table);
 }
 
-TEST (WorkspaceTable, TheFirstOfTwoThatNameAKeyHoldsIt)
+TEST (WorkspaceTable, FirstWorkspaceKeepsDuplicateKey)
 {
   wsp_table_t table = {};
   wsp_add (&table, "red");
