--- a/test/relay/explain_test.cc
+++ b/test/relay/explain_test.cc
@@ -14,7 +14,7 @@
 
 /// Output of `knapweedbay logs --id ID` over all logs of a site.
 std::string
-story (const Site &site, const std::string &id)
+read_request_log (const Site &site, const std::string &id)
 {
   const char *dir = getenv ("KB_BIN_DIR");
   std::string command = std::string (dir != nullptr ? dir : KB_DEFAULT_BIN_DIR)
@@ -30,13 +30,15 @@
   return out;
 }
 
-/// The story, once it holds a text; logs are written a little later.
+/// The read_request_log, once it holds a text; logs are written a little
+/// later.
 std::string
-story_with (const Site &site, const std::string &id, const std::string &text)
+wait_for_request_log (const Site &site, const std::string &id,
+                      const std::string &text)
 {
   std::string out;
   Site::wait_for ([&] {
-    out = story (site, id);
+    out = read_request_log (site, id);
     return out.find (text) != std::string::npos;
   });
   return out;
@@ -64,7 +66,7 @@
   for (auto &caller : callers)
     caller.join ();
   EXPECT_GT (refused, 0);
-  std::string out = story_with (site, "q5", "request_end");
+  std::string out = wait_for_request_log (site, "q5", "request_end");
   EXPECT_NE (out.find ("place_declined"), std::string::npos) << out;
   EXPECT_NE (out.find ("reason=load_queue"), std::string::npos) << out;
   EXPECT_NE (out.find ("status=503"), std::string::npos) << out;
@@ -79,7 +81,7 @@
   site.engines[0].target->fail_next ({ Fault::CUT_WITHIN_EVENT });
   EXPECT_FALSE (send_call (site.gateways[0], stream_call ("cut1", "a1", false))
                     .is_whole);
-  std::string out = story_with (site, "cut1", "request_end");
+  std::string out = wait_for_request_log (site, "cut1", "request_end");
   EXPECT_NE (out.find ("attempt_broken"), std::string::npos) << out;
   EXPECT_NE (out.find ("reason=reset target=i-e0"), std::string::npos) << out;
   EXPECT_NE (out.find ("last_event=2"), std::string::npos) << out;
@@ -96,7 +98,7 @@
              200);
   site.put ("op/version/m.a1", R"({"Model":"m","Adapter":"a1","Version":2})");
   site.engines[0].target->newest_version = 2;
-  std::string out = story_with (site, "old1", "request_end");
+  std::string out = wait_for_request_log (site, "old1", "request_end");
   EXPECT_NE (out.find ("version=1"), std::string::npos) << out;
   EXPECT_NE (out.find ("revision=1"), std::string::npos) << out;
   std::vector<std::string> lines;
@@ -108,13 +110,13 @@
   }));
   EXPECT_EQ (send_call (site.gateways[0], stream_call ("new1", "a1")).status,
              200);
-  out = story_with (site, "new1", "request_end");
+  out = wait_for_request_log (site, "new1", "request_end");
   EXPECT_NE (out.find ("version=2"), std::string::npos) << out;
 }
 
 // An operator sees callers refused and asks whether the forecast that refuses
 // them is right. The agent's metrics page says how far off it was.
-TEST (Explain, TheErrorOfTheForecastIsOnTheMetricsPage)
+TEST (Explain, TheForecastErrorIsOnTheMetricsPage)
 {
   Site site;
   ASSERT_TRUE (site.wait_ready ());
@@ -130,19 +132,19 @@
   EXPECT_NE (pages.find ("knapweedbay_pace_percent 65"), std::string::npos);
 }
 
-TEST (Explain, AnUnknownIdIsSaidSo)
+TEST (Explain, AnUnknownIdIsReported)
 {
   Site site (0, 1);
   // Without a log there is no file to read.
   ASSERT_TRUE (site.wait_ready ());
-  std::string out = story (site, "nobody");
+  std::string out = read_request_log (site, "nobody");
   EXPECT_NE (out.find ("no line names request nobody"), std::string::npos)
       << out;
 }
 
 // Nobody reads the log. The pipe fills, and a process that waits for room in
 // it answers no caller any more.
-TEST (Explain, AFullLogPipeHoldsNothingUp)
+TEST (Explain, AFullLogPipeDoesNotBlockRequests)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
--- a/test/relay/leaving_failure_test.cc
+++ b/test/relay/leaving_failure_test.cc
@@ -38,14 +38,14 @@
   Load load (&site, call_of, 4, 10);
   std::this_thread::sleep_for (milliseconds (500));
   site.store.set_mode (Store::SILENT);
-  site.far_store.set_mode (Store::SILENT);
-  leaving.says_leaving = true;
+  site.mirror_store.set_mode (Store::SILENT);
+  leaving.announces_leaving = true;
   Moment bound = std::chrono::steady_clock::now ()
                  + milliseconds (kReactionMs + kDrainBoundMs);
   std::this_thread::sleep_for (
       milliseconds (kReactionMs + kDrainBoundMs + 1500));
   Load::Counts counts = load.stop ();
-  EXPECT_EQ (most_in (arrivals_at (leaving), bound, 1500), 0);
+  EXPECT_EQ (max_arrivals_in_window (arrivals_at (leaving), bound, 1500), 0);
   EXPECT_EQ (counts.refused + counts.other, 0);
 }
 
@@ -68,10 +68,10 @@
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
-  site.plain[0]->says_leaving = true;
+  site.plain[0]->announces_leaving = true;
   send_call (site.gateways[0], plain ("heard"));
   EXPECT_EQ (send_call (site.gateways[0], plain ("a")).status, 503);
-  site.plain[0]->says_leaving = false;
+  site.plain[0]->announces_leaving = false;
   site.plain[0]->restart (site.plain[0]->id ());
   site.list_plain (0);
   EXPECT_TRUE (Site::wait_for (
@@ -84,7 +84,7 @@
 {
   Site site (1, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
-  site.plain[0]->says_leaving = true;
+  site.plain[0]->announces_leaving = true;
   send_call (site.gateways[0], plain ("heard"));
   for (int i = 0; i < 5; i++)
     {
@@ -104,7 +104,7 @@
   Site site (3, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
   Target &leaving = *site.engines[0].target;
-  leaving.says_leaving = true;
+  leaving.announces_leaving = true;
   ASSERT_TRUE (Site::wait_for ([&] {
     send_call (site.gateways[0], stream ("heard"));
     return !Site::log_lines (site.gateways[0].daemon,
--- a/test/relay/limit_failure_test.cc
+++ b/test/relay/limit_failure_test.cc
@@ -48,7 +48,8 @@
   std::this_thread::sleep_for (
       milliseconds (kEnforcedAfterMs + 2 * kWindowMs));
   Load::Counts counts = load.stop ();
-  int most = most_in (arrivals_at (limited), enforced_from, kWindowMs);
+  int most = max_arrivals_in_window (arrivals_at (limited), enforced_from,
+                                     kWindowMs);
   printf ("%d of %d in %d ms\n", most, max_allowed (per_s), kWindowMs);
   EXPECT_LE (most, max_allowed (per_s));
   // At least half of the limit is used, and other targets serve the rest.
@@ -91,7 +92,7 @@
     }
   site.store.set_mode (Store::SILENT);
   std::this_thread::sleep_for (milliseconds (2500));
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
 }
 
 // Guards against a limit that is lost with the daemons that know it.
@@ -110,10 +111,11 @@
   fail_daemons (site);
   streams.stop ();
   calls.stop ();
-  EXPECT_LE (most_in (arrivals_at (*site.engines[0].target), enforced_from,
-                      kWindowMs),
+  EXPECT_LE (max_arrivals_in_window (arrivals_at (*site.engines[0].target),
+                                     enforced_from, kWindowMs),
              max_allowed (per_s));
-  EXPECT_LE (most_in (arrivals_at (*site.plain[0]), enforced_from, kWindowMs),
+  EXPECT_LE (max_arrivals_in_window (arrivals_at (*site.plain[0]),
+                                     enforced_from, kWindowMs),
              max_allowed (per_s));
 }
 
@@ -132,9 +134,11 @@
   std::this_thread::sleep_for (milliseconds (2000));
   Moment lifted = std::chrono::steady_clock::now ();
   std::this_thread::sleep_for (milliseconds (1500));
-  EXPECT_GT (most_in (arrivals_at (*site.engines[0].target), lifted, 1000),
+  EXPECT_GT (max_arrivals_in_window (arrivals_at (*site.engines[0].target),
+                                     lifted, 1000),
              20);
-  EXPECT_GT (most_in (arrivals_at (*site.plain[0]), lifted, 1000), 20);
+  EXPECT_GT (
+      max_arrivals_in_window (arrivals_at (*site.plain[0]), lifted, 1000), 20);
 }
 
 // Guards against callers that wait, or get no retry-after time, when all
@@ -154,10 +158,10 @@
       Load::Counts counts = load.stop ();
       EXPECT_GT (counts.answered, 5);
       EXPECT_GT (counts.refused, counts.answered);
-      EXPECT_EQ (counts.untimed, 0);
+      EXPECT_EQ (counts.refused_without_retry_after, 0);
       EXPECT_EQ (counts.other, 0);
       // The objective is 800 ms at engines, 150 ms at plain targets.
-      EXPECT_LE (counts.longest_refused_ms, call_of == stream ? 1000 : 400);
+      EXPECT_LE (counts.max_refusal_ms, call_of == stream ? 1000 : 400);
     }
 }
 
--- a/test/relay/load.cc
+++ b/test/relay/load.cc
@@ -14,28 +14,29 @@
   for (size_t g = 0; g < site->gateways.size (); g++)
     for (int i = 0; i < callers_per_gateway; i++)
       threads_.emplace_back ([this, site, g, i] {
-        call (site->gateways[g],
-              "l" + std::to_string (g) + "-" + std::to_string (i) + "-");
+        run_caller (site->gateways[g],
+                    "l" + std::to_string (g) + "-" + std::to_string (i) + "-");
       });
 }
 
 void
-Load::call (const Gateway &gateway, const std::string &name)
+Load::run_caller (const Gateway &gateway, const std::string &name)
 {
-  for (int n = 0; !is_ended_; n++)
+  for (int n = 0; !is_stopped_; n++)
     {
       Moment began = std::chrono::steady_clock::now ();
       Message answer
           = send_call (gateway, call_of_ (name + std::to_string (n)));
       auto took = std::chrono::steady_clock::now () - began;
-      note (answer,
-            (int)std::chrono::duration_cast<milliseconds> (took).count ());
+      record_answer (
+          answer,
+          (int)std::chrono::duration_cast<milliseconds> (took).count ());
       std::this_thread::sleep_for (milliseconds (pause_ms_));
     }
 }
 
 void
-Load::note (const Message &answer, int took_ms)
+Load::record_answer (const Message &answer, int took_ms)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   bool is_refused = answer.status == 503 || answer.status == 429;
@@ -44,13 +45,12 @@
   else if (is_refused)
     {
       counts_.refused++;
-      counts_.longest_refused_ms
-          = std::max (counts_.longest_refused_ms, took_ms);
+      counts_.max_refusal_ms = std::max (counts_.max_refusal_ms, took_ms);
     }
   else
     counts_.other++;
   if (is_refused && atof (answer.header ("retry-after").c_str ()) <= 0)
-    counts_.untimed++;
+    counts_.refused_without_retry_after++;
 }
 
 Load::Counts
@@ -63,7 +63,7 @@
 Load::Counts
 Load::stop ()
 {
-  is_ended_ = true;
+  is_stopped_ = true;
   for (std::thread &thread : threads_)
     thread.join ();
   threads_.clear ();
@@ -81,7 +81,8 @@
 }
 
 int
-most_in (const std::vector<Moment> &arrivals, Moment from, int window_ms)
+max_arrivals_in_window (const std::vector<Moment> &arrivals, Moment from,
+                        int window_ms)
 {
   size_t most = 0;
   auto first = std::lower_bound (arrivals.begin (), arrivals.end (), from);
--- a/test/relay/load.h
+++ b/test/relay/load.h
@@ -17,9 +17,10 @@
   struct Counts
   {
     int answered = 0;
-    int refused = 0;            ///< As not run.
-    int untimed = 0;            ///< Of these, without a time to come back.
-    int longest_refused_ms = 0; ///< Until it was refused.
+    int refused = 0; ///< As not run.
+    int refused_without_retry_after
+        = 0;                ///< Of these, without a time to come back.
+    int max_refusal_ms = 0; ///< Until it was refused.
     int other = 0;
   };
   /// @param call_of   The call with an id.
@@ -31,11 +32,11 @@
   Counts counts ();
 
 private:
-  void call (const Gateway &gateway, const std::string &name);
-  void note (const Message &answer, int took_ms);
+  void run_caller (const Gateway &gateway, const std::string &name);
+  void record_answer (const Message &answer, int took_ms);
   Call (*call_of_) (const std::string &id);
   int pause_ms_;
-  std::atomic<bool> is_ended_{ false };
+  std::atomic<bool> is_stopped_{ false };
   std::mutex mutex_;
   Counts counts_;
   std::vector<std::thread> threads_;
@@ -44,7 +45,8 @@
 /// When requests came to a target, in order.
 std::vector<Moment> arrivals_at (Target &target);
 /// The most of them in any span of so long that begins at a moment or later.
-int most_in (const std::vector<Moment> &arrivals, Moment from, int window_ms);
+int max_arrivals_in_window (const std::vector<Moment> &arrivals, Moment from,
+                            int window_ms);
 
 } // namespace relay
 
--- a/test/relay/memory_test.cc
+++ b/test/relay/memory_test.cc
@@ -15,7 +15,7 @@
 
 constexpr int kRoutes = 2000;
 /// Stated for a configuration with 2,000 more routes.
-constexpr long kMostKb = 8 << 10;
+constexpr long kMaxPeakKb = 8 << 10;
 
 std::string
 many_routes ()
@@ -75,13 +75,13 @@
     for (const Gateway &g : site.gateways)
       {
         printf ("%s %ld kB\n", g.daemon.name.c_str (), peak_kb (g.daemon.pid));
-        EXPECT_LE (peak_kb (g.daemon.pid), kMostKb);
+        EXPECT_LE (peak_kb (g.daemon.pid), kMaxPeakKb);
       }
     for (const Engine &e : site.engines)
       {
         printf ("%s %ld kB\n", e.sidecar.name.c_str (),
                 peak_kb (e.sidecar.pid));
-        EXPECT_LE (peak_kb (e.sidecar.pid), kMostKb);
+        EXPECT_LE (peak_kb (e.sidecar.pid), kMaxPeakKb);
       }
   }
 
@@ -123,7 +123,7 @@
 }
 
 // What a burst took is given back after it.
-TEST_F (Memory, WhatAConfigurationTookIsGivenBack)
+TEST_F (Memory, ConfigurationMemoryIsReleased)
 {
   ASSERT_TRUE (site.wait_ready ());
   site.write_config (2, many_routes ());
--- a/test/relay/pause_failure_test.cc
+++ b/test/relay/pause_failure_test.cc
@@ -55,7 +55,7 @@
   auto arrivals = arrivals_by_gateway (target.requests ());
   size_t most = 0;
   for (const auto &[gateway, pause_times] :
-       arrivals_by_gateway (target.turned_away ()))
+       arrivals_by_gateway (target.refused_with_pause ()))
     for (Moment paused_from : pause_times)
       {
         const auto &moments = arrivals[gateway];
@@ -182,7 +182,7 @@
   engine.pause_s = long_pause_ms / 1000.0;
   Load load (&site, stream, 16, 5);
   ASSERT_TRUE (
-      Site::wait_for ([&] { return !engine.turned_away ().empty (); }));
+      Site::wait_for ([&] { return !engine.refused_with_pause ().empty (); }));
   std::this_thread::sleep_for (milliseconds (1000));
   Moment listed = std::chrono::steady_clock::now ();
   site.remove ("servers/i-e0");
@@ -195,7 +195,7 @@
   std::this_thread::sleep_for (milliseconds (2000));
   load.stop ();
   EXPECT_LE (max_within_pause (engine, long_pause_ms), kMaxWithinPause);
-  EXPECT_EQ (most_in (arrivals_at (engine), listed, 4000), 0);
+  EXPECT_EQ (max_arrivals_in_window (arrivals_at (engine), listed, 4000), 0);
 }
 
 // Guards against one request that makes all targets unavailable to others:
@@ -208,7 +208,7 @@
   for (int i = 0; i < 20; i++)
     send_call (site.gateways[0], plain ("w" + std::to_string (i)));
   for (const auto &target : site.plain)
-    target->pause_on ("/plain/huge", 60);
+    target->pause_on_path ("/plain/huge", 60);
   EXPECT_EQ (
       send_call (site.gateways[0], plain_call ("huge", "/plain/huge")).status,
       503);
--- a/test/relay/proxy.cc
+++ b/test/relay/proxy.cc
@@ -52,27 +52,27 @@
   is_stopping_ = true;
   thread_.join ();
   for (auto &pair : pairs_)
-    end (&pair, false);
+    close_pair (&pair, false);
   close (listener_);
 }
 
 void
 Proxy::reset_all ()
 {
-  wants_reset_ = true;
+  is_reset_requested_ = true;
 }
 
 void
-Proxy::silence_present ()
+Proxy::silence_existing ()
 {
-  wants_silence_ = true;
+  is_silence_requested_ = true;
 }
 
 void
-Proxy::end (Pair *pair, bool is_reset)
+Proxy::close_pair (Pair *pair, bool is_reset)
 {
   linger hard = { 1, 0 };
-  for (int fd : { pair->near_fd, pair->far_fd })
+  for (int fd : { pair->client_fd, pair->upstream_fd })
     {
       if (is_reset)
         setsockopt (fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
@@ -83,20 +83,20 @@
 void
 Proxy::accept_one ()
 {
-  int near_fd = accept (listener_, nullptr, nullptr);
-  if (near_fd < 0)
+  int client_fd = accept (listener_, nullptr, nullptr);
+  if (client_fd < 0)
     return;
-  int far_fd = socket (AF_INET, SOCK_STREAM, 0);
+  int upstream_fd = socket (AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = make_address (target_ip_, target_port_);
-  if (connect (far_fd, (sockaddr *)&address, sizeof address) != 0)
+  if (connect (upstream_fd, (sockaddr *)&address, sizeof address) != 0)
     {
-      Pair failed = { near_fd, far_fd, false };
-      end (&failed, true);
+      Pair failed = { client_fd, upstream_fd, false };
+      close_pair (&failed, true);
       return;
     }
-  set_nodelay (near_fd);
-  set_nodelay (far_fd);
-  pairs_.push_back ({ near_fd, far_fd, false });
+  set_nodelay (client_fd);
+  set_nodelay (upstream_fd);
+  pairs_.push_back ({ client_fd, upstream_fd, false });
 }
 
 /// @return  False when the pair is over.
@@ -104,12 +104,12 @@
 Proxy::pump (Pair *pair, bool is_forward)
 {
   char bytes[16384];
-  int from = is_forward ? pair->near_fd : pair->far_fd;
-  int to = is_forward ? pair->far_fd : pair->near_fd;
+  int from = is_forward ? pair->client_fd : pair->upstream_fd;
+  int to = is_forward ? pair->upstream_fd : pair->client_fd;
   ssize_t n = recv (from, bytes, sizeof bytes, MSG_DONTWAIT);
   if (n <= 0)
     {
-      end (pair, n < 0);
+      close_pair (pair, n < 0);
       return false;
     }
   Path path = path_;
@@ -120,7 +120,7 @@
   if (delay_ms > 0)
     usleep ((useconds_t)delay_ms * 1000);
   return send (to, bytes, (size_t)n, MSG_NOSIGNAL) == n
-         || (end (pair, true), false);
+         || (close_pair (pair, true), false);
 }
 
 void
@@ -128,20 +128,20 @@
 {
   while (!is_stopping_)
     {
-      if (wants_reset_.exchange (false))
+      if (is_reset_requested_.exchange (false))
         {
           for (auto &pair : pairs_)
-            end (&pair, true);
+            close_pair (&pair, true);
           pairs_.clear ();
         }
-      if (wants_silence_.exchange (false))
+      if (is_silence_requested_.exchange (false))
         for (auto &pair : pairs_)
           pair.is_silent = true;
       std::vector<pollfd> fds = { { listener_, POLLIN, 0 } };
       for (const auto &pair : pairs_)
         {
-          fds.push_back ({ pair.near_fd, POLLIN, 0 });
-          fds.push_back ({ pair.far_fd, POLLIN, 0 });
+          fds.push_back ({ pair.client_fd, POLLIN, 0 });
+          fds.push_back ({ pair.upstream_fd, POLLIN, 0 });
         }
       if (poll (fds.data (), fds.size (), 20) <= 0)
         continue;
--- a/test/relay/proxy.h
+++ b/test/relay/proxy.h
@@ -1,6 +1,6 @@
 /// @file proxy.h
-/// A loopback proxy that delays, silences, cuts one way or resets the
-/// connections through it.
+/// A loopback proxy that delays, silences, cuts one way or
+/// resets the connections through it.
 #ifndef KB_TEST_RELAY_PROXY_H
 #define KB_TEST_RELAY_PROXY_H
 
@@ -40,7 +40,7 @@
   /// Reset every connection now.
   void reset_all ();
   /// Present connections carry nothing any more; new ones work.
-  void silence_present ();
+  void silence_existing ();
   int
   port () const
   {
@@ -50,14 +50,14 @@
 private:
   struct Pair
   {
-    int near_fd;
-    int far_fd;
+    int client_fd;
+    int upstream_fd;
     bool is_silent;
   };
   void loop ();
   void accept_one ();
   bool pump (Pair *pair, bool is_forward);
-  void end (Pair *pair, bool is_reset);
+  void close_pair (Pair *pair, bool is_reset);
   std::string target_ip_;
   int target_port_;
   int port_ = 0;
@@ -65,8 +65,8 @@
   std::atomic<Path> path_{ Path::OPEN };
   std::atomic<int> delay_ms_{ 0 };
   std::atomic<bool> is_stopping_{ false };
-  std::atomic<bool> wants_reset_{ false };
-  std::atomic<bool> wants_silence_{ false };
+  std::atomic<bool> is_reset_requested_{ false };
+  std::atomic<bool> is_silence_requested_{ false };
   std::list<Pair> pairs_;
   std::thread thread_;
 };
--- a/test/relay/quota_failure_test.cc
+++ b/test/relay/quota_failure_test.cc
@@ -155,7 +155,7 @@
   expect_limit_holds (Site &site)
   {
     auto tokens = tokens_of (site, "red");
-    int most = most_in_window (tokens, kQuotaWindowS);
+    int most = max_tokens_in_window (tokens, kQuotaWindowS);
     EXPECT_LE (most, max_allowed_tokens ());
     printf ("%d of %d tokens in %d s\n", most, max_allowed_tokens (),
             kQuotaWindowS);
--- a/test/relay/relay_failure_test.cc
+++ b/test/relay/relay_failure_test.cc
@@ -55,7 +55,7 @@
 // moment. A gateway that forgot one of them at each of its ticks told its
 // sidecars nothing meanwhile; after 5 s they took it for gone, and requests
 // lost the places that they had been promised, for another 7 s.
-TEST (Relay, ManyTargetsThatGoKeepNoWordFromSidecars)
+TEST (Relay, RemovingManyTargetsDoesNotStopReportsToSidecars)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -83,7 +83,7 @@
 // Several targets are taken away at one moment without a word before. They are
 // kept for a while, because entries of live ones may have lapsed; together
 // with the pause between two reads that must stay below 2 s.
-TEST (Relay, SeveralTargetsRemovedAtOnceGetNothingNewInTime)
+TEST (Relay, SeveralTargetsRemovedAtOnceGetNothingNewAfterTwoSeconds)
 {
   Site site (0, 4);
   ASSERT_TRUE (site.wait_ready ());
@@ -126,28 +126,28 @@
 }
 
 // Guards against a store that is asked without a pause: it answers at once.
-TEST (Relay, AStoreThatAnswersAtOnceIsAskedWithPauses)
+TEST (Relay, AStoreThatAnswersAtOnceIsPolledWithPauses)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
-  site.store.set_mode (Store::HASTY);
+  site.store.set_mode (Store::NO_WAIT);
   // Reads that wait end with a change.
   site.list_plain (0);
   int before = site.store.calls;
   std::this_thread::sleep_for (std::chrono::milliseconds (2000));
   EXPECT_LE (site.store.calls - before, 60);
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
   EXPECT_TRUE (Site::wait_for ([&] {
     return send_call (site.gateways[0], plain_call ("a")).status == 200;
   }));
 }
 
 // Guards against another service that is taken for a store without changes.
-TEST (Relay, AnAnswerWithoutARevisionIsNoAnswerOfTheStore)
+TEST (Relay, AStoreAnswerWithoutARevisionIsRejected)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
-  site.store.set_mode (Store::NONSENSE);
+  site.store.set_mode (Store::FOREIGN_BODY);
   site.list_plain (0);
   int before = site.store.calls;
   EXPECT_TRUE (Site::wait_for ([&] {
@@ -155,7 +155,7 @@
                 .empty ();
   }));
   EXPECT_LE (site.store.calls - before, 60);
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
   EXPECT_TRUE (Site::wait_for ([&] {
     return send_call (site.gateways[0], plain_call ("a")).status == 200;
   }));
@@ -163,7 +163,7 @@
 
 // The store goes away, entries of live targets lapse meanwhile, and a reader
 // that takes the short list for the truth sends everything to one target.
-TEST (Relay, AnOutageOfTheStoreTakesNoTargetAway)
+TEST (Relay, AStoreOutageRemovesNoTarget)
 {
   Site site (1, 2);
   ASSERT_TRUE (site.wait_ready ());
@@ -178,7 +178,7 @@
     }
   for (auto &p : site.plain)
     site.remove ("servers/" + p->id ());
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
   std::this_thread::sleep_for (std::chrono::milliseconds (1200));
   for (size_t i = 0; i < 2; i++)
     site.list_plain (i);
@@ -194,11 +194,11 @@
 
 // The store turns one gateway away and serves the other. The one that is
 // turned away goes on with old routes for as long as that lasts.
-TEST (Relay, AGatewayCutOffFromTheStoreLearnsThroughSidecars)
+TEST (Relay, AGatewayCutOffFromTheStoreIsUpdatedThroughSidecars)
 {
   Site site (1, 1, 2);
   ASSERT_TRUE (site.wait_ready ());
-  site.far_store.set_mode (Store::SILENT);
+  site.mirror_store.set_mode (Store::SILENT);
   site.write_config (5, kNewRoute);
   EXPECT_TRUE (Site::wait_for ([&] {
     return send_call (site.gateways[1], plain_call ("q", "/new/x")).status
@@ -242,33 +242,33 @@
 // back, and the change was confirmed; the gateway went on waiting for that
 // read, 6.5 s from its start. Evidence: store_read_failed with waited_ms of
 // 6500, while other reads of the store were answered.
-TEST (Relay, AChangeAfterASilenceOfTheStoreHoldsSoon)
+TEST (Relay, AChangeAfterAStoreStallAppliesSoon)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
   site.write_config (4);
   wait_for_revision (site, 4);
-  site.store.mute ("");
+  site.store.stall_reads ("");
   std::this_thread::sleep_for (std::chrono::milliseconds (500));
-  site.store.unmute ();
+  site.store.end_read_stall ();
   expect_new_route_soon (site);
 }
 
 // As before, but the store is well all the time: only the connection on which
 // the gateway waits for changes has gone silent, and new ones work.
-TEST (Relay, AChangeHoldsThoughTheWaitingConnectionIsSilent)
+TEST (Relay, AChangeAppliesThoughTheWatchConnectionIsSilent)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
   site.write_config (4);
   wait_for_revision (site, 4);
-  site.store.mute ("op/");
-  site.store.unmute ();
+  site.store.stall_reads ("op/");
+  site.store.end_read_stall ();
   expect_new_route_soon (site);
 }
 
 // Guards against a read that is given up while its answer comes.
-TEST (Relay, ALargeConfigurationOnASlowLinkIsTaken)
+TEST (Relay, ALargeConfigurationOnASlowLinkIsApplied)
 {
   enum
   {
@@ -298,7 +298,7 @@
 }
 
 // Guards against an answer that never ends, and keeps a reader for itself.
-TEST (Relay, AnAnswerThatTricklesIsGivenUp)
+TEST (Relay, ATricklingStoreAnswerTimesOut)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -338,14 +338,14 @@
 
 // The store forgets its history while the configuration changes; a reader
 // that only waits for changes never hears of it.
-TEST (Relay, AForgottenHistoryIsReadAnew)
+TEST (Relay, ACompactedHistoryIsReadAgain)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
   site.store.set_mode (Store::SILENT);
   site.write_config (6, kNewRoute);
   site.store.compact ();
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
   EXPECT_TRUE (Site::wait_for ([&] {
     return send_call (site.gateways[0], plain_call ("h", "/new/x")).status
            == 200;
@@ -396,12 +396,12 @@
   }));
   Message m = send_call (site.gateways[0], stream_call ("v2", "a1"));
   EXPECT_EQ (m.status, 200);
-  bool was_asked_for = false;
+  bool expects_new_version = false;
   for (auto &e : site.engines)
     for (const auto &r : e.target->requests ())
       if (r.header ("x-knapweedbay-attempt-id") == "v2")
-        was_asked_for = r.header ("x-knapweedbay-expect-version") == "2";
-  EXPECT_TRUE (was_asked_for);
+        expects_new_version = r.header ("x-knapweedbay-expect-version") == "2";
+  EXPECT_TRUE (expects_new_version);
 }
 
 // An engine crashes: it was ordered to hold more adapters than it can, by
@@ -410,7 +410,7 @@
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
-  site.engines[0].target->late_order_ms = 700;
+  site.engines[0].target->order_delay_ms = 700;
   std::vector<std::thread> callers;
   for (int i = 0; i < 8; i++)
     callers.emplace_back ([&site, i] {
@@ -419,11 +419,11 @@
     });
   for (auto &caller : callers)
     caller.join ();
-  site.engines[0].target->late_order_ms = 0;
+  site.engines[0].target->order_delay_ms = 0;
   for (int i = 0; i < 8; i++)
     send_call (site.gateways[0], stream_call ("w" + std::to_string (i),
                                               "b" + std::to_string (i)));
-  EXPECT_LE (site.engines[0].target->most_held (), 4u);
+  EXPECT_LE (site.engines[0].target->max_adapters_held (), 4u);
   EXPECT_GT (site.engines[0].target->loads (), 0);
 }
 
@@ -431,7 +431,7 @@
 // is carried out later, at an engine that is full by then. It crashes with all
 // its streams. The id does not tell the two lives apart, and the count of
 // orders, which begins anew, is the same again at that moment.
-TEST (Relay, AnOrderToAnEarlierBirthNeverOverfillsAnEngine)
+TEST (Relay, AnOrderToAnEarlierIncarnationNeverOverfillsAnEngine)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -439,12 +439,12 @@
   // As many orders as bring its model and fill its four places.
   engine.set_seq (5);
   std::this_thread::sleep_for (std::chrono::milliseconds (900));
-  engine.late_order_ms = 2500;
+  engine.order_delay_ms = 2500;
   Call first = stream_call ("s1", "a1");
   first.deadline_ms = 300;
   send_call (site.gateways[0], first);
-  ASSERT_GT (engine.waiting_orders, 0);
-  engine.late_order_ms = 0;
+  ASSERT_GT (engine.pending_orders, 0);
+  engine.order_delay_ms = 0;
   engine.restart (engine.id ());
   site.list_engine (0);
   for (int i = 0; i < 4; i++)
@@ -455,15 +455,15 @@
                  .status
              == 200;
     }));
-  EXPECT_TRUE (Site::wait_for ([&] { return engine.waiting_orders == 0; }));
-  EXPECT_LE (engine.most_held (), 4u);
+  EXPECT_TRUE (Site::wait_for ([&] { return engine.pending_orders == 0; }));
+  EXPECT_LE (engine.max_adapters_held (), 4u);
 }
 
 // An engine ends behind a cut and starts again under the id that it had, so
 // that nothing breaks the connection of a stream that ran there. Its caller
 // waits for the end of its patience, though the stream can not go on: the
 // engine knows nothing of it. The answer must not promise that it did not run.
-TEST (Relay, AStreamAtAnEngineThatIsBornAgainIsCut)
+TEST (Relay, AStreamAtARestartedEngineIsCut)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -492,7 +492,7 @@
 // An engine says that it leaves, crashes, and starts again under its id. Its
 // agent knows of the new life before the list does; the leaving was the old
 // one's, and callers need not wait for the next entry.
-TEST (Relay, LeavingEndsWithTheBirthThatSaidSo)
+TEST (Relay, LeavingEndsWithTheIncarnationThatAnnouncedIt)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -512,7 +512,7 @@
 // A target is taken off the list while a stream still runs there, and starts
 // again under its id. Its agent tells of the new life, but only the list tells
 // who may be used: until it does, callers are refused.
-TEST (Relay, ABirthPutsNoTargetBackOnTheList)
+TEST (Relay, ARestartDoesNotRelistATarget)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -537,7 +537,7 @@
 // A target starts again under its id, and an entry that it wrote before comes
 // late, once and again. It is served as it is now. When the older birth goes
 // on being told, the clock of its VM was stepped back, and it is used too.
-TEST (Relay, AnEntryOfAnEarlierBirthIsTurnedAway)
+TEST (Relay, AnEntryOfAnEarlierIncarnationIsRejected)
 {
   Site site (0, 1);
   ASSERT_TRUE (site.wait_ready ());
@@ -642,21 +642,21 @@
   for (int i = 0; i < 4; i++)
     {
       std::this_thread::sleep_for (std::chrono::milliseconds (300));
-      proxies.agents[0]->silence_present ();
+      proxies.agents[0]->silence_existing ();
       std::this_thread::sleep_for (std::chrono::milliseconds (1700));
     }
   is_done = true;
   for (auto &caller : callers)
     caller.join ();
   std::this_thread::sleep_for (std::chrono::milliseconds (1800));
-  int good = 0;
+  int served_count = 0;
   for (int i = 0; i < 10; i++)
     {
       Message m = send_call (site.gateways[0],
                              stream_call ("k" + std::to_string (i), "a1"));
-      good += m.status == 200 && m.is_whole;
+      served_count += m.status == 200 && m.is_whole;
     }
-  EXPECT_EQ (good, 10);
+  EXPECT_EQ (served_count, 10);
 }
 
 // An engine crashes after its agent was restarted: before the agent knew the
@@ -682,13 +682,13 @@
   is_done = true;
   for (auto &caller : callers)
     caller.join ();
-  EXPECT_LE (site.engines[0].target->most_held (), 4u);
+  EXPECT_LE (site.engines[0].target->max_adapters_held (), 4u);
 }
 
 // An engine crashes with one adapter too many: callers left, their places were
 // given back, but the engine was still at work on them. The adapter that was
 // to make room was dropped only later.
-TEST (Relay, AnAdapterThatIsStillUsedMakesNoRoom)
+TEST (Relay, AnAdapterInUseFreesNoSlot)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -706,7 +706,7 @@
       connection->close ();
       std::this_thread::sleep_for (std::chrono::milliseconds (60));
     }
-  EXPECT_LE (engine.most_held (), 4u);
+  EXPECT_LE (engine.max_adapters_held (), 4u);
 }
 
 // All engines come back after a loss of power, and for a second or two the
@@ -714,7 +714,7 @@
 // same agent; when they take its link from each other, what was asked through
 // one is not heard by the other, and requests are declined though engines are
 // free.
-TEST (Relay, AnOldEntryDoesNotTakeTheLinkBack)
+TEST (Relay, AnOldEntryDoesNotReclaimTheLink)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
@@ -724,13 +724,13 @@
     return send_call (site.gateways[0], stream_call ("n", "a1")).status == 200;
   }));
   std::this_thread::sleep_for (std::chrono::milliseconds (1500));
-  int good = 0;
+  int served_count = 0;
   for (int i = 0; i < 40; i++)
-    good += send_call (site.gateways[0],
-                       stream_call ("o" + std::to_string (i), "a1"))
-                .status
-            == 200;
-  EXPECT_EQ (good, 40);
+    served_count += send_call (site.gateways[0],
+                               stream_call ("o" + std::to_string (i), "a1"))
+                        .status
+                    == 200;
+  EXPECT_EQ (served_count, 40);
   EXPECT_TRUE (
       Site::log_lines (site.engines[0].sidecar, { "places_reconciled" })
           .empty ());
--- a/test/relay/relay_test.cc
+++ b/test/relay/relay_test.cc
@@ -28,10 +28,10 @@
                      stream_call (std::string ("s") + adapter, adapter));
       EXPECT_EQ (m.status, 200) << adapter;
       EXPECT_TRUE (m.is_whole);
-      EXPECT_EQ (event_ids (m.body), up_to (10));
+      EXPECT_EQ (event_ids (m.body), ids_up_to (10));
     }
   for (auto &e : site.engines)
-    EXPECT_LE (e.target->most_held (), 4u);
+    EXPECT_LE (e.target->max_adapters_held (), 4u);
 }
 
 TEST (Relay, ChunkedBodiesAndKeptConnections)
@@ -159,7 +159,7 @@
                              stream_call (id, "a" + std::to_string (i)));
       EXPECT_EQ (m.status, 200);
       EXPECT_TRUE (m.is_whole);
-      EXPECT_EQ (event_ids (m.body), up_to (10));
+      EXPECT_EQ (event_ids (m.body), ids_up_to (10));
       EXPECT_NE (m.body.find ("data: e10\n\n"), std::string::npos);
       resumed += site.runs_of (id) == 2;
     }
@@ -185,7 +185,7 @@
   later.join ();
   EXPECT_EQ (m.status, 200);
   EXPECT_TRUE (m.is_whole);
-  EXPECT_EQ (event_ids (m.body), up_to (10));
+  EXPECT_EQ (event_ids (m.body), ids_up_to (10));
   EXPECT_EQ (site.runs_of ("w1"), 2);
 }
 
@@ -206,7 +206,7 @@
   Message m = send_call (site.gateways[0], stream_call ("p1", "a1"));
   EXPECT_EQ (m.status, 200);
   EXPECT_TRUE (m.is_whole);
-  EXPECT_EQ (event_ids (m.body), up_to (2));
+  EXPECT_EQ (event_ids (m.body), ids_up_to (2));
   EXPECT_EQ (site.runs_of ("p1"), 1);
 }
 
@@ -225,7 +225,7 @@
       Message m = send_call (site.gateways[0],
                              stream_call (id, "a" + std::to_string (i)));
       EXPECT_EQ (m.status, 200) << id;
-      EXPECT_EQ (event_ids (m.body), up_to (10)) << id;
+      EXPECT_EQ (event_ids (m.body), ids_up_to (10)) << id;
       failed += site.engines[0].target->runs_of (id);
     }
   EXPECT_GT (failed, 0);
@@ -264,7 +264,7 @@
   EXPECT_NE (connection->read_some (5000), "");
   connection->close ();
   EXPECT_TRUE (Site::wait_for (
-      [&] { return site.engines[0].target->abandoned == 1; }, 2000));
+      [&] { return site.engines[0].target->abandoned_streams == 1; }, 2000));
   // Also before the first event.
   site.engines[0].target->event_ms = 400;
   connection = dial (site.gateways[0].address);
@@ -272,7 +272,7 @@
   EXPECT_TRUE (Site::wait_for ([&] { return site.runs_of ("l2") == 1; }));
   connection->close ();
   EXPECT_TRUE (Site::wait_for (
-      [&] { return site.engines[0].target->abandoned == 2; }, 2000));
+      [&] { return site.engines[0].target->abandoned_streams == 2; }, 2000));
 }
 
 /// No engine takes requests, and the gateway knows it.
@@ -303,7 +303,7 @@
   Message m = send_call (site.gateways[0], stream_call ("w1", "a1"));
   engine.join ();
   EXPECT_EQ (m.status, 200);
-  EXPECT_EQ (event_ids (m.body), up_to (10));
+  EXPECT_EQ (event_ids (m.body), ids_up_to (10));
 }
 
 // The wait has an end: engines that stay away are no reason to keep callers,
@@ -390,7 +390,7 @@
   restart_without_store (site);
   std::thread store ([&] {
     std::this_thread::sleep_for (std::chrono::milliseconds (200));
-    site.store.set_mode (Store::WELL);
+    site.store.set_mode (Store::HEALTHY);
   });
   Message served = send_call (site.gateways[0], plain_call ("w3"));
   store.join ();
@@ -418,7 +418,7 @@
           + plain_call ("u" + number, "/unsafe/x").text ());
     }
   std::this_thread::sleep_for (std::chrono::milliseconds (150));
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
   for (int i = 0; i < kConnections; i++)
     {
       EXPECT_EQ (connections[(size_t)i]->read_answer ().status, 404) << i;
@@ -437,7 +437,7 @@
   restart_without_store (site);
   std::thread store ([&] {
     std::this_thread::sleep_for (std::chrono::milliseconds (200));
-    site.store.set_mode (Store::WELL);
+    site.store.set_mode (Store::HEALTHY);
   });
   site.plain[0]->fail_next ({ Fault::HANG });
   Call call = plain_call ("w6", "/unsafe/x");
--- a/test/relay/repeat_failure_test.cc
+++ b/test/relay/repeat_failure_test.cc
@@ -43,12 +43,12 @@
 send_until_ends (Site &site, Call (*call_of) (int), int ends)
 {
   int attempt = 0;
-  while (site.ends () < ends && attempt < 30)
+  while (site.crash_count () < ends && attempt < 30)
     {
       send_call (site.gateways[attempt % site.gateways.size ()],
                  call_of (attempt));
       attempt++;
-      site.begin_ended_again ();
+      site.restart_ended_targets ();
       std::this_thread::sleep_for (std::chrono::milliseconds (150));
     }
   return attempt;
@@ -59,15 +59,15 @@
 int
 send_more (Site &site, Call (*call_of) (int), int attempt, int count)
 {
-  int before = site.ends ();
+  int before = site.crash_count ();
   for (int i = 0; i < count; i++)
     {
       send_call (site.gateways[i % site.gateways.size ()],
                  call_of (attempt + i));
-      site.begin_ended_again ();
+      site.restart_ended_targets ();
       std::this_thread::sleep_for (std::chrono::milliseconds (300));
     }
-  return site.ends () - before;
+  return site.crash_count () - before;
 }
 
 /// Send a request that has ended three targets, after all gateways have had
@@ -76,9 +76,9 @@
 expect_few_after_third (Site &site, Call (*call_of) (int), int sends)
 {
   ASSERT_TRUE (site.wait_ready ());
-  site.end_on ("/fatal");
+  site.crash_on_path ("/fatal");
   int attempt = send_until_ends (site, call_of, 3);
-  ASSERT_GE (site.ends (), 3);
+  ASSERT_GE (site.crash_count (), 3);
   std::this_thread::sleep_for (std::chrono::milliseconds (kPropagationMs));
   EXPECT_LE (send_more (site, call_of, attempt, sends), kMaxEndsAfterThird);
 }
@@ -101,7 +101,7 @@
 {
   Site site (6, 0, 2);
   for (const Engine &engine : site.engines)
-    engine.target->hangs_on_end = true;
+    engine.target->hangs_on_crash = true;
   expect_few_after_third (site, fatal_stream, 6);
 }
 
@@ -159,11 +159,11 @@
 bool
 send_until_held (Site &site, Call (*call_of) (int))
 {
-  site.end_on ("/fatal");
+  site.crash_on_path ("/fatal");
   for (int attempt = 1000; attempt < 1020; attempt++)
     {
       Message answer = send_call (site.gateways[0], call_of (attempt));
-      site.begin_ended_again ();
+      site.restart_ended_targets ();
       if (answer.status == 503 && answer.body == "quarantined")
         return true;
       std::this_thread::sleep_for (std::chrono::milliseconds (300));
@@ -192,7 +192,7 @@
   Site site (5, 1, 1);
   ASSERT_TRUE (site.wait_ready ());
   ASSERT_TRUE (send_until_held (site, fatal_stream));
-  site.end_on ("");
+  site.crash_on_path ("");
   Message refused = send_call (site.gateways[0], fatal_stream (1));
   EXPECT_EQ (refused.status, 503);
   EXPECT_GT (atof (refused.header ("retry-after").c_str ()), 60);
@@ -214,7 +214,7 @@
 {
   Site site (2, 0, 1);
   ASSERT_TRUE (site.wait_ready ());
-  site.end_on ("/fatal");
+  site.crash_on_path ("/fatal");
   for (const Engine &engine : site.engines)
     engine.target->event_ms = 30;
   int held = 0;
@@ -229,7 +229,7 @@
       other.join ();
       EXPECT_NE (innocent.body, "quarantined");
       held += fatal.body == "quarantined";
-      site.begin_ended_again ();
+      site.restart_ended_targets ();
       std::this_thread::sleep_for (std::chrono::milliseconds (700));
     }
   ASSERT_EQ (held, 2) << "the request that ends engines is not held";
@@ -248,7 +248,7 @@
   ASSERT_TRUE (send_until_held (site, fatal_stream));
   EXPECT_TRUE (is_held (site.gateways[1], fatal_stream, kPropagationMs))
       << "the other gateway does not know it";
-  int before = site.ends ();
+  int before = site.crash_count ();
   for (Gateway &gateway : site.gateways)
     {
       site.restart (&gateway.daemon, SIGKILL);
@@ -264,14 +264,14 @@
       std::this_thread::sleep_for (std::chrono::milliseconds (600));
     }
   site.store.set_mode (Store::RESET);
-  site.far_store.set_mode (Store::RESET);
+  site.mirror_store.set_mode (Store::RESET);
   std::this_thread::sleep_for (std::chrono::milliseconds (1500));
   site.restart (&site.gateways[1].daemon, SIGKILL);
   EXPECT_TRUE (is_held (site.gateways[0], fatal_stream, 1000));
-  site.store.set_mode (Store::WELL);
-  site.far_store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
+  site.mirror_store.set_mode (Store::HEALTHY);
   EXPECT_TRUE (is_held (site.gateways[1], fatal_stream, 6000));
-  EXPECT_EQ (site.ends (), before);
+  EXPECT_EQ (site.crash_count (), before);
 }
 
 // All daemons lose power at the same moment, and with it their records. The
@@ -282,7 +282,7 @@
   ASSERT_TRUE (site.wait_ready ());
   ASSERT_TRUE (send_until_held (site, fatal_stream));
   std::this_thread::sleep_for (std::chrono::milliseconds (500));
-  int before = site.ends ();
+  int before = site.crash_count ();
   site.stop (&site.gateways[0].daemon, SIGKILL);
   for (Engine &engine : site.engines)
     site.stop (&engine.sidecar, SIGKILL);
@@ -290,7 +290,7 @@
     site.start (&engine.sidecar);
   site.start (&site.gateways[0].daemon);
   EXPECT_TRUE (is_held (site.gateways[0], fatal_stream, 6000));
-  EXPECT_EQ (site.ends (), before);
+  EXPECT_EQ (site.crash_count (), before);
 }
 
 // Without engines there is no sidecar through which gateways could share
--- a/test/relay/share_failure_test.cc
+++ b/test/relay/share_failure_test.cc
@@ -131,9 +131,9 @@
   Site site (2, 2, 6);
   Heartbeats heartbeats (&site);
   ASSERT_TRUE (wait_until_shared (site));
-  int before = site.far_store.calls;
+  int before = site.mirror_store.calls;
   std::this_thread::sleep_for (milliseconds (3000));
-  EXPECT_GE (site.far_store.calls - before, 3);
+  EXPECT_GE (site.mirror_store.calls - before, 3);
 }
 
 // The sidecar that reads is frozen, and its gateways receive nothing. A target
@@ -202,7 +202,7 @@
   Site site (2, 2, 4);
   Heartbeats heartbeats (&site);
   ASSERT_TRUE (wait_until_shared (site));
-  site.store.mute ("op/");
+  site.store.stall_reads ("op/");
   site.write_config (2, ",{\"Name\":\"new\",\"Host\":\"a.example\","
                         "\"Prefix\":\"/new/\",\"Kind\":\"safe\","
                         "\"TimeoutMs\":2000,\"Service\":\"maps\","
--- a/test/relay/sidecar_test.cc
+++ b/test/relay/sidecar_test.cc
@@ -124,7 +124,7 @@
   EXPECT_EQ (site.engines[0].target->loads (), 0);
   send_document (site.config);
   EXPECT_TRUE (run_until ([&] { return grants >= 4; }));
-  EXPECT_LE (site.engines[0].target->most_held (), 4u);
+  EXPECT_LE (site.engines[0].target->max_adapters_held (), 4u);
 }
 
 // Guards against copies that compete with the gateway's own read.
--- a/test/relay/site.cc
+++ b/test/relay/site.cc
@@ -16,7 +16,7 @@
 /// Last part of the first gateway's address; engines come before it.
 static constexpr int kGatewayHost = 200;
 static constexpr int kStoreHost = 240;
-static constexpr int kFarStoreHost = 241;
+static constexpr int kMirrorStoreHost = 241;
 static constexpr int kPlainHost = 242; ///< All plain targets; ports differ.
 
 static std::string
@@ -32,7 +32,7 @@
 /// loopback addresses of its own, so that none can.
 /// @param net  0 for daemons and targets, 1 for proxies before them.
 static std::string
-own_ip (int net, int host)
+process_ip (int net, int host)
 {
   constexpr int kNets = 100;
   int pid = getpid ();
@@ -42,9 +42,9 @@
 
 /// Address of the proxy before an engine's.
 static std::string
-outer_ip (const std::string &ip)
+proxy_ip (const std::string &ip)
 {
-  return own_ip (1, atoi (ip.c_str () + ip.rfind ('.') + 1));
+  return process_ip (1, atoi (ip.c_str () + ip.rfind ('.') + 1));
 }
 
 bool
@@ -84,14 +84,14 @@
 Site::put (const std::string &key, const std::string &value)
 {
   store.put (key, value);
-  far_store.put (key, value);
+  mirror_store.put (key, value);
 }
 
 void
 Site::remove (const std::string &key)
 {
   store.remove (key);
-  far_store.remove (key);
+  mirror_store.remove (key);
 }
 
 static Daemon
@@ -118,7 +118,7 @@
   if (!listed.empty ())
     return listed;
   // The agent is found at the listed IP number and the inner port.
-  std::string outer = outer_ip (ip);
+  std::string outer = proxy_ip (ip);
   all.push_back (std::make_unique<Proxy> (outer, 0, ip,
                                           atoi (port_of (address).c_str ())));
   listed = outer + ":" + std::to_string (all.back ()->port ());
@@ -134,7 +134,7 @@
   if (listed.empty ())
     {
       std::string ip = address.substr (0, address.find (':'));
-      std::string outer = outer_ip (ip);
+      std::string outer = proxy_ip (ip);
       all.push_back (std::make_unique<Proxy> (
           outer, 0, ip, atoi (port_of (address).c_str ())));
       listed = outer + ":" + std::to_string (all.back ()->port ());
@@ -150,25 +150,25 @@
 
 Site::Site (int engine_count, int plain_count, int gateway_count,
             Proxies *proxies)
-    : store (own_ip (0, kStoreHost)), far_store (own_ip (0, kFarStoreHost)),
-      proxies_ (proxies)
+    : store (process_ip (0, kStoreHost)),
+      mirror_store (process_ip (0, kMirrorStoreHost)), proxies_ (proxies)
 {
   char pattern[] = "/tmp/kb-relay-XXXXXX";
   dir = mkdtemp (pattern);
-  inner_port_ = free_port (own_ip (0, 1));
-  store.mirror_to (&far_store);
-  far_store.mirror_to (&store);
+  inner_port_ = free_port (process_ip (0, 1));
+  store.mirror_to (&mirror_store);
+  mirror_store.mirror_to (&store);
   write_config (1);
   for (int i = 0; i < engine_count; i++)
     {
       Engine e;
-      e.ip = own_ip (0, i + 1);
+      e.ip = process_ip (0, i + 1);
       e.target
           = std::make_unique<Target> (e.ip, "i-e" + std::to_string (i), true);
       e.sidecar = make_daemon (dir, "sidecar" + std::to_string (i));
       int metrics_port = free_port (e.ip);
       e.metrics = e.ip + ":" + std::to_string (metrics_port);
-      std::string advertised = proxies_ == nullptr ? e.ip : outer_ip (e.ip);
+      std::string advertised = proxies_ == nullptr ? e.ip : proxy_ip (e.ip);
       write_settings (e.sidecar,
                       "\"role\":\"agent\",\"service\":\"models\","
                       "\"advertised_address\":\""
@@ -184,13 +184,13 @@
   for (int i = 0; i < plain_count; i++)
     {
       plain.push_back (std::make_unique<Target> (
-          own_ip (0, kPlainHost), "i-p" + std::to_string (i), false));
+          process_ip (0, kPlainHost), "i-p" + std::to_string (i), false));
       list_plain (plain.size () - 1);
     }
   for (int i = 0; i < gateway_count; i++)
     {
       Gateway g;
-      std::string ip = own_ip (0, kGatewayHost + i);
+      std::string ip = process_ip (0, kGatewayHost + i);
       g.address = ip + ":" + std::to_string (free_port (ip));
       g.ready = ip + ":" + std::to_string (free_port (ip));
       g.daemon = make_daemon (dir, "gateway" + std::to_string (i));
@@ -199,7 +199,7 @@
                           + "\",\"ready_address\":\"" + g.ready
                           + "\",\"revoke_bound_ms\":"
                           + std::to_string (kRevokeBoundMs),
-                      i > 0 && i == gateway_count - 1 ? far_store : store);
+                      i > 0 && i == gateway_count - 1 ? mirror_store : store);
       gateways.push_back (g);
       start (&gateways.back ().daemon);
     }
@@ -329,7 +329,7 @@
 }
 
 void
-Site::begin_again (Target *target)
+Site::restart_target (Target *target)
 {
   remove ("servers/" + target->id ());
   target->restart ("i-again" + std::to_string (incarnations_++));
@@ -338,40 +338,40 @@
 }
 
 void
-Site::begin_ended_again ()
+Site::restart_ended_targets ()
 {
   for (size_t i = 0; i < engines.size (); i++)
     if (engines[i].target->has_ended () || engines[i].target->is_hung)
       {
-        begin_again (engines[i].target.get ());
+        restart_target (engines[i].target.get ());
         list_engine (i);
       }
   for (size_t i = 0; i < plain.size (); i++)
     if (plain[i]->has_ended ())
       {
-        begin_again (plain[i].get ());
+        restart_target (plain[i].get ());
         list_plain (i);
       }
 }
 
 int
-Site::ends ()
+Site::crash_count ()
 {
   int sum = 0;
   for (const Engine &engine : engines)
-    sum += engine.target->ends;
+    sum += engine.target->crash_count;
   for (const auto &target : plain)
-    sum += target->ends;
+    sum += target->crash_count;
   return sum;
 }
 
 void
-Site::end_on (const std::string &text)
+Site::crash_on_path (const std::string &text)
 {
   for (const Engine &engine : engines)
-    engine.target->end_on (text);
+    engine.target->crash_on_path (text);
   for (const auto &target : plain)
-    target->end_on (text);
+    target->crash_on_path (text);
 }
 
 int
@@ -477,7 +477,7 @@
 }
 
 std::vector<int>
-up_to (int last)
+ids_up_to (int last)
 {
   std::vector<int> ids ((size_t)last);
   std::iota (ids.begin (), ids.end (), 1);
--- a/test/relay/site.h
+++ b/test/relay/site.h
@@ -64,7 +64,7 @@
 class Site
 {
 public:
-  /// The last of several gateways reads `far_store`, which shows the same.
+  /// The last of several gateways reads `mirror_store`, which shows the same.
   explicit Site (int engines = 2, int plain = 2, int gateways = 1,
                  Proxies *proxies = nullptr);
   /// Write to both stores.
@@ -87,11 +87,11 @@
   /// @param stdout_fd  Where its log goes; its log file when negative.
   void start (Daemon *daemon, int stdout_fd = -1);
   /// Targets that a request ended are back as other incarnations.
-  void begin_ended_again ();
+  void restart_ended_targets ();
   /// How often requests ended targets.
-  int ends ();
+  int crash_count ();
   /// Requests whose path holds this text end the target that runs them.
-  void end_on (const std::string &text);
+  void crash_on_path (const std::string &text);
   void stop (Daemon *daemon, int signal);
   bool wait_ready ();
   int ready_status (size_t gateway = 0);
@@ -110,7 +110,7 @@
   /// More members of the next configuration, each after a comma.
   std::string config_members;
   Store store;
-  Store far_store; ///< The store as the last of several gateways sees it.
+  Store mirror_store; ///< The store as the last of several gateways sees it.
   std::vector<Engine> engines;
   std::vector<std::unique_ptr<Target>> plain;
   std::vector<Gateway> gateways;
@@ -118,7 +118,7 @@
 private:
   void write_settings (const Daemon &daemon, const std::string &members,
                        const Store &store);
-  void begin_again (Target *target);
+  void restart_target (Target *target);
   int inner_port_;
   Proxies *proxies_;
   int incarnations_ = 0;
@@ -145,7 +145,7 @@
 /// The metrics page of an engine's agent.
 std::string metrics_of (const Engine &engine);
 /// The numbers from 1 to `last`: ids of a whole stream.
-std::vector<int> up_to (int last);
+std::vector<int> ids_up_to (int last);
 /// Ids of the events in a body, in order.
 std::vector<int> event_ids (const std::string &body);
 
--- a/test/relay/store_standin.cc
+++ b/test/relay/store_standin.cc
@@ -73,7 +73,7 @@
 }
 
 int
-Store::written (const std::string &prefix)
+Store::count_written (const std::string &prefix)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   int count = 0;
@@ -111,7 +111,7 @@
 {
   std::lock_guard<std::mutex> lock (mutex_);
   mode_ = mode;
-  cuts_++;
+  disconnect_count_++;
   changed_.notify_all ();
 }
 
@@ -120,35 +120,35 @@
 {
   std::lock_guard<std::mutex> lock (mutex_);
   compacted_ = ++revision_;
-  cuts_++;
+  disconnect_count_++;
   changed_.notify_all ();
 }
 
 void
-Store::mute (const std::string &prefix)
+Store::stall_reads (const std::string &prefix)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  muted_prefix_ = prefix;
-  is_mute_ = true;
-  mutes_++;
+  stalled_prefix_ = prefix;
+  is_stalling_ = true;
+  stall_count_++;
   changed_.notify_all ();
 }
 
 void
-Store::unmute ()
+Store::end_read_stall ()
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  is_mute_ = false;
+  is_stalling_ = false;
 }
 
 bool
-Store::is_muted (const std::string &prefix) const
+Store::has_stalled_prefix (const std::string &prefix) const
 {
-  return prefix.compare (0, muted_prefix_.size (), muted_prefix_) == 0;
+  return prefix.compare (0, stalled_prefix_.size (), stalled_prefix_) == 0;
 }
 
 bool
-Store::swallow (Connection &connection)
+Store::hold_until_closed (Connection &connection)
 {
   while (!is_stopping_ && !connection.peer_is_gone (50))
     ;
@@ -228,30 +228,32 @@
 {
   std::unique_lock<std::mutex> lock (mutex_);
   int64_t after = atoll (query.at ("after").c_str ());
-  int64_t cuts = cuts_;
-  int64_t mutes = mutes_;
+  int64_t disconnect_count_before = disconnect_count_;
+  int64_t stall_count_before = stall_count_;
   auto end = std::chrono::steady_clock::now ()
              + std::chrono::milliseconds (atoi (query.at ("WaitMs").c_str ()));
   std::string list;
-  if (mode_ == HASTY)
+  if (mode_ == NO_WAIT)
     end = std::chrono::steady_clock::now ();
   while ((list = changes (query.at ("Prefix"), after)).empty ()
-         && cuts == cuts_ && mutes == mutes_ && !is_stopping_
+         && disconnect_count_before == disconnect_count_
+         && stall_count_before == stall_count_ && !is_stopping_
          && changed_.wait_until (lock, end) != std::cv_status::timeout)
     ;
-  if (mutes != mutes_ && is_muted (query.at ("Prefix")))
+  if (stall_count_before != stall_count_
+      && has_stalled_prefix (query.at ("Prefix")))
     {
       lock.unlock ();
-      return swallow (connection);
+      return hold_until_closed (connection);
     }
   if (after < compacted_)
     return connection.write (answer (410, "", "{}"));
-  if (cuts != cuts_)
+  if (disconnect_count_before != disconnect_count_)
     return false;
-  std::string told = "{\"events\":[" + list
-                     + "],\"AsOf\":" + std::to_string (revision_) + "}";
+  std::string reply_body = "{\"events\":[" + list
+                           + "],\"AsOf\":" + std::to_string (revision_) + "}";
   lock.unlock ();
-  return deliver (connection, json_answer (told));
+  return deliver (connection, json_answer (reply_body));
 }
 
 bool
@@ -262,8 +264,9 @@
   {
     std::unique_lock<std::mutex> lock (mutex_);
     mode = mode_;
-    int64_t cuts = cuts_;
-    while (mode_ == SILENT && cuts == cuts_ && !is_stopping_)
+    int64_t disconnect_count_before = disconnect_count_;
+    while (mode_ == SILENT && disconnect_count_before == disconnect_count_
+           && !is_stopping_)
       changed_.wait (lock);
   }
   if (mode == SILENT)
@@ -275,17 +278,17 @@
     }
   if (mode == BUSY)
     return connection.write (answer (503, "", "{}"));
-  if (mode == NONSENSE)
+  if (mode == FOREIGN_BODY)
     return connection.write (json_answer ("{\"map\":\"a body\"}"));
   if (request.method () == "POST")
     return serve_write (connection, request);
   auto query = parse_query (request.target ());
   {
     std::unique_lock<std::mutex> lock (mutex_);
-    if (is_mute_ && is_muted (query.at ("Prefix")))
+    if (is_stalling_ && has_stalled_prefix (query.at ("Prefix")))
       {
         lock.unlock ();
-        return swallow (connection);
+        return hold_until_closed (connection);
       }
   }
   if (request.target ().compare (0, 9, "/kv-watch") == 0)
--- a/test/relay/store_standin.h
+++ b/test/relay/store_standin.h
@@ -16,12 +16,12 @@
 public:
   enum Mode
   {
-    WELL,
-    BUSY,     ///< 503
-    RESET,    ///< Connections are reset.
-    SILENT,   ///< No answer.
-    NONSENSE, ///< 200 with another service's body.
-    HASTY,    ///< Waits for no changes: says at once that there are none.
+    HEALTHY,
+    BUSY,         ///< 503
+    RESET,        ///< Connections are reset.
+    SILENT,       ///< No answer.
+    FOREIGN_BODY, ///< 200 with another service's body.
+    NO_WAIT,      ///< Waits for no changes: says at once that there are none.
   };
   explicit Store (const std::string &ip) : Server (ip) { start (); }
   ~Store () override
@@ -35,17 +35,17 @@
   /// Forget the history: watches behind the present revision get 410, and
   /// those that wait are cut.
   void compact ();
-  /// Take the reads on a prefix that wait now, and until unmute those that
-  /// come, and never answer them: their connections stay open and silent also
-  /// when the store is well again.
-  void mute (const std::string &prefix);
-  void unmute ();
+  /// Take the reads on a prefix that wait now, and until end_read_stall those
+  /// that come, and never answer them: their connections stay open and silent
+  /// also when the store is well again.
+  void stall_reads (const std::string &prefix);
+  void end_read_stall ();
   /// Answers come by pieces, so many bytes a second; zero: at once.
   std::atomic<int> bytes_per_s{ 0 };
   /// What daemons write here stands in another store as well.
   void mirror_to (Store *other);
   /// Values that daemons have written under a prefix and that stand now.
-  int written (const std::string &prefix);
+  int count_written (const std::string &prefix);
   std::atomic<int> calls{ 0 };
   /// Of these, those that change something.
   std::atomic<int> writes{ 0 };
@@ -64,11 +64,11 @@
   bool serve_write (Connection &connection, const Message &request);
   std::string range (const std::map<std::string, std::string> &query);
   std::string changes (const std::string &prefix, int64_t after);
-  bool is_muted (const std::string &prefix) const;
+  bool has_stalled_prefix (const std::string &prefix) const;
   /// Write an answer at the pace that is set.
   bool deliver (Connection &connection, const std::string &bytes);
   /// Hold a connection without a word until its client closes it.
-  bool swallow (Connection &connection);
+  bool hold_until_closed (Connection &connection);
   static std::string item_json (const std::string &key, const Item &item);
   std::mutex mutex_;
   std::condition_variable changed_;
@@ -76,11 +76,11 @@
   std::vector<std::pair<std::string, Item>> history_; ///< In order.
   int64_t revision_ = 1;
   int64_t compacted_ = 0;
-  int64_t cuts_ = 0;
-  int64_t mutes_ = 0;
-  std::string muted_prefix_; ///< Of the last mute.
-  bool is_mute_ = false;
-  Mode mode_ = WELL;
+  int64_t disconnect_count_ = 0;
+  int64_t stall_count_ = 0;
+  std::string stalled_prefix_; ///< Of the last stall_reads.
+  bool is_stalling_ = false;
+  Mode mode_ = HEALTHY;
   Store *mirror_ = nullptr;
 };
 
--- a/test/relay/target_standin.cc
+++ b/test/relay/target_standin.cc
@@ -34,37 +34,37 @@
 }
 
 void
-Target::end_on (const std::string &text)
+Target::crash_on_path (const std::string &text)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  end_on_ = text;
+  crash_path_ = text;
 }
 
 void
-Target::pause_on (const std::string &text, double seconds)
+Target::pause_on_path (const std::string &text, double seconds)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  pause_on_ = text;
-  pause_on_s_ = seconds;
+  pause_path_ = text;
+  pause_path_s_ = seconds;
 }
 
 /// @return  The pause that it asks for; negative: it serves the request.
 double
-Target::pause_for (const Message &request)
+Target::requested_pause_s (const Message &request)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  bool is_unwanted
-      = !pause_on_.empty ()
-        && request.target ().find (pause_on_) != std::string::npos;
-  return is_unwanted ? pause_on_s_ : (double)pause_s;
+  bool is_paused_path
+      = !pause_path_.empty ()
+        && request.target ().find (pause_path_) != std::string::npos;
+  return is_paused_path ? pause_path_s_ : (double)pause_s;
 }
 
 bool
 Target::is_fatal (const Message &request)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  return !end_on_.empty ()
-         && request.target ().find (end_on_) != std::string::npos;
+  return !crash_path_.empty ()
+         && request.target ().find (crash_path_) != std::string::npos;
 }
 
 int64_t
@@ -98,44 +98,44 @@
   has_model_ = false;
   seq_ = 0;
   restarts_.push_back (Clock::now ());
-  says_leaving = false;
+  announces_leaving = false;
   pause_s = -1;
-  state_limit_locked (-1);
+  announce_limit_locked (-1);
 }
 
 size_t
-Target::born_at (Clock::time_point moment)
+Target::incarnation_at (Clock::time_point moment)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  size_t life = 0;
-  while (life < restarts_.size () && restarts_[life] < moment)
-    life++;
-  return life;
+  size_t incarnation = 0;
+  while (incarnation < restarts_.size () && restarts_[incarnation] < moment)
+    incarnation++;
+  return incarnation;
 }
 
 void
-Target::state_limit_locked (double per_s)
+Target::announce_limit_locked (double per_s)
 {
   Clock::time_point now = Clock::now ();
-  if (limit_per_s >= 0 && !limits_.empty ())
-    limits_.back ().to = now;
+  if (limit_per_s >= 0 && !announced_limits_.empty ())
+    announced_limits_.back ().to = now;
   if (per_s >= 0)
-    limits_.push_back ({ per_s, now, Clock::time_point::max () });
+    announced_limits_.push_back ({ per_s, now, Clock::time_point::max () });
   limit_per_s = per_s;
 }
 
 void
-Target::state_limit (double per_s)
+Target::announce_limit (double per_s)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  state_limit_locked (per_s);
+  announce_limit_locked (per_s);
 }
 
 std::vector<LimitSpan>
-Target::limits ()
+Target::announced_limits ()
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  return limits_;
+  return announced_limits_;
 }
 
 void
@@ -177,10 +177,10 @@
 }
 
 std::vector<Message>
-Target::turned_away ()
+Target::refused_with_pause ()
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  return turned_away_;
+  return refused_with_pause_;
 }
 
 int
@@ -191,17 +191,17 @@
 }
 
 size_t
-Target::most_held ()
+Target::max_adapters_held ()
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  return most_held_;
+  return max_adapters_held_;
 }
 
 std::set<std::string>
-Target::orderers ()
+Target::order_issuers ()
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  return orderers_;
+  return order_issuers_;
 }
 
 std::string
@@ -231,10 +231,11 @@
 
 /// @return  The HTTP status of the order.
 int
-Target::carry_out (const std::string &body)
+Target::execute_order (const std::string &body)
 {
   std::lock_guard<std::mutex> lock (mutex_);
-  orderers_.insert (member (body, "Holder") + "/" + member (body, "Fence"));
+  order_issuers_.insert (member (body, "Holder") + "/"
+                         + member (body, "Fence"));
   std::string expected = member (body, "Expected");
   if (!expected.empty () && atoll (expected.c_str ()) != seq_)
     return 409;
@@ -258,30 +259,30 @@
   adapters_[name].version = newest_version;
   adapters_[name].ready = Clock::now () + std::chrono::milliseconds (load_ms);
   loads_++;
-  most_held_ = std::max (most_held_, adapters_.size ());
+  max_adapters_held_ = std::max (max_adapters_held_, adapters_.size ());
   return 202;
 }
 
 bool
 Target::serve_order (Connection &connection, const Message &request)
 {
-  int delay_ms = late_order_ms;
+  int delay_ms = order_delay_ms;
   if (delay_ms == 0)
-    return connection.write (answer (carry_out (request.body), "", "{}"));
-  waiting_orders++;
+    return connection.write (answer (execute_order (request.body), "", "{}"));
+  pending_orders++;
   sleep_ms (delay_ms);
-  carry_out (request.body);
-  waiting_orders--;
+  execute_order (request.body);
+  pending_orders--;
   return false;
 }
 
 /// What it asks of its callers, in the head of each answer.
 std::string
-Target::statements ()
+Target::announcement_headers ()
 {
   double per_s = limit_per_s;
   const char *text = limit_text;
-  std::string out = says_leaving ? "Server-Leaving: 1\r\n" : "";
+  std::string out = announces_leaving ? "Server-Leaving: 1\r\n" : "";
   if (text != nullptr || per_s >= 0)
     out += "Server-Limit: " + (text != nullptr ? text : std::to_string (per_s))
            + "\r\n";
@@ -293,7 +294,7 @@
 {
   std::string head = "X-Knapweedbay-Attempt-Id: "
                      + request.header ("x-knapweedbay-attempt-id") + "\r\n";
-  head += statements ();
+  head += announcement_headers ();
   if (has_seal)
     head += "X-Knapweedbay-Server-Seal: seal-" + id () + "\r\n";
   return head;
@@ -323,15 +324,16 @@
     is_refused = is_refused || (is_engine_ && !has_model_);
   }
   if (is_refused)
-    connection.write (answer (
-        421, "X-Knapweedbay-Instance-Id: " + id () + "\r\n" + statements (),
-        "misdirected"));
+    connection.write (answer (421,
+                              "X-Knapweedbay-Instance-Id: " + id () + "\r\n"
+                                  + announcement_headers (),
+                              "misdirected"));
   return is_refused;
 }
 
 /// Count a stream of an adapter in or out.
 void
-Target::use (const Message &request, int change)
+Target::count_adapter_stream (const Message &request, int change)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   std::string model = request.header ("x-knapweedbay-model");
@@ -358,7 +360,7 @@
       sleep_ms (event_ms);
       if (!ignores_close && connection.peer_is_gone (0))
         {
-          abandoned++;
+          abandoned_streams++;
           return false;
         }
       std::string event = "id: " + std::to_string (i) + "\ndata: e"
@@ -386,9 +388,9 @@
   }
   if (is_fatal (request) && !is_hung)
     {
-      sleep_ms (end_after_ms);
-      ends++;
-      if (!hangs_on_end)
+      sleep_ms (crash_delay_ms);
+      crash_count++;
+      if (!hangs_on_crash)
         {
           end ();
           return false;
@@ -430,15 +432,15 @@
     }
   if (is_engine_)
     {
-      use (request, 1);
+      count_adapter_stream (request, 1);
       bool is_kept = stream (connection, request, fault);
-      use (request, -1);
+      count_adapter_stream (request, -1);
       return is_kept;
     }
-  int life = ends;
+  int crash_count_before = crash_count;
   sleep_ms (answer_ms);
   // What a process works on ends with it.
-  if (has_ended () || life != ends)
+  if (has_ended () || crash_count_before != crash_count)
     return false;
   connection.write (answer (200, head, body));
   if (fault == Fault::EXTRA_AFTER)
@@ -468,23 +470,24 @@
         faults_.erase (faults_.begin ());
       }
   }
-  double asked_s = pause_for (request);
-  if (asked_s >= 0)
+  double requested_s = requested_pause_s (request);
+  if (requested_s >= 0)
     {
       std::lock_guard<std::mutex> lock (mutex_);
-      turned_away_.push_back (request);
+      refused_with_pause_.push_back (request);
     }
-  if (asked_s >= 0)
-    return connection.write (
-        answer (503,
-                "X-Knapweedbay-Not-Executed: 1\r\nRetry-After: "
-                    + std::to_string (asked_s) + "\r\n" + statements (),
-                "later"));
+  if (requested_s >= 0)
+    return connection.write (answer (
+        503,
+        "X-Knapweedbay-Not-Executed: 1\r\nRetry-After: "
+            + std::to_string (requested_s) + "\r\n" + announcement_headers (),
+        "later"));
   if (refuse (connection, request))
     return true;
   if (fault == Fault::NOT_RUN)
     return connection.write (answer (
-        503, "X-Knapweedbay-Not-Executed: 1\r\n" + statements (), "full"));
+        503, "X-Knapweedbay-Not-Executed: 1\r\n" + announcement_headers (),
+        "full"));
   return run (connection, request, fault);
 }
 
--- a/test/relay/target_standin.h
+++ b/test/relay/target_standin.h
@@ -61,22 +61,22 @@
   /// Unix milliseconds of its start.
   int64_t born_ms ();
   /// Which of its lives it was in at a moment.
-  size_t born_at (std::chrono::steady_clock::time_point moment);
+  size_t incarnation_at (std::chrono::steady_clock::time_point moment);
   /// The clock that stamps the births is set by this much.
   void step_clock (int64_t by_ms);
   void set_leaving (bool is_leaving);
   /// Requests whose path holds this text end the process a moment after they
   /// began; empty: none does.
-  void end_on (const std::string &text);
+  void crash_on_path (const std::string &text);
   /// Requests whose path holds this text are turned away with a pause.
-  void pause_on (const std::string &text, double seconds);
+  void pause_on_path (const std::string &text, double seconds);
   /// How often such a request ended it.
-  std::atomic<int> ends{ 0 };
+  std::atomic<int> crash_count{ 0 };
   /// They hang it instead: connections stay open, and nothing answers.
-  std::atomic<bool> hangs_on_end{ false };
+  std::atomic<bool> hangs_on_crash{ false };
   std::atomic<bool> is_hung{ false };
   /// How long after the beginning.
-  std::atomic<int> end_after_ms{ 20 };
+  std::atomic<int> crash_delay_ms{ 20 };
   /// Orders accepted so far, as it counts them.
   void set_seq (int64_t seq);
   /// How often a request ran here.
@@ -84,21 +84,21 @@
   int runs ();
   std::vector<Message> requests ();
   /// Of these, those that were answered with a pause.
-  std::vector<Message> turned_away ();
+  std::vector<Message> refused_with_pause ();
   /// Adapter loads that were carried out, and the most held at one time.
   int loads ();
-  size_t most_held ();
+  size_t max_adapters_held ();
   /// Holder and fencing number of all orders.
-  std::set<std::string> orderers ();
+  std::set<std::string> order_issuers ();
   /// Requests a second that it says it takes; negative: it says nothing.
   std::atomic<double> limit_per_s{ -1 };
   /// Set it, and remember from when to when it held; negative: none any more.
-  void state_limit (double per_s);
-  std::vector<LimitSpan> limits ();
+  void announce_limit (double per_s);
+  std::vector<LimitSpan> announced_limits ();
   /// In place of it; NULL: nothing else is said.
   std::atomic<const char *> limit_text{ nullptr };
   /// Its answers say that it leaves; its report does not.
-  std::atomic<bool> says_leaving{ false };
+  std::atomic<bool> announces_leaving{ false };
   /// It turns all requests away and asks for a pause of so long; negative:
   /// not.
   std::atomic<double> pause_s{ -1 };
@@ -109,11 +109,11 @@
   std::atomic<int> load_ms{ 20 };
   std::atomic<int> newest_version{ 1 };
   /// Orders get no answer and are carried out this much later; zero: not so.
-  std::atomic<int> late_order_ms{ 0 };
+  std::atomic<int> order_delay_ms{ 0 };
   /// Orders that were taken and are not carried out yet.
-  std::atomic<int> waiting_orders{ 0 };
+  std::atomic<int> pending_orders{ 0 };
   /// Streams whose caller went away before the end.
-  std::atomic<int> abandoned{ 0 };
+  std::atomic<int> abandoned_streams{ 0 };
   /// Streams go on for a while after their caller is gone.
   std::atomic<bool> ignores_close{ false };
 
@@ -128,16 +128,16 @@
   static int64_t wall_ms ();
   bool serve (Connection &connection, const Message &request) override;
   bool serve_order (Connection &connection, const Message &request);
-  int carry_out (const std::string &body);
+  int execute_order (const std::string &body);
   std::string report ();
   bool run (Connection &connection, const Message &request, Fault fault);
   bool stream (Connection &connection, const Message &request, Fault fault);
-  void use (const Message &request, int change);
-  std::string statements ();
+  void count_adapter_stream (const Message &request, int change);
+  std::string announcement_headers ();
   std::string head_of (const Message &request, bool has_seal);
   bool refuse (Connection &connection, const Message &request);
   bool is_fatal (const Message &request);
-  double pause_for (const Message &request);
+  double requested_pause_s (const Message &request);
   std::mutex mutex_;
   std::string id_;
   bool is_engine_;
@@ -148,18 +148,18 @@
   int64_t clock_step_ms_ = 0;
   int64_t born_ms_;
   int loads_ = 0;
-  size_t most_held_ = 0;
-  std::set<std::string> orderers_;
+  size_t max_adapters_held_ = 0;
+  std::set<std::string> order_issuers_;
   std::vector<Fault> faults_;
-  std::string end_on_;
-  void state_limit_locked (double per_s);
-  std::vector<LimitSpan> limits_;
+  std::string crash_path_;
+  void announce_limit_locked (double per_s);
+  std::vector<LimitSpan> announced_limits_;
   std::vector<std::chrono::steady_clock::time_point> restarts_;
-  std::string pause_on_;
-  double pause_on_s_ = 0;
+  std::string pause_path_;
+  double pause_path_s_ = 0;
   std::map<std::string, int> runs_;
   std::vector<Message> requests_;
-  std::vector<Message> turned_away_;
+  std::vector<Message> refused_with_pause_;
 };
 
 } // namespace relay
--- a/test/relay/workspace_test.cc
+++ b/test/relay/workspace_test.cc
@@ -21,7 +21,7 @@
 {
 protected:
   void
-  begin (const std::vector<std::string> &workspaces)
+  start_with_workspaces (const std::vector<std::string> &workspaces)
   {
     put (workspaces);
     ASSERT_TRUE (site_.wait_ready ());
@@ -59,7 +59,7 @@
   }
   /// A header of the request that ran last.
   std::string
-  at_target (const std::string &name)
+  last_target_header (const std::string &name)
   {
     return site_.plain[0]->requests ().back ().header (name);
   }
@@ -72,9 +72,10 @@
 const char kKey[] = "x-knapweedbay-key";
 
 // A request without a good key runs for nobody.
-TEST_F (Workspaces, OnlyAKnownKeyIsLetIn)
+TEST_F (Workspaces, OnlyAKnownKeyIsAccepted)
 {
-  begin ({ workspace ("red", { "k-red" }), workspace ("none", {}) });
+  start_with_workspaces (
+      { workspace ("red", { "k-red" }), workspace ("none", {}) });
   EXPECT_EQ (status_of (""), 401);
   EXPECT_EQ (status_of (key_line ("k-blue")), 401);
   EXPECT_EQ (status_of (key_line ("K-RED")), 401);
@@ -91,7 +92,7 @@
 // A target learns the workspace from the system alone, and never the key.
 TEST_F (Workspaces, ATargetGetsTheWorkspaceAndNotTheKey)
 {
-  begin ({ workspace ("red", { "k-red" }) });
+  start_with_workspaces ({ workspace ("red", { "k-red" }) });
   for (const std::string &headers : std::vector<std::string>{
            key_line ("k-red"), "x-knapweedbay-KEY:k-red\r\n",
            "X-Knapweedbay-Key:  \t k-red \t \r\n",
@@ -100,39 +101,40 @@
                + key_line ("k-red") })
     {
       EXPECT_EQ (status_of (headers), 200) << headers;
-      EXPECT_EQ (at_target (kTenant), "red") << headers;
-      EXPECT_EQ (at_target (kKey), "") << headers;
+      EXPECT_EQ (last_target_header (kTenant), "red") << headers;
+      EXPECT_EQ (last_target_header (kKey), "") << headers;
     }
 }
 
 // A public route asks for no key; one that is shown still names a workspace.
 TEST_F (Workspaces, APublicRouteNeedsNoKey)
 {
-  begin ({ workspace ("red", { "k-red" }) });
+  start_with_workspaces ({ workspace ("red", { "k-red" }) });
   EXPECT_EQ (status_of ("X-Knapweedbay-Tenant: red\r\n", "/open/x"), 200);
-  EXPECT_EQ (at_target (kTenant), "");
+  EXPECT_EQ (last_target_header (kTenant), "");
   EXPECT_EQ (status_of (key_line ("k-blue"), "/open/x"), 200);
-  EXPECT_EQ (at_target (kTenant), "");
-  EXPECT_EQ (at_target (kKey), "");
+  EXPECT_EQ (last_target_header (kTenant), "");
+  EXPECT_EQ (last_target_header (kKey), "");
   EXPECT_EQ (status_of (key_line ("k-red"), "/open/x"), 200);
-  EXPECT_EQ (at_target (kTenant), "red");
-  EXPECT_EQ (at_target (kKey), "");
+  EXPECT_EQ (last_target_header (kTenant), "red");
+  EXPECT_EQ (last_target_header (kKey), "");
 }
 
 // Without workspaces there are no keys, and no caller can name a workspace.
-TEST_F (Workspaces, AConfigurationWithoutWorkspacesAsksForNoKey)
+TEST_F (Workspaces, AConfigurationWithoutWorkspacesRequiresNoKey)
 {
   ASSERT_TRUE (site_.wait_ready ());
   EXPECT_EQ (status_of ("X-Knapweedbay-Tenant: red\r\n" + key_line ("k")),
              200);
-  EXPECT_EQ (at_target (kTenant), "");
-  EXPECT_EQ (at_target (kKey), "");
+  EXPECT_EQ (last_target_header (kTenant), "");
+  EXPECT_EQ (last_target_header (kKey), "");
 }
 
 // Keys that a new configuration adds, moves and takes away.
-TEST_F (Workspaces, AChangeOfKeysHolds)
+TEST_F (Workspaces, KeyChangesTakeEffect)
 {
-  begin ({ workspace ("red", { "k1", "k2" }), workspace ("blue", { "k3" }) });
+  start_with_workspaces (
+      { workspace ("red", { "k1", "k2" }), workspace ("blue", { "k3" }) });
   EXPECT_EQ (status_of (key_line ("k4")), 401);
   put ({ workspace ("red", {}), workspace ("blue", { "k2", "k4" }) });
   EXPECT_EQ (status_of (key_line ("k1")), 401);
@@ -140,27 +142,28 @@
   for (const char *text : { "k2", "k4" })
     {
       EXPECT_EQ (status_of (key_line (text)), 200);
-      EXPECT_EQ (at_target (kTenant), "blue");
+      EXPECT_EQ (last_target_header (kTenant), "blue");
     }
   put ({});
   EXPECT_EQ (status_of (key_line ("k2")), 401);
 }
 
 // A key that two workspaces name belongs to the first of them.
-TEST_F (Workspaces, AKeyNamedTwiceBelongsToTheFirst)
+TEST_F (Workspaces, AKeyListedTwiceBelongsToTheFirstWorkspace)
 {
-  begin ({ workspace ("red", { "k1" }), workspace ("blue", { "k1", "k2" }) });
+  start_with_workspaces (
+      { workspace ("red", { "k1" }), workspace ("blue", { "k1", "k2" }) });
   EXPECT_EQ (status_of (key_line ("k1")), 200);
-  EXPECT_EQ (at_target (kTenant), "red");
+  EXPECT_EQ (last_target_header (kTenant), "red");
   put ({ workspace ("blue", { "k1" }), workspace ("red", { "k1" }) });
   EXPECT_EQ (status_of (key_line ("k1")), 200);
-  EXPECT_EQ (at_target (kTenant), "blue");
+  EXPECT_EQ (last_target_header (kTenant), "blue");
 }
 
 // Keys stand in no log line, whatever becomes of the request.
 TEST_F (Workspaces, KeysAreNotLogged)
 {
-  begin ({ workspace ("red", { "k-secret-1" }) });
+  start_with_workspaces ({ workspace ("red", { "k-secret-1" }) });
   EXPECT_EQ (status_of (key_line ("k-secret-1")), 200);
   EXPECT_EQ (status_of (key_line ("k-secret-2")), 401);
   EXPECT_EQ (status_of (key_line ("k-secret-1") + key_line ("k-secret-1")),
@@ -178,7 +181,7 @@
 }
 
 // A request that came before the first configuration is judged by it.
-TEST (WorkspacesAtStart, ARequestThatWaitsForTheConfigurationIsJudged)
+TEST (WorkspacesAtStart, ARequestHeldForTheConfigurationIsAuthenticated)
 {
   Site site (0, 1);
   set_workspaces (&site, { workspace ("red", { "k-red" }) });
@@ -196,7 +199,7 @@
       Call call = plain_call (std::string ("early-") + text);
       call.headers = key_line (text);
       ASSERT_TRUE (connection->write (call.text ()));
-      site.store.set_mode (Store::WELL);
+      site.store.set_mode (Store::HEALTHY);
       EXPECT_EQ (connection->read_answer ().status,
                  std::string (text) == "k-red" ? 200 : 401);
     }
@@ -221,7 +224,7 @@
   }
   /// @return  The moment of the acknowledgement.
   std::chrono::steady_clock::time_point
-  take_k1_away ()
+  revoke_k1 ()
   {
     set_workspaces (&site_, { workspace ("red", { "k2" }) });
     site_.write_config (3, kPublicRoute);
@@ -233,14 +236,14 @@
 
 // A gateway that the store does not answer any more goes on with a key that
 // was taken away.
-TEST_F (TakenAway, AGatewayWithoutTheStoreStopsInTime)
+TEST_F (TakenAway, AGatewayWithoutTheStoreRefusesInTime)
 {
   ASSERT_TRUE (site_.wait_ready ());
   ASSERT_EQ (status_of (1, "k1"), 200);
   for (Store::Mode mode : { Store::SILENT, Store::BUSY, Store::RESET })
     {
-      site_.far_store.set_mode (mode);
-      auto acknowledged = take_k1_away ();
+      site_.mirror_store.set_mode (mode);
+      auto acknowledged = revoke_k1 ();
       std::this_thread::sleep_until (
           acknowledged + std::chrono::milliseconds (kRevokeBoundMs + 20));
       EXPECT_EQ (status_of (1, "k1"), 503) << mode;
@@ -249,7 +252,7 @@
       EXPECT_EQ (status_of (1, "k1", "/open/x"), 200) << mode;
       EXPECT_EQ (status_of (0, "k1"), 401) << mode;
       EXPECT_EQ (status_of (0, "k2"), 200) << mode;
-      site_.far_store.set_mode (Store::WELL);
+      site_.mirror_store.set_mode (Store::HEALTHY);
       EXPECT_TRUE (Site::wait_for ([&] { return status_of (1, "k2") == 200; }))
           << mode;
       EXPECT_EQ (status_of (1, "k1"), 401) << mode;
@@ -258,12 +261,12 @@
 
 // A gateway that was stopped wakes with a key that was taken away meanwhile,
 // and finds requests that wait for it.
-TEST_F (TakenAway, AGatewayThatWakesDoesNotTrustWhatItKnew)
+TEST_F (TakenAway, AResumedGatewayDoesNotTrustOldKeys)
 {
   ASSERT_TRUE (site_.wait_ready ());
   ASSERT_EQ (status_of (0, "k1"), 200);
   kill (site_.gateways[0].daemon.pid, SIGSTOP);
-  auto acknowledged = take_k1_away ();
+  auto acknowledged = revoke_k1 ();
   std::this_thread::sleep_until (
       acknowledged + std::chrono::milliseconds (kRevokeBoundMs + 20));
   std::vector<std::unique_ptr<Connection>> connections;
@@ -284,17 +287,17 @@
 }
 
 // A key that stays is refused because its gateway was deaf for a moment.
-TEST_F (TakenAway, AKeyThatStaysOutlivesAShortSilenceOfTheStore)
+TEST_F (TakenAway, AValidKeyIsAcceptedDuringAShortStoreStall)
 {
   ASSERT_TRUE (site_.wait_ready ());
-  site_.far_store.set_mode (Store::SILENT);
+  site_.mirror_store.set_mode (Store::SILENT);
   auto end = std::chrono::steady_clock::now () + std::chrono::seconds (2);
   while (std::chrono::steady_clock::now () < end)
     ASSERT_EQ (status_of (1, "k2"), 200);
 }
 
 // What a workspace's priority is goes to the engine in place of the route's.
-TEST (WorkspacePriority, GoesBeforeTheRoutes)
+TEST (WorkspacePriority, OverridesTheRoutes)
 {
   Site site (1, 0);
   set_workspaces (&site, { workspace ("red", { "k1" }, ",\"Priority\":7"),
--- a/test/relay/workspaces.cc
+++ b/test/relay/workspaces.cc
@@ -52,12 +52,12 @@
   std::vector<std::pair<std::chrono::steady_clock::time_point, int>> found;
   auto add = [&] (Target &target) {
     // What was turned away with a pause has not run.
-    std::set<std::chrono::steady_clock::time_point> turned_away;
-    for (const Message &request : target.turned_away ())
-      turned_away.insert (request.came);
+    std::set<std::chrono::steady_clock::time_point> refused_with_pause;
+    for (const Message &request : target.refused_with_pause ())
+      refused_with_pause.insert (request.came);
     for (const Message &request : target.requests ())
       if (request.header ("x-knapweedbay-tenant") == workspace
-          && turned_away.count (request.came) == 0)
+          && refused_with_pause.count (request.came) == 0)
         found.emplace_back (request.came, tokens_in (request));
   };
   for (Engine &engine : site.engines)
@@ -69,7 +69,7 @@
 }
 
 int
-most_in_window (
+max_tokens_in_window (
     const std::vector<std::pair<std::chrono::steady_clock::time_point, int>>
         &tokens,
     int window_s)
--- a/test/relay/workspaces.h
+++ b/test/relay/workspaces.h
@@ -21,7 +21,7 @@
 std::vector<std::pair<std::chrono::steady_clock::time_point, int>>
 tokens_of (Site &site, const std::string &workspace);
 /// The most of them in any span of so many seconds.
-int most_in_window (
+int max_tokens_in_window (
     const std::vector<std::pair<std::chrono::steady_clock::time_point, int>>
         &tokens,
     int window_s);
--- a/test/soak/checks.cc
+++ b/test/soak/checks.cc
@@ -103,7 +103,7 @@
   auto ends_of = [this] (int first, int count) {
     int sum = 0;
     for (int i = first; i < first + count; i++)
-      sum += target_at (i).ends;
+      sum += target_at (i).crash_count;
     return sum;
   };
   int engines = ends_of (0, size_.engines);
@@ -145,7 +145,7 @@
 Soak::check_limits ()
 {
   for (int i = 0; i < size_.engines + size_.plain; i++)
-    for (const LimitSpan &limit : target_at (i).limits ())
+    for (const LimitSpan &limit : target_at (i).announced_limits ())
       {
         int allowed
             = (int)(1.5 * limit.per_s * kLimitWindowMs / 1000) + kLimitSlack;
@@ -155,7 +155,7 @@
         for (Moment came : arrivals_at (target_at (i)))
           if (came < limit.to)
             arrivals.push_back (came);
-        int most = most_in (arrivals, binds, kLimitWindowMs);
+        int most = max_arrivals_in_window (arrivals, binds, kLimitWindowMs);
         if (most > allowed)
           violate ("", "target " + std::to_string (i) + " got "
                            + std::to_string (most) + " of "
@@ -222,8 +222,8 @@
                     && sender[request.header ("x-knapweedbay-attempt-id")]
                            == gateway.daemon.name
                     && request.came > from && request.came < to
-                    && target_at (i).born_at (request.came)
-                           == target_at (i).born_at (moment_of (line));
+                    && target_at (i).incarnation_at (request.came)
+                           == target_at (i).incarnation_at (moment_of (line));
         if (came > most)
           violate (text_in (line, "id"),
                    std::to_string (came) + " requests of "
@@ -237,7 +237,7 @@
   int allowed = (int)((kSoakQuotaRate * kQuotaWindowS + kSoakQuotaBurst)
                       * (1 + kQuotaOvershoot))
                 + kQuotaSlack;
-  int most = most_in_window (tokens_of (site_, "red"), kQuotaWindowS);
+  int most = max_tokens_in_window (tokens_of (site_, "red"), kQuotaWindowS);
   printf ("quota: %d of %d in a window\n", most, allowed);
   if (most > allowed)
     violate ("", "a workspace ran " + std::to_string (most) + " of "
@@ -280,9 +280,9 @@
     named[record.id] = record.adapter;
   for (auto &e : site_.engines)
     {
-      if (e.target->most_held () > 4)
+      if (e.target->max_adapters_held () > 4)
         violate ("", e.sidecar.name + ": more adapters than there is room");
-      if (e.target->orderers ().size () > 1)
+      if (e.target->order_issuers ().size () > 1)
         violate ("", e.sidecar.name + ": its engine saw several orderers");
       for (const Message &request : e.target->requests ())
         {
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -200,7 +200,7 @@
       proxy_at (step.who).reset_all ();
       break;
     case Kind::SILENCE_LINKS:
-      proxy_at (step.who).silence_present ();
+      proxy_at (step.who).silence_existing ();
       break;
     case Kind::CUT:
       proxy_at (step.who).set_path (Path::SILENT);
@@ -212,11 +212,11 @@
       proxy_at (step.who).set_delay_ms (5 + step.how % 60);
       break;
     case Kind::STORE_AWAY:
-      (step.who % 2 == 0 ? site_.store : site_.far_store)
+      (step.who % 2 == 0 ? site_.store : site_.mirror_store)
           .set_mode (modes[step.how % 3]);
       break;
     case Kind::FORGET_HISTORY:
-      (step.who % 2 == 0 ? site_.store : site_.far_store).compact ();
+      (step.who % 2 == 0 ? site_.store : site_.mirror_store).compact ();
       break;
     case Kind::CONFIGURATION:
       write_config ();
@@ -241,14 +241,14 @@
       write_strange_entry (step);
       break;
     case Kind::STORE_MUTE:
-      (step.who % 2 == 0 ? site_.store : site_.far_store)
-          .mute (step.how % 3 == 0 ? "op/" : "");
+      (step.who % 2 == 0 ? site_.store : site_.mirror_store)
+          .stall_reads (step.how % 3 == 0 ? "op/" : "");
       break;
     case Kind::STATED_LIMIT:
-      target_at (step.who).state_limit (1 + step.how % 10);
+      target_at (step.who).announce_limit (1 + step.how % 10);
       break;
     case Kind::STATED_LEAVING:
-      target_at (step.who).says_leaving = true;
+      target_at (step.who).announces_leaving = true;
       break;
     case Kind::STATED_PAUSE:
       target_at (step.who).pause_s = 0.5 + 0.5 * (step.how % 6);
@@ -272,11 +272,11 @@
       proxy_at (step.who).set_delay_ms (0);
       break;
     case Kind::STORE_AWAY:
-      (step.who % 2 == 0 ? site_.store : site_.far_store)
-          .set_mode (Store::WELL);
+      (step.who % 2 == 0 ? site_.store : site_.mirror_store)
+          .set_mode (Store::HEALTHY);
       break;
     case Kind::STORE_MUTE:
-      (step.who % 2 == 0 ? site_.store : site_.far_store).unmute ();
+      (step.who % 2 == 0 ? site_.store : site_.mirror_store).end_read_stall ();
       break;
     case Kind::STRANGE_ENTRY:
       list_target (step.who, 0);
@@ -395,7 +395,7 @@
 Soak::end_statements ()
 {
   for (int i = 0; i < size_.engines + size_.plain; i++)
-    if (target_at (i).limit_per_s >= 0 || target_at (i).says_leaving)
+    if (target_at (i).limit_per_s >= 0 || target_at (i).announces_leaving)
       {
         target_at (i).restart (target_at (i).id ());
         list_target (i, 0);
@@ -406,10 +406,10 @@
 Soak::heal ()
 {
   end_statements ();
-  site_.store.set_mode (Store::WELL);
-  site_.far_store.set_mode (Store::WELL);
-  site_.store.unmute ();
-  site_.far_store.unmute ();
+  site_.store.set_mode (Store::HEALTHY);
+  site_.mirror_store.set_mode (Store::HEALTHY);
+  site_.store.end_read_stall ();
+  site_.mirror_store.end_read_stall ();
   for (auto &proxy : proxies_.all)
     {
       proxy->set_path (Path::OPEN);
@@ -465,7 +465,7 @@
 Soak::fatal_loop ()
 {
   std::mt19937_64 random (seed_);
-  site_.end_on ("/fatal");
+  site_.crash_on_path ("/fatal");
   for (int n = 0; !is_done_; n++)
     {
       std::string id = "fatal" + std::to_string (n);
@@ -479,11 +479,11 @@
       if (connection != nullptr && connection->write (call.text ()))
         connection->read_answer (kFatalTimeoutMs);
       if (n % kDownPauses == 0)
-        site_.begin_ended_again ();
+        site_.restart_ended_targets ();
       std::this_thread::sleep_for (std::chrono::milliseconds (kFatalPauseMs));
     }
-  site_.end_on ("");
-  site_.begin_ended_again ();
+  site_.crash_on_path ("");
+  site_.restart_ended_targets ();
 }
 
 /// One workspace has no limit, one is pressed, and one loses its only key.
