--- a/test/relay/explain_test.cc
+++ b/test/relay/explain_test.cc
@@ -1,5 +1,5 @@
-// A failed request is explained from its id alone, with the commands of
-// docs/OPERATIONS.md, and writing logs never holds requests up.
+// A failed request can be explained from its id alone, with the commands of
+// docs/OPERATIONS.md, and writing logs never blocks requests.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -30,8 +30,9 @@
   return out;
 }
 
-/// The read_request_log, once it holds a text; logs are written a little
-/// later.
+/// Output of read_request_log () once it contains a text: logs are written
+/// with a delay.
+/// @return  The last output, also when the text has not appeared in time.
 std::string
 wait_for_request_log (const Site &site, const std::string &id,
                       const std::string &text)
@@ -44,8 +45,8 @@
   return out;
 }
 
-// A caller is refused although engines run: each has adapters to fetch for
-// longer than the caller would wait.
+// A caller is refused although engines are up: each of them has adapters to
+// load for longer than the caller would wait.
 TEST (Explain, RefusedUnderLoad)
 {
   Site site (1, 0);
@@ -73,7 +74,7 @@
   EXPECT_NE (out.find ("target=i-e0"), std::string::npos) << out;
 }
 
-// A caller's stream breaks off and it asks why: its target died within it.
+// A stream breaks off because its target crashed within an event.
 TEST (Explain, CutByADyingTarget)
 {
   Site site (1, 0);
@@ -88,8 +89,9 @@
   EXPECT_NE (out.find ("outcome=failed"), std::string::npos) << out;
 }
 
-// A caller complains of an answer by an older adapter version: the line of
-// its end names the version, and another line says when a newer one was known.
+// A caller gets an answer by an older adapter version: the line that logs the
+// end of the request names the version, and another line says when a newer one
+// became known.
 TEST (Explain, AnsweredByAnOlderVersion)
 {
   Site site (1, 0);
@@ -114,8 +116,9 @@
   EXPECT_NE (out.find ("version=2"), std::string::npos) << out;
 }
 
-// An operator sees callers refused and asks whether the forecast that refuses
-// them is right. The agent's metrics page says how far off it was.
+// The load forecast decides which callers are refused. The sidecar's metrics
+// page shows its error, so that operators can judge whether the refusals are
+// right.
 TEST (Explain, TheForecastErrorIsOnTheMetricsPage)
 {
   Site site;
@@ -135,14 +138,14 @@
 TEST (Explain, AnUnknownIdIsReported)
 {
   Site site (0, 1);
-  // Without a log there is no file to read.
+  // Wait until a log file exists.
   ASSERT_TRUE (site.wait_ready ());
   std::string out = read_request_log (site, "nobody");
   EXPECT_NE (out.find ("no line names request nobody"), std::string::npos)
       << out;
 }
 
-// Nobody reads the log. The pipe fills, and a process that waits for room in
+// The log pipe is not read and fills up. A process that blocks on writing to
 // it answers no caller any more.
 TEST (Explain, AFullLogPipeDoesNotBlockRequests)
 {
--- a/test/relay/load.h
+++ b/test/relay/load.h
@@ -1,5 +1,5 @@
 /// @file load.h
-/// Callers that send without a pause, and when what they sent came to targets.
+/// Continuous load from callers, and the arrival times of requests at targets.
 #ifndef KB_TEST_RELAY_LOAD_H
 #define KB_TEST_RELAY_LOAD_H
 
@@ -10,21 +10,20 @@
 
 using Moment = std::chrono::steady_clock::time_point;
 
-/// Callers of all gateways, each with one request after the other.
+/// Closed-loop callers at all gateways: each has one request open at a time.
 class Load
 {
 public:
   struct Counts
   {
     int answered = 0;
-    int refused = 0; ///< As not run.
-    int refused_without_retry_after
-        = 0;                ///< Of these, without a time to come back.
-    int max_refusal_ms = 0; ///< Until it was refused.
+    int refused = 0;                     ///< Status 503 or 429: not run.
+    int refused_without_retry_after = 0; ///< Refusals without a Retry-After.
+    int max_refusal_ms = 0;              ///< Longest wait for a refusal.
     int other = 0;
   };
-  /// @param call_of   The call with an id.
-  /// @param pause_ms  Of a caller, between an answer and its next request.
+  /// @param call_of  Makes the request with an id.
+  /// @param pause_ms  Time between an answer and the caller's next request.
   Load (Site *site, Call (*call_of) (const std::string &id),
         int callers_per_gateway, int pause_ms);
   ~Load () { stop (); }
@@ -42,9 +41,10 @@
   std::vector<std::thread> threads_;
 };
 
-/// When requests came to a target, in order.
+/// Arrival times of the requests at a target, in order.
 std::vector<Moment> arrivals_at (Target &target);
-/// The most of them in any span of so long that begins at a moment or later.
+/// Largest number of arrivals in any window of `window_ms` that begins with an
+/// arrival at `from` or later.
 int max_arrivals_in_window (const std::vector<Moment> &arrivals, Moment from,
                             int window_ms);
 
--- a/test/relay/memory_test.cc
+++ b/test/relay/memory_test.cc
@@ -1,5 +1,5 @@
-// What a gateway and a sidecar take at their peak: when the configuration
-// grows by many routes, and when all of them start with it.
+// Peak memory of gateways and sidecars when the configuration grows by many
+// routes, and when all of them start with such a configuration.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -14,7 +14,7 @@
 {
 
 constexpr int kRoutes = 2000;
-/// Stated for a configuration with 2,000 more routes.
+/// Documented peak for a configuration with 2,000 more routes.
 constexpr long kMaxPeakKb = 8 << 10;
 
 std::string
@@ -43,8 +43,8 @@
   return kb;
 }
 
-/// Peak of a process's own memory; pages of programs and libraries are left
-/// out.
+/// Peak of a process's own memory, without file-backed pages of programs and
+/// libraries.
 long
 peak_kb (pid_t pid)
 {
@@ -88,9 +88,10 @@
   Site site{ 2, 1, 2 };
 };
 
-// An operator adds 2,000 routes. Each daemon held the document as one tree of
-// json-c beside its text: 15 MB at an entry of a fleet of 188 VMs, with
-// 1,400 routes; VMs with small limits were killed for it.
+// An operator adds 2,000 routes. A daemon that holds the whole document as one
+// json-c tree beside its text uses 15 MB with 1,400 routes, as seen on a
+// gateway in a fleet of 188 VMs; VMs with small memory limits were killed for
+// it.
 TEST_F (Memory, AGrownConfigurationFits)
 {
   ASSERT_TRUE (site.wait_ready ());
@@ -103,7 +104,8 @@
   EXPECT_EQ (send_call (site.gateways[0], call).status, 200);
 }
 
-// All lose power and start with that configuration at once.
+// After a power loss all daemons start with the large configuration at the
+// same time.
 TEST_F (Memory, AStartWithAGrownConfigurationFits)
 {
   ASSERT_TRUE (site.wait_ready ());
@@ -122,7 +124,8 @@
   expect_peaks ();
 }
 
-// What a burst took is given back after it.
+// Memory that a large configuration needed is returned to the system after it
+// is replaced.
 TEST_F (Memory, ConfigurationMemoryIsReleased)
 {
   ASSERT_TRUE (site.wait_ready ());
--- a/test/relay/proxy.cc
+++ b/test/relay/proxy.cc
@@ -99,7 +99,8 @@
   pairs_.push_back ({ client_fd, upstream_fd, false });
 }
 
-/// @return  False when the pair is over.
+/// Forward what one side has sent.
+/// @return  False when the connection has ended; both sides are then closed.
 bool
 Proxy::pump (Pair *pair, bool is_forward)
 {
--- a/test/relay/proxy.h
+++ b/test/relay/proxy.h
@@ -1,6 +1,6 @@
 /// @file proxy.h
-/// A loopback proxy that delays, silences, cuts one way or
-/// resets the connections through it.
+/// A loopback proxy that delays, silences, cuts in one direction or resets the
+/// connections through it.
 #ifndef KB_TEST_RELAY_PROXY_H
 #define KB_TEST_RELAY_PROXY_H
 
@@ -16,8 +16,8 @@
 enum class Path
 {
   OPEN,
-  SILENT,  ///< Takes bytes and passes none on, either way.
-  ONE_WAY, ///< Answers do not come back.
+  SILENT,  ///< Accepts bytes and forwards none in either direction.
+  ONE_WAY, ///< Drops bytes from the upstream to the client.
 };
 
 class Proxy
@@ -31,7 +31,7 @@
   {
     path_ = path;
   }
-  /// Each piece is held this long.
+  /// Delay the forwarding of each read by this time.
   void
   set_delay_ms (int delay_ms)
   {
@@ -39,7 +39,7 @@
   }
   /// Reset every connection now.
   void reset_all ();
-  /// Present connections carry nothing any more; new ones work.
+  /// Existing connections stay open and forward nothing more; new ones work.
   void silence_existing ();
   int
   port () const
--- a/test/relay/relay_failure_test.cc
+++ b/test/relay/relay_failure_test.cc
@@ -1,5 +1,5 @@
-// The relay roles before stand-ins that fail: targets that leave or restart,
-// the store, sidecars and links.
+// The relay roles under faults: targets that leave or restart, and failures of
+// the store, of sidecars and of links.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -18,8 +18,8 @@
                          "\"TimeoutMs\":2000,\"Service\":\"maps\","
                          "\"MaxAttempts\":1}";
 
-// A target that is leaving gets new requests until it is gone, and they are
-// lost with it.
+// A target that is leaving must get no new requests: they would be lost when
+// it is gone.
 TEST (Relay, ALeavingTargetGetsNothingNew)
 {
   Site site;
@@ -51,10 +51,10 @@
   EXPECT_EQ (site.plain[1]->runs (), before);
 }
 
-// After a loss of power the list drops a hundred targets of before at one
-// moment. A gateway that forgot one of them at each of its ticks told its
-// sidecars nothing meanwhile; after 5 s they took it for gone, and requests
-// lost the places that they had been promised, for another 7 s.
+// After a power loss the list drops a hundred former targets at the same time.
+// A gateway that processed one removal per tick sent its sidecars nothing
+// meanwhile; after 5 s the sidecars considered it lost, and requests lost the
+// places that they had been granted, for another 7 s.
 TEST (Relay, RemovingManyTargetsDoesNotStopReportsToSidecars)
 {
   Site site (1, 1);
@@ -80,15 +80,15 @@
   EXPECT_EQ (count (gateway, "sidecar_lost"), 0u);
 }
 
-// Several targets are taken away at one moment without a word before. They are
-// kept for a while, because entries of live ones may have lapsed; together
-// with the pause between two reads that must stay below 2 s.
+// Several targets are removed at the same time without draining first. They
+// are kept for a while, because entries of live targets may have expired;
+// together with the pause between two reads this must stay below 2 s.
 TEST (Relay, SeveralTargetsRemovedAtOnceGetNothingNewAfterTwoSeconds)
 {
   Site site (0, 4);
   ASSERT_TRUE (site.wait_ready ());
   std::this_thread::sleep_for (std::chrono::milliseconds (1500));
-  // A change begins the pause; the removals fall into it.
+  // A change starts the pause between reads; the removals fall into it.
   site.list_plain (3);
   std::this_thread::sleep_for (std::chrono::milliseconds (60));
   for (size_t i = 0; i < 3; i++)
@@ -105,8 +105,9 @@
   EXPECT_EQ (after, before);
 }
 
-// A target comes and goes between two reads. Its removal is read before it is
-// known, its entry after that, and it gets requests for ever.
+// A target is added and removed between two reads. Its removal is read before
+// it is known and its entry after that; without a check, it would get requests
+// for ever.
 TEST (Relay, ATargetThatCameAndWentBetweenTwoReadsIsNotUsed)
 {
   Site site (0, 2);
@@ -125,13 +126,14 @@
   EXPECT_EQ (site.plain[1]->runs (), before);
 }
 
-// Guards against a store that is asked without a pause: it answers at once.
+// Guards against polling the store without a pause when its watches return at
+// once.
 TEST (Relay, AStoreThatAnswersAtOnceIsPolledWithPauses)
 {
   Site site (1, 1);
   ASSERT_TRUE (site.wait_ready ());
   site.store.set_mode (Store::NO_WAIT);
-  // Reads that wait end with a change.
+  // A change ends the watches that are waiting.
   site.list_plain (0);
   int before = site.store.calls;
   std::this_thread::sleep_for (std::chrono::milliseconds (2000));
@@ -142,7 +144,8 @@
   }));
 }
 
-// Guards against another service that is taken for a store without changes.
+// Guards against taking the answers of another service for those of a store
+// without changes.
 TEST (Relay, AStoreAnswerWithoutARevisionIsRejected)
 {
   Site site (1, 1);
@@ -161,8 +164,9 @@
   }));
 }
 
-// The store goes away, entries of live targets lapse meanwhile, and a reader
-// that takes the short list for the truth sends everything to one target.
+// During an outage of the store, entries of live targets expire. A reader that
+// trusts the short list after it sends everything to the one target that is
+// left.
 TEST (Relay, AStoreOutageRemovesNoTarget)
 {
   Site site (1, 2);
@@ -192,8 +196,9 @@
     }
 }
 
-// The store turns one gateway away and serves the other. The one that is
-// turned away goes on with old routes for as long as that lasts.
+// The store does not answer one gateway and serves the other. Without updates
+// through sidecars, the first one goes on with old routes for as long as that
+// lasts.
 TEST (Relay, AGatewayCutOffFromTheStoreIsUpdatedThroughSidecars)
 {
   Site site (1, 1, 2);
@@ -212,7 +217,7 @@
   }));
 }
 
-/// Write a route that is new, and see it served.
+/// Write a new route and expect it to be served within 4 s.
 void
 expect_new_route_soon (Site &site)
 {
@@ -225,7 +230,8 @@
       4000));
 }
 
-/// The gateway follows the operator's keys: its next read of them waits.
+/// Wait until the gateway has applied a revision: its next read of the
+/// operator's keys is then waiting.
 void
 wait_for_revision (Site &site, int revision)
 {
@@ -237,11 +243,11 @@
   }));
 }
 
-// A route that was added is refused for seconds after the store came back from
-// a silence. The gateway's read was sent, the store fell silent with it, came
-// back, and the change was confirmed; the gateway went on waiting for that
-// read, 6.5 s from its start. Evidence: store_read_failed with waited_ms of
-// 6500, while other reads of the store were answered.
+// An added route is refused for seconds after a stall of the store. The
+// gateway's read was sent, the store stalled with it and recovered, and the
+// change was acknowledged; the gateway went on waiting for that read until 6.5
+// s after its start. Evidence: store_read_failed with waited_ms of 6500, while
+// other reads of the store were answered.
 TEST (Relay, AChangeAfterAStoreStallAppliesSoon)
 {
   Site site (0, 1);
@@ -254,8 +260,8 @@
   expect_new_route_soon (site);
 }
 
-// As before, but the store is well all the time: only the connection on which
-// the gateway waits for changes has gone silent, and new ones work.
+// As before, but the store works all the time: only the connection on which
+// the gateway waits for changes has gone silent, and new connections work.
 TEST (Relay, AChangeAppliesThoughTheWatchConnectionIsSilent)
 {
   Site site (0, 1);
@@ -267,7 +273,7 @@
   expect_new_route_soon (site);
 }
 
-// Guards against a read that is given up while its answer comes.
+// Guards against a read that times out while its answer is still arriving.
 TEST (Relay, ALargeConfigurationOnASlowLinkIsApplied)
 {
   enum
@@ -297,7 +303,7 @@
       Site::log_lines (site.gateways[0].daemon, { "store_lost" }).empty ());
 }
 
-// Guards against an answer that never ends, and keeps a reader for itself.
+// Guards against an answer that never ends and blocks its reader for ever.
 TEST (Relay, ATricklingStoreAnswerTimesOut)
 {
   Site site (0, 1);
@@ -322,7 +328,8 @@
   }));
 }
 
-// Guards against a gateway that hears nothing and seems not to read.
+// Successful reads are logged, so that a gateway that gets no changes can be
+// told from one that does not read.
 TEST (Relay, AReadThatBringsAConfigurationIsLogged)
 {
   Site site (0, 1);
@@ -336,8 +343,8 @@
   }));
 }
 
-// The store forgets its history while the configuration changes; a reader
-// that only waits for changes never hears of it.
+// The store compacts its history while the configuration changes; a reader
+// that only waits for changes never gets that change.
 TEST (Relay, ACompactedHistoryIsReadAgain)
 {
   Site site (0, 1);
@@ -370,7 +377,7 @@
                              { "config_in_force", "\"revision\":8" })
                 .empty ();
   }));
-  // An older version never comes back.
+  // An older version must not replace a newer one.
   site.write_config (7);
   std::this_thread::sleep_for (std::chrono::milliseconds (300));
   EXPECT_TRUE (Site::log_lines (site.gateways[0].daemon,
@@ -378,8 +385,8 @@
                    .empty ());
 }
 
-// A new version of an adapter is named, and captions go on being written by
-// the old one.
+// A new version of an adapter is announced, but the old version goes on
+// serving requests.
 TEST (Relay, ANewerAdapterVersionServesFromThenOn)
 {
   Site site;
@@ -404,8 +411,9 @@
   EXPECT_TRUE (expects_new_version);
 }
 
-// An engine crashes: it was ordered to hold more adapters than it can, by
-// orders that got no answer and were carried out seconds later.
+// Orders to an engine get no answer and are executed seconds later. Without
+// accounting for them, the engine is ordered to hold more adapters than it
+// can, and crashes.
 TEST (Relay, LateOrdersNeverOverfillAnEngine)
 {
   Site site (1, 0);
@@ -427,16 +435,17 @@
   EXPECT_GT (site.engines[0].target->loads (), 0);
 }
 
-// An order gets no answer, and its engine starts again under its id: the order
-// is carried out later, at an engine that is full by then. It crashes with all
-// its streams. The id does not tell the two lives apart, and the count of
-// orders, which begins anew, is the same again at that moment.
+// An order gets no answer, and its engine restarts under the same id. The
+// order is executed later, when the engine is already full, and the engine
+// crashes with all its streams. The id does not distinguish the two
+// incarnations, and the count of orders, which restarts at zero, has the same
+// value again at that moment.
 TEST (Relay, AnOrderToAnEarlierIncarnationNeverOverfillsAnEngine)
 {
   Site site (1, 0);
   ASSERT_TRUE (site.wait_ready ());
   Target &engine = *site.engines[0].target;
-  // As many orders as bring its model and fill its four places.
+  // As many orders as load its model and fill its four adapter slots.
   engine.set_seq (5);
   std::this_thread::sleep_for (std::chrono::milliseconds (900));
   engine.order_delay_ms = 2500;
@@ -459,10 +468,10 @@
   EXPECT_LE (engine.max_adapters_held (), 4u);
 }
 
-// An engine ends behind a cut and starts again under the id that it had, so
-// that nothing breaks the connection of a stream that ran there. Its caller
-// waits for the end of its patience, though the stream can not go on: the
-// engine knows nothing of it. The answer must not promise that it did not run.
+// An engine restarts under the same id behind a network cut, so that nothing
+// breaks the connection of a stream that ran there. The caller would wait
+// until its deadline, although the stream cannot continue: the engine does not
+// know it any more. The answer must not state that the request did not run.
 TEST (Relay, AStreamAtARestartedEngineIsCut)
 {
   Site site (1, 0);
@@ -489,9 +498,10 @@
   }));
 }
 
-// An engine says that it leaves, crashes, and starts again under its id. Its
-// agent knows of the new life before the list does; the leaving was the old
-// one's, and callers need not wait for the next entry.
+// An engine announces that it leaves, crashes, and restarts under the same id.
+// Its sidecar knows of the new incarnation before the list does; only the old
+// incarnation was leaving, and callers must not have to wait for the next list
+// entry.
 TEST (Relay, LeavingEndsWithTheIncarnationThatAnnouncedIt)
 {
   Site site (1, 0);
@@ -509,9 +519,10 @@
   }));
 }
 
-// A target is taken off the list while a stream still runs there, and starts
-// again under its id. Its agent tells of the new life, but only the list tells
-// who may be used: until it does, callers are refused.
+// A target is removed from the list while a stream still runs there, and
+// restarts under the same id. Its sidecar reports the new incarnation, but
+// only the list decides which targets may be used: until it lists the target
+// again, callers are refused.
 TEST (Relay, ARestartDoesNotRelistATarget)
 {
   Site site (1, 0);
@@ -534,9 +545,10 @@
   caller.join ();
 }
 
-// A target starts again under its id, and an entry that it wrote before comes
-// late, once and again. It is served as it is now. When the older birth goes
-// on being told, the clock of its VM was stepped back, and it is used too.
+// A target restarts under the same id, and an entry from before the restart
+// arrives late, twice. The target must be served in its present state. If the
+// older birth time continues to be reported, the clock of the VM was stepped
+// back, and that birth time is accepted.
 TEST (Relay, AnEntryOfAnEarlierIncarnationIsRejected)
 {
   Site site (0, 1);
@@ -566,8 +578,9 @@
   EXPECT_EQ (send_call (site.gateways[0], plain_call ("b9")).status, 200);
 }
 
-// An engine comes back empty under a new name; until the list says so, every
-// request to it is refused by the incarnation it names.
+// An engine restarts empty under a new id. Until the list has that id, the
+// engine refuses every request, because requests name the incarnation that
+// they expect.
 TEST (Relay, ARestartedEngineGetsItsModelBackAndServes)
 {
   Site site (1, 0);
@@ -606,8 +619,9 @@
   }));
 }
 
-// A sidecar is paused: its connections stay open and carry nothing. Requests
-// that asked it for a place must go to another engine, not wait for it.
+// A sidecar is suspended: its connections stay open and carry nothing.
+// Requests that asked it for a place must go to another engine instead of
+// waiting.
 TEST (Relay, APausedSidecarIsNotWaitedFor)
 {
   Site site;
@@ -623,9 +637,9 @@
   kill (site.engines[0].sidecar.pid, SIGCONT);
 }
 
-// The links between entries and agents go silent while streams begin and end.
-// Grants and releases are lost with them, places stay taken for ever, and
-// after a few such moments an idle engine refuses everybody.
+// The links between gateways and sidecars go silent while streams begin and
+// end. Grants and releases are lost with them. If places stay taken, an idle
+// engine refuses all requests after a few such faults.
 TEST (Relay, PlacesAreNotLostWithALink)
 {
   Proxies proxies;
@@ -659,8 +673,8 @@
   EXPECT_EQ (served_count, 10);
 }
 
-// An engine crashes after its agent was restarted: before the agent knew the
-// configuration again, it ordered more adapters than the engine can hold.
+// A restarted sidecar must not order more adapters than its engine can hold
+// before it knows the configuration again: the engine would crash.
 TEST (Relay, ARestartedSidecarKeepsTheLimitsOfItsEngine)
 {
   Site site (1, 0, 6);
@@ -685,9 +699,10 @@
   EXPECT_LE (site.engines[0].target->max_adapters_held (), 4u);
 }
 
-// An engine crashes with one adapter too many: callers left, their places were
-// given back, but the engine was still at work on them. The adapter that was
-// to make room was dropped only later.
+// Callers disconnect and their places are released, but the engine still works
+// on their requests. The adapter that was to be replaced is unloaded only
+// later, and with the new one the engine holds one adapter too many and
+// crashes.
 TEST (Relay, AnAdapterInUseFreesNoSlot)
 {
   Site site (1, 0);
@@ -709,11 +724,11 @@
   EXPECT_LE (engine.max_adapters_held (), 4u);
 }
 
-// All engines come back after a loss of power, and for a second or two the
-// list names both their old and their new incarnations. Both are beside the
-// same agent; when they take its link from each other, what was asked through
-// one is not heard by the other, and requests are declined though engines are
-// free.
+// After a power loss all engines restart, and for a second or two the list has
+// both their old and their new incarnations. Both use the same sidecar. If
+// they take its link from each other, the answer to a request that was sent
+// through one does not reach the other, and requests are declined although
+// engines are free.
 TEST (Relay, AnOldEntryDoesNotReclaimTheLink)
 {
   Site site (1, 0);
--- a/test/relay/site.cc
+++ b/test/relay/site.cc
@@ -13,11 +13,12 @@
 namespace relay
 {
 
-/// Last part of the first gateway's address; engines come before it.
+/// Last octet of the first gateway's address; engines use the lower ones.
 static constexpr int kGatewayHost = 200;
 static constexpr int kStoreHost = 240;
 static constexpr int kMirrorStoreHost = 241;
-static constexpr int kPlainHost = 242; ///< All plain targets; ports differ.
+static constexpr int kPlainHost
+    = 242; ///< All plain targets; their ports differ.
 
 static std::string
 binary ()
@@ -27,10 +28,11 @@
          + "/knapweedbayd";
 }
 
-/// A port that is chosen for a daemon is free until another process takes it,
-/// and sites of several test programs run at one time. Each process has
-/// loopback addresses of its own, so that none can.
-/// @param net  0 for daemons and targets, 1 for proxies before them.
+/// A loopback address that belongs to this process. A port that is chosen for
+/// a daemon is free until another process binds it, and several test programs
+/// run sites at the same time; with addresses of its own, no other process can
+/// bind the ports.
+/// @param net  0 for daemons and targets, 1 for the proxies in front of them.
 static std::string
 process_ip (int net, int host)
 {
@@ -40,7 +42,7 @@
          + std::to_string (pid % 256) + "." + std::to_string (host);
 }
 
-/// Address of the proxy before an engine's.
+/// Address of the proxy in front of an address of a target or store.
 static std::string
 proxy_ip (const std::string &ip)
 {
@@ -69,7 +71,7 @@
       << "// for a test\n{\"interface\":\"relay\",\"name\":\"" << daemon.name
       << "\",\"failure_domain\":\"d1\",\"inner_port\":"
       << inner_port_
-      // Logs that are kept are to be whole.
+      // Kept logs must be complete: raise the rate limit of the log.
       << (getenv ("KB_KEEP_LOGS") != nullptr ? ",\"log_lines_per_s\":100000"
                                              : "")
       << ",\"grace_s\":6,\"quota_window_s\":" << kQuotaWindowS
@@ -117,7 +119,7 @@
   std::string &listed = by_address_[address];
   if (!listed.empty ())
     return listed;
-  // The agent is found at the listed IP number and the inner port.
+  // Gateways reach the sidecar at the listed IP address and the inner port.
   std::string outer = proxy_ip (ip);
   all.push_back (std::make_unique<Proxy> (outer, 0, ip,
                                           atoi (port_of (address).c_str ())));
@@ -291,7 +293,7 @@
   put ("op/config", config);
 }
 
-/// An entry as a target writes it.
+/// Store entry of a target, in the format that targets write.
 static std::string
 entry_of (Target &target, const std::string &service,
           const std::string &address, int slots, const std::string &state,
@@ -390,7 +392,8 @@
   for (size_t i = 0; i < gateways.size (); i++)
     if (!wait_for ([&] { return ready_status (i) == 200; }))
       return false;
-  // Every gateway reaches every engine: each serves a stream of its own.
+  // Each gateway must have served a stream, so that its links to the sidecars
+  // are up.
   for (size_t i = 0; !engines.empty () && i < gateways.size (); i++)
     if (!wait_for ([&] {
           return send_call (gateways[i], stream_call ("warm", "")).status
--- a/test/relay/site.h
+++ b/test/relay/site.h
@@ -1,6 +1,7 @@
 /// @file site.h
-/// A small site for tests of the relay roles: the real daemon as separate
-/// processes on loopback addresses, before stand-ins of store and targets.
+/// A small deployment for tests of the relay roles: real daemons as separate
+/// processes on loopback addresses, with stand-ins for the store and the
+/// targets.
 #ifndef KB_TEST_RELAY_SITE_H
 #define KB_TEST_RELAY_SITE_H
 
@@ -13,15 +14,16 @@
 namespace relay
 {
 
-/// Of all gateways: nothing runs with a key this long after it was taken away.
+/// Revoke bound of all gateways: no request runs with a key later than this
+/// after its removal was acknowledged.
 constexpr int kRevokeBoundMs = 5000;
 
-/// How far use may exceed a quota, as all daemons are told.
+/// Quota settings of all daemons: how far use may exceed a quota.
 constexpr int kQuotaWindowS = 8;
 constexpr double kQuotaOvershoot = 0.1;
 constexpr int kQuotaSlack = 600;
 
-/// A daemon that this test started and ends.
+/// A daemon process that the site starts and stops.
 struct Daemon
 {
   std::string name;
@@ -34,28 +36,29 @@
 {
   std::string ip;
   std::unique_ptr<Target> target;
-  std::string metrics; ///< Address of its agent's metrics page.
+  std::string metrics; ///< Address of its sidecar's metrics page.
   Daemon sidecar;
 };
 
 struct Gateway
 {
-  std::string address; ///< For callers.
-  std::string ready;
+  std::string address; ///< Address at which callers connect.
+  std::string ready;   ///< Address of its readiness page.
   Daemon daemon;
 };
 
-/// Puts a proxy on each way: to the store, to targets, to agents.
+/// Proxies in front of the store, the targets and the sidecars.
 class Proxies
 {
 public:
-  /// Address at which an engine and its agent are listed.
+  /// Start the proxies of an engine and of its sidecar.
+  /// @return  The proxy address under which the engine is listed.
   std::string engine (const std::string &ip, const std::string &address,
                       int inner_port);
   std::string plain (const std::string &address);
   std::string store (const std::string &address);
   std::vector<std::unique_ptr<Proxy>> all;
-  std::vector<Proxy *> agents; ///< Those of the inner links.
+  std::vector<Proxy *> agents; ///< Proxies of the inner links to the sidecars.
 
 private:
   std::map<std::string, std::string> by_address_;
@@ -64,38 +67,46 @@
 class Site
 {
 public:
-  /// The last of several gateways reads `mirror_store`, which shows the same.
+  /// With several gateways, the last one reads `mirror_store`, which has the
+  /// same content as `store`.
+  /// @param proxies  When given, all connections but those of callers go
+  ///   through it.
   explicit Site (int engines = 2, int plain = 2, int gateways = 1,
                  Proxies *proxies = nullptr);
-  /// Write to both stores.
+  /// Write a key to both stores.
   void put (const std::string &key, const std::string &value);
   void remove (const std::string &key);
   ~Site ();
-  /// Wait until a condition holds.
+  /// Poll until a condition holds.
+  /// @return  False after the time-out.
   static bool wait_for (const std::function<bool ()> &condition,
                         int timeout_ms = 8000);
-  /// The configuration as the operator writes it; `extra` adds members.
+  /// Write the operator's configuration document.
+  /// @param extra_route  More routes, each after a comma.
   void write_config (int version, const std::string &extra_route = "",
                      int stream_timeout_ms = 8000);
-  /// @param born_shift_ms  Added to the birth.
+  /// Write the store entry of an engine.
+  /// @param born_shift_ms  Added to the birth time that the entry states.
   void list_engine (size_t at, const std::string &state = "ready",
                     int64_t born_shift_ms = 0);
   void list_plain (size_t at, const std::string &state = "ready",
                    int64_t born_shift_ms = 0);
-  /// Kill and start again.
+  /// Stop a daemon with a signal and start it again.
   void restart (Daemon *daemon, int signal);
-  /// @param stdout_fd  Where its log goes; its log file when negative.
+  /// @param stdout_fd  Receives the log; negative: the log file does.
   void start (Daemon *daemon, int stdout_fd = -1);
-  /// Targets that a request ended are back as other incarnations.
+  /// Restart the targets that crashed or hang as new incarnations and list
+  /// them.
   void restart_ended_targets ();
-  /// How often requests ended targets.
+  /// Crashes and hangs of all targets that requests caused.
   int crash_count ();
-  /// Requests whose path holds this text end the target that runs them.
+  /// Requests whose path contains this text crash the target that runs them;
+  /// empty: none does.
   void crash_on_path (const std::string &text);
   void stop (Daemon *daemon, int signal);
   bool wait_ready ();
   int ready_status (size_t gateway = 0);
-  /// Lines of a daemon's log that hold all these texts.
+  /// Lines of a daemon's log that contain all of the texts.
   static std::vector<std::string>
   log_lines (const Daemon &daemon, const std::vector<std::string> &texts);
   int runs_of (const std::string &attempt_id);
@@ -106,11 +117,12 @@
   }
 
   std::string dir;
-  std::string config; ///< As it was written last.
-  /// More members of the next configuration, each after a comma.
+  std::string config; ///< The document that was written last.
+  /// Additional members of the configuration documents that follow, each after
+  /// a comma.
   std::string config_members;
   Store store;
-  Store mirror_store; ///< The store as the last of several gateways sees it.
+  Store mirror_store; ///< Read by the last of several gateways.
   std::vector<Engine> engines;
   std::vector<std::unique_ptr<Target>> plain;
   std::vector<Gateway> gateways;
@@ -124,27 +136,27 @@
   int incarnations_ = 0;
 };
 
-/// A request as a caller writes it.
+/// A request of a caller.
 struct Call
 {
   std::string path = "/plain/x";
   std::string method = "GET";
   std::string id;
-  std::string headers; ///< Lines each ended by CRLF.
+  std::string headers; ///< Header lines, each terminated by CRLF.
   std::string body;
   int deadline_ms = 6000;
-  std::string from; ///< The caller's IP number; empty: any.
+  std::string from; ///< The caller's IP address; empty: any.
   std::string text () const;
 };
 
 Call stream_call (const std::string &id, const std::string &adapter,
                   bool is_resumable = true);
-/// Send on a new connection and read the answer.
+/// Send a request on a new connection and read the answer.
 Message send_call (const Gateway &gateway, const Call &call);
 Call plain_call (const std::string &id, const std::string &path = "/plain/x");
-/// The metrics page of an engine's agent.
+/// The metrics page of an engine's sidecar; empty when it does not answer.
 std::string metrics_of (const Engine &engine);
-/// The numbers from 1 to `last`: ids of a whole stream.
+/// Event ids from 1 to `last`, as a complete stream has them.
 std::vector<int> ids_up_to (int last);
 /// Ids of the events in a body, in order.
 std::vector<int> event_ids (const std::string &body);
--- a/test/relay/store_standin.cc
+++ b/test/relay/store_standin.cc
@@ -28,7 +28,8 @@
   return out;
 }
 
-/// @return  The text of a member, in JSON without escapes.
+/// @return  The string value of a member, in JSON without escapes; empty if
+///   absent.
 static std::string
 text_member (const std::string &json, const std::string &name)
 {
@@ -82,7 +83,7 @@
   return count;
 }
 
-/// Leases never end here; a change holds one value.
+/// Leases never expire here; a transaction writes one value.
 bool
 Store::serve_write (Connection &connection, const Message &request)
 {
--- a/test/relay/store_standin.h
+++ b/test/relay/store_standin.h
@@ -1,6 +1,6 @@
 /// @file store_standin.h
-/// Stand-in of the platform's metadata store: ranges with pages and watches,
-/// with switches for outages, a forgotten history and slow answers.
+/// Stand-in for the platform's metadata store: paged range reads and watches,
+/// with outages, compaction and slow answers on request.
 #ifndef KB_TEST_RELAY_STORE_STANDIN_H
 #define KB_TEST_RELAY_STORE_STANDIN_H
 
@@ -17,11 +17,11 @@
   enum Mode
   {
     HEALTHY,
-    BUSY,         ///< 503
+    BUSY,         ///< Answers 503.
     RESET,        ///< Connections are reset.
     SILENT,       ///< No answer.
-    FOREIGN_BODY, ///< 200 with another service's body.
-    NO_WAIT,      ///< Waits for no changes: says at once that there are none.
+    FOREIGN_BODY, ///< 200 with the body of another service.
+    NO_WAIT,      ///< Watches return at once, even without changes.
   };
   explicit Store (const std::string &ip) : Server (ip) { start (); }
   ~Store () override
@@ -32,22 +32,22 @@
   void put (const std::string &key, const std::string &value);
   void remove (const std::string &key);
   void set_mode (Mode mode);
-  /// Forget the history: watches behind the present revision get 410, and
-  /// those that wait are cut.
+  /// Drop the history: watches behind the present revision get 410, and the
+  /// connections of waiting ones are closed.
   void compact ();
-  /// Take the reads on a prefix that wait now, and until end_read_stall those
-  /// that come, and never answer them: their connections stay open and silent
-  /// also when the store is well again.
+  /// Never answer the reads on a prefix that are waiting now, nor those that
+  /// arrive until end_read_stall (): their connections stay open and silent,
+  /// even after the stall has ended.
   void stall_reads (const std::string &prefix);
   void end_read_stall ();
-  /// Answers come by pieces, so many bytes a second; zero: at once.
+  /// Rate at which answers are sent, in pieces; zero: all at once.
   std::atomic<int> bytes_per_s{ 0 };
-  /// What daemons write here stands in another store as well.
+  /// Copy what daemons write here to another store.
   void mirror_to (Store *other);
-  /// Values that daemons have written under a prefix and that stand now.
+  /// Number of keys under a prefix that exist now.
   int count_written (const std::string &prefix);
   std::atomic<int> calls{ 0 };
-  /// Of these, those that change something.
+  /// Those of `calls` that are writes.
   std::atomic<int> writes{ 0 };
   std::atomic<int> page_items{ 3 };
 
@@ -65,20 +65,20 @@
   std::string range (const std::map<std::string, std::string> &query);
   std::string changes (const std::string &prefix, int64_t after);
   bool has_stalled_prefix (const std::string &prefix) const;
-  /// Write an answer at the pace that is set.
+  /// Send an answer at `bytes_per_s`.
   bool deliver (Connection &connection, const std::string &bytes);
-  /// Hold a connection without a word until its client closes it.
+  /// Keep a connection open and silent until its client closes it.
   bool hold_until_closed (Connection &connection);
   static std::string item_json (const std::string &key, const Item &item);
   std::mutex mutex_;
   std::condition_variable changed_;
-  std::map<std::string, Item> items_; ///< With those that are gone.
-  std::vector<std::pair<std::string, Item>> history_; ///< In order.
+  std::map<std::string, Item> items_; ///< Includes tombstones of removed keys.
+  std::vector<std::pair<std::string, Item>> history_; ///< Ordered by revision.
   int64_t revision_ = 1;
   int64_t compacted_ = 0;
   int64_t disconnect_count_ = 0;
   int64_t stall_count_ = 0;
-  std::string stalled_prefix_; ///< Of the last stall_reads.
+  std::string stalled_prefix_; ///< Prefix of the last stall_reads ().
   bool is_stalling_ = false;
   Mode mode_ = HEALTHY;
   Store *mirror_ = nullptr;
--- a/test/relay/target_standin.cc
+++ b/test/relay/target_standin.cc
@@ -13,7 +13,7 @@
   std::this_thread::sleep_for (std::chrono::milliseconds (ms));
 }
 
-/// Value of a member in flat JSON, without quotes.
+/// Value of a member of a flat JSON object, without quotes.
 static std::string
 member (const std::string &json, const std::string &name)
 {
@@ -48,7 +48,7 @@
   pause_path_s_ = seconds;
 }
 
-/// @return  The pause that it asks for; negative: it serves the request.
+/// @return  The pause in seconds to ask for; negative: the request is served.
 double
 Target::requested_pause_s (const Message &request)
 {
@@ -229,7 +229,7 @@
          + (is_leaving_ ? "draining" : "ready") + "\"}";
 }
 
-/// @return  The HTTP status of the order.
+/// @return  The HTTP status that answers the order.
 int
 Target::execute_order (const std::string &body)
 {
@@ -276,7 +276,7 @@
   return false;
 }
 
-/// What it asks of its callers, in the head of each answer.
+/// Header lines of each answer that announce leaving and the rate limit.
 std::string
 Target::announcement_headers ()
 {
@@ -300,7 +300,8 @@
   return head;
 }
 
-/// Refuse what is for another incarnation, or an adapter that is not held.
+/// Refuse a request for another incarnation, or for an adapter or adapter
+/// version that is not loaded.
 /// @return  Whether it was refused.
 bool
 Target::refuse (Connection &connection, const Message &request)
@@ -331,7 +332,9 @@
   return is_refused;
 }
 
-/// Count a stream of an adapter in or out.
+/// Add to the count of an adapter's running streams; an adapter that is being
+/// unloaded is dropped at zero.
+/// @param change  1 at the start of a stream, -1 at its end.
 void
 Target::count_adapter_stream (const Message &request, int change)
 {
@@ -439,7 +442,7 @@
     }
   int crash_count_before = crash_count;
   sleep_ms (answer_ms);
-  // What a process works on ends with it.
+  // A crash aborts all requests that run in the process.
   if (has_ended () || crash_count_before != crash_count)
     return false;
   connection.write (answer (200, head, body));
--- a/test/relay/target_standin.h
+++ b/test/relay/target_standin.h
@@ -1,6 +1,6 @@
 /// @file target_standin.h
-/// Stand-in of the platform's targets: a model engine with adapters, orders
-/// and streams, or a plain service; with switches for what goes wrong.
+/// Stand-in for a target: a model engine with adapters, orders and streams, or
+/// a plain service, with fault injection.
 #ifndef KB_TEST_RELAY_TARGET_STANDIN_H
 #define KB_TEST_RELAY_TARGET_STANDIN_H
 
@@ -12,24 +12,24 @@
 namespace relay
 {
 
-/// What a target does with a request, next time.
+/// Fault that a target injects into one request.
 enum class Fault
 {
   NONE,
-  RESET_BEFORE_ANSWER, ///< It runs; the connection is reset.
+  RESET_BEFORE_ANSWER, ///< The request runs, then the connection is reset.
   CUT_WITHIN_EVENT,    ///< Reset in the middle of the third event.
-  CUT_UNFRAMED,        ///< No length; reset within the body.
-  END_UNFRAMED,        ///< No length; closed in order at the end.
-  NOT_RUN,             ///< 503 with the word that it did not run.
-  BARE_503,            ///< 503 without it.
+  CUT_UNFRAMED,        ///< Answer without a length; reset within the body.
+  END_UNFRAMED,        ///< Answer without a length; closed orderly at its end.
+  NOT_RUN,             ///< 503 with the header that it was not executed.
+  BARE_503,            ///< 503 without that header.
   ERROR_500,
-  STRAY_FIRST, ///< Another request's answer comes before the right one.
+  STRAY_FIRST, ///< Another request's answer precedes the right one.
   NO_SEAL,
   HANG,
-  EXTRA_AFTER, ///< A second answer right after the right one.
+  EXTRA_AFTER, ///< A second answer follows the right one.
 };
 
-/// A limit that a target stated for a while.
+/// A rate limit and the period for which a target announced it.
 struct LimitSpan
 {
   double per_s;
@@ -40,7 +40,8 @@
 class Target : public Server
 {
 public:
-  /// @param is_engine  Else a plain service.
+  /// @param is_engine  Whether it is a model engine; otherwise a plain
+  ///   service.
   Target (const std::string &ip, const std::string &id, bool is_engine)
       : Server (ip), id_ (id), is_engine_ (is_engine), born_ms_ (wall_ms ())
   {
@@ -53,68 +54,75 @@
     std::lock_guard<std::mutex> lock (mutex_);
     return id_;
   }
-  /// Faults of the next requests, one each.
+  /// Inject these faults into the next requests, one each.
   void fail_next (std::vector<Fault> faults);
-  /// Come back as another incarnation, empty, that states nothing; under the
-  /// same id with a later birth.
+  /// Become a new incarnation with a new birth time, possibly under the same
+  /// id: it holds no model or adapter and announces no limit, pause or
+  /// leaving.
   void restart (const std::string &id);
-  /// Unix milliseconds of its start.
+  /// Birth time of the present incarnation, in Unix milliseconds.
   int64_t born_ms ();
-  /// Which of its lives it was in at a moment.
+  /// Number of restarts before a moment: identifies the incarnation that was
+  /// running then.
   size_t incarnation_at (std::chrono::steady_clock::time_point moment);
-  /// The clock that stamps the births is set by this much.
+  /// Step the clock that stamps birth times.
   void step_clock (int64_t by_ms);
   void set_leaving (bool is_leaving);
-  /// Requests whose path holds this text end the process a moment after they
-  /// began; empty: none does.
+  /// Requests whose path contains this text crash the process `crash_delay_ms`
+  /// after they begin to run; empty: none does.
   void crash_on_path (const std::string &text);
-  /// Requests whose path holds this text are turned away with a pause.
+  /// Requests whose path contains this text are refused with a pause.
   void pause_on_path (const std::string &text, double seconds);
-  /// How often such a request ended it.
+  /// Times that a request crashed the target, or hung it.
   std::atomic<int> crash_count{ 0 };
-  /// They hang it instead: connections stay open, and nothing answers.
+  /// These requests hang the target instead: connections stay open, and
+  /// nothing is answered.
   std::atomic<bool> hangs_on_crash{ false };
   std::atomic<bool> is_hung{ false };
-  /// How long after the beginning.
+  /// Time between the start of such a request and the crash.
   std::atomic<int> crash_delay_ms{ 20 };
-  /// Orders accepted so far, as it counts them.
+  /// Set the count of orders accepted so far, which orders are checked
+  /// against.
   void set_seq (int64_t seq);
-  /// How often a request ran here.
+  /// Times that an attempt ran at this target.
   int runs_of (const std::string &attempt_id);
   int runs ();
   std::vector<Message> requests ();
-  /// Of these, those that were answered with a pause.
+  /// Those of requests () that were refused with a pause.
   std::vector<Message> refused_with_pause ();
-  /// Adapter loads that were carried out, and the most held at one time.
+  /// Adapter loads that were executed.
   int loads ();
+  /// Largest number of adapters held at one time.
   size_t max_adapters_held ();
-  /// Holder and fencing number of all orders.
+  /// Holder and fencing number of all orders, as "holder/number".
   std::set<std::string> order_issuers ();
-  /// Requests a second that it says it takes; negative: it says nothing.
+  /// Limit that answers announce, in requests per second; negative: none.
   std::atomic<double> limit_per_s{ -1 };
-  /// Set it, and remember from when to when it held; negative: none any more.
+  /// Set `limit_per_s` and record the period in which each limit is announced;
+  /// negative: announce none.
   void announce_limit (double per_s);
   std::vector<LimitSpan> announced_limits ();
-  /// In place of it; NULL: nothing else is said.
+  /// Text that is announced in place of `limit_per_s`; NULL: none.
   std::atomic<const char *> limit_text{ nullptr };
-  /// Its answers say that it leaves; its report does not.
+  /// Answers announce that the target is leaving, while its report does not.
   std::atomic<bool> announces_leaving{ false };
-  /// It turns all requests away and asks for a pause of so long; negative:
-  /// not.
+  /// Refuse all requests and ask for a pause of this many seconds; negative:
+  /// serve them.
   std::atomic<double> pause_s{ -1 };
-  /// How long a plain target works on a request.
+  /// Time that a plain target works on a request.
   std::atomic<int> answer_ms{ 0 };
   std::atomic<int> event_ms{ 2 };
   std::atomic<int> events{ 10 };
   std::atomic<int> load_ms{ 20 };
   std::atomic<int> newest_version{ 1 };
-  /// Orders get no answer and are carried out this much later; zero: not so.
+  /// Orders get no answer and are executed after this delay; zero: at once,
+  /// with an answer.
   std::atomic<int> order_delay_ms{ 0 };
-  /// Orders that were taken and are not carried out yet.
+  /// Delayed orders that were received and are not yet executed.
   std::atomic<int> pending_orders{ 0 };
-  /// Streams whose caller went away before the end.
+  /// Streams that stopped because the peer closed the connection.
   std::atomic<int> abandoned_streams{ 0 };
-  /// Streams go on for a while after their caller is gone.
+  /// Streams continue to their end after the peer closed the connection.
   std::atomic<bool> ignores_close{ false };
 
 private:
@@ -122,7 +130,7 @@
   {
     int version = 0;
     int users = 0;
-    bool is_leaving = false; ///< Dropped when its last stream ends.
+    bool is_leaving = false; ///< Unloaded when its last stream ends.
     std::chrono::steady_clock::time_point ready;
   };
   static int64_t wall_ms ();
--- a/test/relay/workspace_test.cc
+++ b/test/relay/workspace_test.cc
@@ -1,4 +1,5 @@
-// Who is asking: keys and workspaces at the relay roles before stand-ins.
+// Authentication by API keys and assignment to workspaces, with the relay
+// roles in front of stand-ins.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -16,7 +17,7 @@
       "\"Priority\":2,\"Service\":\"maps\",\"MaxAttempts\":2,"
       "\"Public\":true}";
 
-/// A site whose configuration has workspaces, and one plain target.
+/// A site with workspaces in its configuration and one plain target.
 class Workspaces : public ::testing::Test
 {
 protected:
@@ -26,7 +27,7 @@
     put (workspaces);
     ASSERT_TRUE (site_.wait_ready ());
   }
-  /// In force once this returns.
+  /// Write a configuration and wait until it is in force.
   void
   put (const std::vector<std::string> &workspaces)
   {
@@ -53,11 +54,11 @@
   {
     std::string id = "w" + std::to_string (++sent_);
     int status = send (id, headers, path).status;
-    // What is refused has not run.
+    // A refused request must not have run.
     EXPECT_EQ (site_.runs_of (id), status == 200 ? 1 : 0) << headers;
     return status;
   }
-  /// A header of the request that ran last.
+  /// A header of the request that the target received last.
   std::string
   last_target_header (const std::string &name)
   {
@@ -71,7 +72,7 @@
 const char kTenant[] = "x-knapweedbay-tenant";
 const char kKey[] = "x-knapweedbay-key";
 
-// A request without a good key runs for nobody.
+// A request without a valid key must not run.
 TEST_F (Workspaces, OnlyAKnownKeyIsAccepted)
 {
   start_with_workspaces (
@@ -89,7 +90,8 @@
   EXPECT_EQ (status_of (key_line ("k-red")), 200);
 }
 
-// A target learns the workspace from the system alone, and never the key.
+// The target gets the workspace name from the gateway only, whatever the
+// caller sends, and never gets the key.
 TEST_F (Workspaces, ATargetGetsTheWorkspaceAndNotTheKey)
 {
   start_with_workspaces ({ workspace ("red", { "k-red" }) });
@@ -106,7 +108,7 @@
     }
 }
 
-// A public route asks for no key; one that is shown still names a workspace.
+// A public route requires no key; a valid one still assigns a workspace.
 TEST_F (Workspaces, APublicRouteNeedsNoKey)
 {
   start_with_workspaces ({ workspace ("red", { "k-red" }) });
@@ -120,7 +122,7 @@
   EXPECT_EQ (last_target_header (kKey), "");
 }
 
-// Without workspaces there are no keys, and no caller can name a workspace.
+// Without workspaces no key is required, and no caller can assign a workspace.
 TEST_F (Workspaces, AConfigurationWithoutWorkspacesRequiresNoKey)
 {
   ASSERT_TRUE (site_.wait_ready ());
@@ -130,7 +132,8 @@
   EXPECT_EQ (last_target_header (kKey), "");
 }
 
-// Keys that a new configuration adds, moves and takes away.
+// A new configuration adds keys, moves them to another workspace and removes
+// them.
 TEST_F (Workspaces, KeyChangesTakeEffect)
 {
   start_with_workspaces (
@@ -148,7 +151,7 @@
   EXPECT_EQ (status_of (key_line ("k2")), 401);
 }
 
-// A key that two workspaces name belongs to the first of them.
+// A key that is listed in two workspaces belongs to the first of them.
 TEST_F (Workspaces, AKeyListedTwiceBelongsToTheFirstWorkspace)
 {
   start_with_workspaces (
@@ -160,7 +163,7 @@
   EXPECT_EQ (last_target_header (kTenant), "blue");
 }
 
-// Keys stand in no log line, whatever becomes of the request.
+// Keys appear in no log line, whatever the outcome of the request.
 TEST_F (Workspaces, KeysAreNotLogged)
 {
   start_with_workspaces ({ workspace ("red", { "k-secret-1" }) });
@@ -180,7 +183,8 @@
   EXPECT_TRUE (Site::log_lines (daemon, { "k-secret" }).empty ());
 }
 
-// A request that came before the first configuration is judged by it.
+// A request that arrives before the first configuration is held and then
+// authenticated with it.
 TEST (WorkspacesAtStart, ARequestHeldForTheConfigurationIsAuthenticated)
 {
   Site site (0, 1);
@@ -205,7 +209,8 @@
     }
 }
 
-/// Two gateways, each with a store of its own that show the same.
+/// Two gateways, each reading a store of its own; the stores have the same
+/// content.
 class TakenAway : public ::testing::Test
 {
 protected:
@@ -222,7 +227,8 @@
     call.headers = key_line (text);
     return send_call (site_.gateways[gateway], call).status;
   }
-  /// @return  The moment of the acknowledgement.
+  /// Remove the key k1 from its workspace.
+  /// @return  When the stores acknowledged the removal.
   std::chrono::steady_clock::time_point
   revoke_k1 ()
   {
@@ -234,8 +240,8 @@
   int sent_ = 0;
 };
 
-// A gateway that the store does not answer any more goes on with a key that
-// was taken away.
+// A gateway that gets no answer from the store must not go on accepting a key
+// that may have been removed.
 TEST_F (TakenAway, AGatewayWithoutTheStoreRefusesInTime)
 {
   ASSERT_TRUE (site_.wait_ready ());
@@ -247,7 +253,7 @@
       std::this_thread::sleep_until (
           acknowledged + std::chrono::milliseconds (kRevokeBoundMs + 20));
       EXPECT_EQ (status_of (1, "k1"), 503) << mode;
-      // Nor can it tell whether the other key is still good.
+      // It cannot know whether the other key is still valid either.
       EXPECT_EQ (status_of (1, "k2"), 503) << mode;
       EXPECT_EQ (status_of (1, "k1", "/open/x"), 200) << mode;
       EXPECT_EQ (status_of (0, "k1"), 401) << mode;
@@ -259,8 +265,8 @@
     }
 }
 
-// A gateway that was stopped wakes with a key that was taken away meanwhile,
-// and finds requests that wait for it.
+// A gateway is suspended while a key is removed. When it resumes, it still has
+// the old key and finds requests waiting that use it.
 TEST_F (TakenAway, AResumedGatewayDoesNotTrustOldKeys)
 {
   ASSERT_TRUE (site_.wait_ready ());
@@ -286,7 +292,8 @@
   EXPECT_TRUE (Site::wait_for ([&] { return status_of (0, "k2") == 200; }));
 }
 
-// A key that stays is refused because its gateway was deaf for a moment.
+// A valid key must not be refused because the store did not answer its gateway
+// for a short time.
 TEST_F (TakenAway, AValidKeyIsAcceptedDuringAShortStoreStall)
 {
   ASSERT_TRUE (site_.wait_ready ());
@@ -296,7 +303,7 @@
     ASSERT_EQ (status_of (1, "k2"), 200);
 }
 
-// What a workspace's priority is goes to the engine in place of the route's.
+// The engine gets the workspace's priority in place of the route's.
 TEST (WorkspacePriority, OverridesTheRoutes)
 {
   Site site (1, 0);
--- a/test/relay/workspaces.cc
+++ b/test/relay/workspaces.cc
@@ -5,8 +5,8 @@
 namespace relay
 {
 
-/// Of a request that does not state its tokens, as workspaces are written
-/// here.
+/// Tokens that a request counts as when it states none, in the workspaces that
+/// workspace () writes.
 static constexpr int kPlainTokens = 30;
 
 std::string
@@ -51,7 +51,7 @@
 {
   std::vector<std::pair<std::chrono::steady_clock::time_point, int>> found;
   auto add = [&] (Target &target) {
-    // What was turned away with a pause has not run.
+    // Requests that were refused with a pause have not run.
     std::set<std::chrono::steady_clock::time_point> refused_with_pause;
     for (const Message &request : target.refused_with_pause ())
       refused_with_pause.insert (request.came);
--- a/test/relay/workspaces.h
+++ b/test/relay/workspaces.h
@@ -1,5 +1,5 @@
 /// @file workspaces.h
-/// Workspaces of a configuration, as the operator writes them, and what ran
+/// Workspaces in the operator's configuration, and the tokens that targets ran
 /// for them.
 #ifndef KB_TEST_RELAY_WORKSPACES_H
 #define KB_TEST_RELAY_WORKSPACES_H
@@ -9,18 +9,20 @@
 namespace relay
 {
 
-/// @param members  More of them, each after a comma.
+/// Configuration document of a workspace.
+/// @param members  Additional members, each after a comma.
 std::string workspace (const std::string &name,
                        const std::vector<std::string> &keys,
                        const std::string &members = "");
-/// Of the next configurations.
+/// Set the workspaces of the configurations that are written from now on.
 void set_workspaces (Site *site, const std::vector<std::string> &workspaces);
-/// The header line of a key.
+/// The header line that carries a key.
 std::string key_line (const std::string &key);
-/// Tokens that ran for a workspace, by the time at which they came.
+/// Tokens that targets ran for a workspace, ordered by the arrival time of
+/// their requests.
 std::vector<std::pair<std::chrono::steady_clock::time_point, int>>
 tokens_of (Site &site, const std::string &workspace);
-/// The most of them in any span of so many seconds.
+/// Largest number of tokens in any window of `window_s`.
 int max_tokens_in_window (
     const std::vector<std::pair<std::chrono::steady_clock::time_point, int>>
         &tokens,
