--- a/test/fakes/fake.c
+++ b/test/fakes/fake.c
@@ -7,11 +7,11 @@
 uv_loop_t fk_loop;
 tmr_service_t fk_timers;
 static const fk_role_t *fk_role;
-/// What it asks of its callers in each answer.
+/// What it asks of its callers in each handle_call.
 static double limit_per_s = -1; ///< Negative: it states none.
-static bool says_leaving;
-static double pause_s = -1; ///< Negative: it turns nothing away.
-uint64_t fk_turned_away;
+static bool is_leaving;
+static double retry_after_s = -1; ///< Negative: it turns nothing away.
+uint64_t fk_rejected_count;
 
 void
 fk_reply (hts_request_t *request, int http_status, const kb_buf_t *body)
@@ -26,7 +26,7 @@
 }
 
 void
-fk_cut (hts_request_t *request)
+fk_reply_truncated (hts_request_t *request)
 {
   hts_stream_begin (request, 200, "application/json");
   hts_stream_end (request, false);
@@ -47,25 +47,25 @@
 }
 
 static void
-add_statements (hts_request_t *request)
+add_target_headers (hts_request_t *request)
 {
   char text[32];
   snprintf (text, sizeof text, "%.3f", limit_per_s);
   if (limit_per_s >= 0)
     hts_response_header (request, "x-request-limit-per-s",
                          kb_slice_str (text));
-  if (says_leaving)
+  if (is_leaving)
     hts_response_header (request, "x-leaving", kb_slice_str ("1"));
 }
 
 bool
-fk_turn_away (hts_request_t *request)
+fk_reject_if_paused (hts_request_t *request)
 {
-  if (pause_s < 0)
+  if (retry_after_s < 0)
     return false;
-  fk_turned_away++;
+  fk_rejected_count++;
   char seconds[32];
-  snprintf (seconds, sizeof seconds, "%.3f", pause_s);
+  snprintf (seconds, sizeof seconds, "%.3f", retry_after_s);
   hts_response_header (request, "retry-after", kb_slice_str (seconds));
   fk_reply_text (request, 503, "{\"error\":{\"message\":\"later\"}}");
   return true;
@@ -76,14 +76,14 @@
 {
   if (!fk_path_is (request, "/fault"))
     {
-      add_statements (request);
+      add_target_headers (request);
       fk_role->on_request (request);
       return;
     }
   struct json_object *faults = fk_body (request);
   limit_per_s = jsn_num (faults, "limit_per_s", limit_per_s);
-  pause_s = jsn_num (faults, "pause_s", pause_s);
-  says_leaving = jsn_bool (faults, "says_leaving", says_leaving);
+  retry_after_s = jsn_num (faults, "pause_s", retry_after_s);
+  is_leaving = jsn_bool (faults, "says_leaving", is_leaving);
   fk_role->on_fault (faults);
   json_object_put (faults);
   fk_reply_text (request, 200, "{}");
@@ -98,7 +98,7 @@
 static const hts_events_t events = { on_request, on_abort };
 
 static const fk_role_t *
-role_find (const char *name)
+find_role (const char *name)
 {
   if (strcmp (name, "engine") == 0)
     return &fk_engine;
@@ -112,7 +112,7 @@
 int
 main (int argc, char **argv)
 {
-  fk_role = argc > 1 ? role_find (argv[1]) : NULL;
+  fk_role = argc > 1 ? find_role (argv[1]) : NULL;
   if (fk_role == NULL)
     {
       fprintf (stderr, "Usage: kbfake engine|kv|list|plain [PORT]\n");
--- a/test/fakes/fake.h
+++ b/test/fakes/fake.h
@@ -26,12 +26,12 @@
 
 void fk_reply (hts_request_t *request, int http_status, const kb_buf_t *body);
 void fk_reply_text (hts_request_t *request, int http_status, const char *text);
-/// Cut the answer: the effect took place, its word is lost.
-void fk_cut (hts_request_t *request);
+/// Cut the handle_call: the effect took place, its word is lost.
+void fk_reply_truncated (hts_request_t *request);
 /// Turn a request away if the target asks for a pause.
 /// @return  Whether it was.
-bool fk_turn_away (hts_request_t *request);
-extern uint64_t fk_turned_away; ///< How many were.
+bool fk_reject_if_paused (hts_request_t *request);
+extern uint64_t fk_rejected_count; ///< How many were.
 bool fk_path_is (const hts_request_t *request, const char *path);
 struct json_object *fk_body (const hts_request_t *request);
 
--- a/test/fakes/fake_engine.c
+++ b/test/fakes/fake_engine.c
@@ -40,11 +40,12 @@
   int64_t fail_loads;  ///< This many of the next loads fail.
   int64_t lose_loads;  ///< Answers of the next loads are lost.
   int64_t cut_after;   ///< Streams are cut after this many tokens; 0: never.
-  bool is_hung;        ///< Accept and never answer a run.
+  bool is_hung;        ///< Accept and never handle_call a run.
   bool is_wrong_model; ///< Answer for another model.
-  bool checks_fence;
+  bool is_fence_checked;
   char end_on[64]; ///< A prompt with this text ends the engine; empty: none.
-} faults = { .load_ms = 30, .step_ms = 2, .slots = 8, .checks_fence = true };
+} faults
+    = { .load_ms = 30, .step_ms = 2, .slots = 8, .is_fence_checked = true };
 
 static adapter_t adapters[ENGINE_MAX_ADAPTERS];
 static run_t *runs;
@@ -59,10 +60,10 @@
 
 enum
 {
-  END_AFTER_MS = 20,
+  CRASH_DELAY_MS = 20,
 };
 
-static void run_end_engine (void *arg);
+static void run_crash_engine (void *arg);
 
 static adapter_t *
 adapter_find (const char *name)
@@ -186,7 +187,7 @@
 static void
 on_completion (hts_request_t *http)
 {
-  if (fk_turn_away (http))
+  if (fk_reject_if_paused (http))
     return;
   struct json_object *doc = fk_body (http);
   const char *model = jsn_str (doc, "model", "");
@@ -215,7 +216,8 @@
     return;
   if (faults.end_on[0] != '\0' && strstr (run->prompt, faults.end_on) != NULL)
     {
-      tmr_after (&fk_timers, &run->timer, END_AFTER_MS, run_end_engine, run);
+      tmr_after (&fk_timers, &run->timer, CRASH_DELAY_MS, run_crash_engine,
+                 run);
       return;
     }
   if (run->is_stream)
@@ -227,7 +229,7 @@
 
 /// @return  False when the order carries an old number; it was answered.
 static bool
-order_is_fresh (hts_request_t *http)
+is_order_fresh (hts_request_t *http)
 {
   char text[32];
   kb_slice_copy (hts_request_header (http, "x-fencing-number"), text,
@@ -239,7 +241,7 @@
       return true;
     }
   stale_orders++;
-  if (!faults.checks_fence)
+  if (!faults.is_fence_checked)
     return true;
   fk_reply_text (http, 412, "{\"error\":{\"message\":\"old number\"}}");
   return false;
@@ -282,7 +284,7 @@
   loads++;
   faults.lose_loads -= is_lost;
   if (http != NULL && is_lost)
-    fk_cut (http);
+    fk_reply_truncated (http);
   else if (http != NULL)
     fk_reply_text (http, 200, "{}");
   free (load);
@@ -291,7 +293,7 @@
 static void
 on_load (hts_request_t *http)
 {
-  if (!order_is_fresh (http))
+  if (!is_order_fresh (http))
     return;
   struct json_object *doc = fk_body (http);
   load_t *load = kb_alloc (sizeof *load);
@@ -306,7 +308,7 @@
 static void
 on_unload (hts_request_t *http)
 {
-  if (!order_is_fresh (http))
+  if (!is_order_fresh (http))
     return;
   struct json_object *doc = fk_body (http);
   adapter_t *adapter = adapter_find (jsn_str (doc, "lora_name", ""));
@@ -350,7 +352,7 @@
                  ",\"ends\":%" PRIu64 ",\"turned_away\":%" PRIu64
                  ",\"running\":%u,\"runs\":%s}",
                  loads, evicted_in_use, stale_orders, over_slots, ends,
-                 fk_turned_away, running,
+                 fk_rejected_count, running,
                  run_counts == NULL ? "{}"
                                     : json_object_to_json_string (run_counts));
   fk_reply (http, 200, &body);
@@ -401,7 +403,7 @@
       if (is_streaming)
         hts_stream_end (http, false);
       else
-        fk_cut (http);
+        fk_reply_truncated (http);
     }
   memset (adapters, 0, sizeof adapters);
   incarnation = tmr_now_us ();
@@ -409,7 +411,7 @@
 
 /// The process ends as soon as it has begun this run, and begins again.
 static void
-run_end_engine (void *arg)
+run_crash_engine (void *arg)
 {
   ends++;
   engine_restart ();
@@ -426,7 +428,8 @@
   faults.cut_after = jsn_int (f, "cut_after", faults.cut_after);
   faults.is_hung = jsn_bool (f, "hung", faults.is_hung);
   faults.is_wrong_model = jsn_bool (f, "wrong_model", faults.is_wrong_model);
-  faults.checks_fence = jsn_bool (f, "checks_fence", faults.checks_fence);
+  faults.is_fence_checked
+      = jsn_bool (f, "checks_fence", faults.is_fence_checked);
   snprintf (faults.end_on, sizeof faults.end_on, "%s",
             jsn_str (f, "end_on", faults.end_on));
   if (jsn_bool (f, "restart", false))
--- a/test/fakes/fake_kv.c
+++ b/test/fakes/fake_kv.c
@@ -1,5 +1,6 @@
 /// @file fake_kv.c
-/// Stand-in key-value service: the few etcd v3 JSON calls the product makes.
+/// Stand-in key-value service: the few etcd v3 JSON call_counts the product
+/// makes.
 #include <inttypes.h>
 #include <openssl/evp.h>
 #include <stdio.h>
@@ -16,8 +17,8 @@
 {
   char *key; ///< base64 is not ordered, so keys are kept decoded.
   char *value64;
-  uint64_t mod;
-} item_t;
+  uint64_t mod_revision;
+} kv_item_t;
 
 typedef struct
 {
@@ -31,23 +32,23 @@
 {
   hts_request_t *http;
   tmr_sub_t timer;
-} delayed_t;
+} delayed_call_t;
 
 static struct
 {
   int64_t latency_ms;
   int64_t lose_cas; ///< Answers of the next writes are lost.
-  bool is_down;     ///< Accept and never answer.
+  bool is_down;     ///< Accept and never handle_call.
 } faults;
 
-static item_t *items;
+static kv_item_t *items;
 static uint32_t item_count;
 static uint64_t revision = 1;
 static watch_t watches[KV_MAX_WATCHES];
 static uint64_t reads;
 static uint64_t writes;
 static uint64_t watch_calls;
-static uint64_t too_large;
+static uint64_t oversized_writes;
 
 static char *
 decode (const char *text)
@@ -64,7 +65,7 @@
 }
 
 static void
-append_item (const item_t *item, kb_buf_t *out)
+append_item (const kv_item_t *item, kb_buf_t *out)
 {
   char key64[512];
   EVP_EncodeBlock ((unsigned char *)key64, (const unsigned char *)item->key,
@@ -72,11 +73,11 @@
   kb_buf_printf (out,
                  "{\"key\":\"%s\",\"mod_revision\":\"%" PRIu64
                  "\",\"value\":\"%s\"}",
-                 key64, item->mod, item->value64);
+                 key64, item->mod_revision, item->value64);
 }
 
 static bool
-in_range (const char *key, const char *from, const char *to)
+is_in_range (const char *key, const char *from, const char *to)
 {
   if (to[0] == '\0')
     return strcmp (key, from) == 0;
@@ -84,12 +85,12 @@
 }
 
 static void
-notify (const item_t *item)
+notify (const kv_item_t *item)
 {
   for (int i = 0; i < KV_MAX_WATCHES; i++)
     {
       watch_t *w = &watches[i];
-      if (w->http == NULL || !in_range (item->key, w->from, w->to))
+      if (w->http == NULL || !is_in_range (item->key, w->from, w->to))
         continue;
       kb_buf_t line = { 0 };
       kb_buf_append_str (&line,
@@ -101,7 +102,7 @@
     }
 }
 
-static item_t *
+static kv_item_t *
 item_find (const char *key)
 {
   for (uint32_t i = 0; i < item_count; i++)
@@ -113,18 +114,18 @@
 static void
 item_put (const char *key, const char *value64)
 {
-  item_t *item = item_find (key);
+  kv_item_t *item = item_find (key);
   writes++;
-  too_large += strlen (value64) > (1 << 20) * 4 / 3 + 4;
+  oversized_writes += strlen (value64) > (1 << 20) * 4 / 3 + 4;
   if (item == NULL)
     {
       items = kb_realloc (items, (item_count + 1) * sizeof *items);
       item = &items[item_count++];
-      *item = (item_t){ .key = kb_strdup (key) };
+      *item = (kv_item_t){ .key = kb_strdup (key) };
     }
   free (item->value64);
   item->value64 = kb_strdup (value64);
-  item->mod = ++revision;
+  item->mod_revision = ++revision;
   notify (item);
 }
 
@@ -139,7 +140,7 @@
                  revision);
   bool is_first = true;
   for (uint32_t i = 0; i < item_count; i++)
-    if (in_range (items[i].key, from, to))
+    if (is_in_range (items[i].key, from, to))
       {
         if (!is_first)
           kb_buf_append_str (&body, ",");
@@ -159,7 +160,7 @@
   if (faults.lose_cas > 0)
     {
       faults.lose_cas--;
-      fk_cut (http);
+      fk_reply_truncated (http);
       return;
     }
   fk_reply_text (http, 200,
@@ -176,8 +177,8 @@
   char *key = decode (jsn_str (compare, "key", ""));
   uint64_t expected
       = strtoull (jsn_str (compare, "mod_revision", "0"), NULL, 10);
-  item_t *item = item_find (key);
-  bool is_match = (item == NULL ? 0 : item->mod) == expected;
+  kv_item_t *item = item_find (key);
+  bool is_match = (item == NULL ? 0 : item->mod_revision) == expected;
   if (is_match)
     item_put (key, jsn_str (put, "value", ""));
   else
@@ -212,7 +213,7 @@
 }
 
 static void
-answer (hts_request_t *http)
+handle_call (hts_request_t *http)
 {
   if (fk_path_is (http, "/stats"))
     {
@@ -224,7 +225,8 @@
                      "{\"reads\":%" PRIu64 ",\"writes\":%" PRIu64
                      ",\"watch_calls\":%" PRIu64
                      ",\"open_watches\":%u,\"too_large\":%" PRIu64 "}",
-                     reads, writes, watch_calls, open_watches, too_large);
+                     reads, writes, watch_calls, open_watches,
+                     oversized_writes);
       fk_reply (http, 200, &body);
       kb_buf_finish (&body);
       return;
@@ -244,16 +246,16 @@
 }
 
 static void
-delayed_fire (void *arg)
+delayed_call_fire (void *arg)
 {
-  delayed_t *delayed = arg;
-  hts_request_t *http = delayed->http;
+  delayed_call_t *delayed_call = arg;
+  hts_request_t *http = delayed_call->http;
   if (http != NULL)
     {
       http->owner = NULL;
-      answer (http);
+      handle_call (http);
     }
-  free (delayed);
+  free (delayed_call);
 }
 
 static void
@@ -264,21 +266,21 @@
     return;
   if (faults.latency_ms == 0 || is_control)
     {
-      answer (http);
+      handle_call (http);
       return;
     }
-  delayed_t *delayed = kb_alloc (sizeof *delayed);
-  delayed->http = http;
-  http->owner = delayed;
-  tmr_after (&fk_timers, &delayed->timer, (uint64_t)faults.latency_ms,
-             delayed_fire, delayed);
+  delayed_call_t *delayed_call = kb_alloc (sizeof *delayed_call);
+  delayed_call->http = http;
+  http->owner = delayed_call;
+  tmr_after (&fk_timers, &delayed_call->timer, (uint64_t)faults.latency_ms,
+             delayed_call_fire, delayed_call);
 }
 
 static void
 kv_abort (hts_request_t *http)
 {
   if (http->owner != NULL)
-    ((delayed_t *)http->owner)->http = NULL;
+    ((delayed_call_t *)http->owner)->http = NULL;
   for (int i = 0; i < KV_MAX_WATCHES; i++)
     if (watches[i].http == http)
       {
--- a/test/fakes/fake_plain.c
+++ b/test/fakes/fake_plain.c
@@ -1,6 +1,6 @@
 /// @file fake_plain.c
-/// Stand-ins of a plain service, whose calls are counted by their body, and
-/// of the platform's list, whose content is posted to it.
+/// Stand-ins of a plain service, whose call_counts are counted by their body,
+/// and of the platform's list, whose content is posted to it.
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -9,10 +9,11 @@
 static struct
 {
   int64_t latency_ms;
-  bool is_cut; ///< The effect takes place; the answer is lost.
+  bool
+      is_reply_truncated; ///< The effect takes place; the handle_call is lost.
 } faults;
 
-static struct json_object *calls;
+static struct json_object *call_counts;
 static kb_buf_t list_document;
 
 /// A call that is answered later.
@@ -47,27 +48,27 @@
 static void
 plain_request (hts_request_t *http)
 {
-  if (calls == NULL)
-    calls = json_object_new_object ();
+  if (call_counts == NULL)
+    call_counts = json_object_new_object ();
   if (fk_path_is (http, "/stats"))
     {
       kb_buf_t body = { 0 };
       kb_buf_printf (&body, "{\"turned_away\":%llu,\"runs\":%s}",
-                     (unsigned long long)fk_turned_away,
-                     json_object_to_json_string (calls));
+                     (unsigned long long)fk_rejected_count,
+                     json_object_to_json_string (call_counts));
       fk_reply (http, 200, &body);
       kb_buf_finish (&body);
       return;
     }
-  if (fk_turn_away (http))
+  if (fk_reject_if_paused (http))
     return;
   char *key = kb_slice_dup (http->body);
-  int64_t count = jsn_int (calls, key, 0) + 1;
-  json_object_object_add (calls, key, json_object_new_int64 (count));
+  int64_t count = jsn_int (call_counts, key, 0) + 1;
+  json_object_object_add (call_counts, key, json_object_new_int64 (count));
   free (key);
-  if (faults.is_cut)
+  if (faults.is_reply_truncated)
     {
-      fk_cut (http);
+      fk_reply_truncated (http);
       return;
     }
   if (faults.latency_ms == 0)
@@ -93,7 +94,7 @@
 plain_fault (struct json_object *f)
 {
   faults.latency_ms = jsn_int (f, "latency_ms", faults.latency_ms);
-  faults.is_cut = jsn_bool (f, "cut", faults.is_cut);
+  faults.is_reply_truncated = jsn_bool (f, "cut", faults.is_reply_truncated);
 }
 
 static void
--- a/test/model/gateway.cc
+++ b/test/model/gateway.cc
@@ -10,11 +10,11 @@
 
 enum
 {
-  PAUSE_MS = 700, ///< As platform/directory.c for a bound of 2 s.
+  READ_PAUSE_MS = 700, ///< As platform/directory.c for a bound of 2 s.
   LEAVE_BOUND_MS = 2000,
   REVOKE_BOUND_MS = 5000,
-  LEAVE_ALONE_MS = 5000, ///< As gateway_peers.c.
-  ANY_AGE_MS = 60000,    ///< Whatever is told is fresher.
+  SIDECAR_BACKOFF_MS = 5000, ///< As gateway_peers.c.
+  OVERSTATED_AGE_MS = 60000, ///< Whatever is told is fresher.
 };
 
 static const char kTargets[] = "servers/";
@@ -45,8 +45,9 @@
   return item.key.substr (sizeof kTargets - 1);
 }
 
-Gateway::Gateway (uint32_t seed, Planted planted, size_t at, uint64_t now_ms)
-    : planted_ (planted), at_ (at), random_ (seed)
+Gateway::Gateway (uint32_t seed, PlantedFault planted_fault, size_t index,
+                  uint64_t now_ms)
+    : planted_fault_ (planted_fault), index_ (index), random_ (seed)
 {
   init (now_ms);
 }
@@ -56,11 +57,11 @@
 void
 Gateway::init (uint64_t now_ms)
 {
-  flw_init (&follower_, PAUSE_MS, now_ms);
+  flw_init (&follower_, READ_PAUSE_MS, now_ms);
   ros_init (&roster_, LEAVE_BOUND_MS);
   versions_ = {};
-  for (Read &r : reads_)
-    r = Read ();
+  for (PendingRead &r : reads_)
+    r = PendingRead ();
 }
 
 void
@@ -76,34 +77,34 @@
   finish ();
   config = 0;
   config_revision_ = 0;
-  passed_ms_ = 0;
-  leave_alone_until_ms_ = 0;
+  forwarded_config_ms_ = 0;
+  sidecar_backoff_until_ms_ = 0;
   beliefs_.clear ();
   in_use_.clear ();
   init (now_ms);
 }
 
 void
-Gateway::take_config (uint64_t revision)
+Gateway::apply_config (uint64_t revision)
 {
-  if (planted_ == Planted::OLDER_WORD_IS_TAKEN
+  if (planted_fault_ == PlantedFault::OLDER_CONFIG_IS_APPLIED
       || svc_revision_is_newer (config, revision))
     config = revision;
 }
 
 void
-Gateway::take_passed_config (uint64_t revision, uint64_t now_ms)
+Gateway::apply_forwarded_config (uint64_t revision, uint64_t now_ms)
 {
-  passed_ms_ = now_ms;
-  take_config (revision);
+  forwarded_config_ms_ = now_ms;
+  apply_config (revision);
 }
 
 bool
 Gateway::admits_keys (uint64_t now_ms) const
 {
   uint64_t known_ms = follower_.known_ms;
-  if (planted_ == Planted::PASSED_ON_IS_FRESH)
-    known_ms = std::max (known_ms, passed_ms_);
+  if (planted_fault_ == PlantedFault::FORWARDED_CONFIG_IS_FRESH)
+    known_ms = std::max (known_ms, forwarded_config_ms_);
   acc_request_t request = { 1, kDigest, false };
   acc_freshness_t freshness
       = { known_ms == 0 ? UINT64_MAX : now_ms - known_ms, REVOKE_BOUND_MS };
@@ -112,7 +113,7 @@
 }
 
 void
-Gateway::take_version (uint32_t version)
+Gateway::apply_version (uint32_t version)
 {
   ver_table_update (&versions_, kb_slice_str ("m"), kb_slice_str ("a1"),
                     version);
@@ -128,7 +129,7 @@
 }
 
 std::optional<uint64_t>
-Gateway::born_in_use (const std::string &id) const
+Gateway::used_born_ms (const std::string &id) const
 {
   auto it = in_use_.find (id);
   if (it == in_use_.end () || !it->second)
@@ -137,7 +138,7 @@
 }
 
 uint64_t
-Gateway::state () const
+Gateway::state_hash () const
 {
   uint64_t hash = kb_hash (&config, sizeof config, version ());
   for (const auto &[id, is_used] : in_use_)
@@ -156,10 +157,10 @@
 }
 
 bool
-Gateway::take_target (const Item &item)
+Gateway::apply_target (const Item &item)
 {
   std::string id = id_of (item);
-  if (item.value.is_bad)
+  if (item.value.is_malformed)
     return false;
   inc_t who = {};
   snprintf (who.id, sizeof who.id, "%s", id.c_str ());
@@ -169,7 +170,8 @@
   inc_belief_t &belief = beliefs_[id];
   inc_belief_t before = belief;
   inc_verdict_t verdict = inc_judge (&belief, item.value.born_ms);
-  if (planted_ == Planted::BIRTH_IS_IGNORED && before.born_ms > 0)
+  if (planted_fault_ == PlantedFault::NEW_INCARNATION_IS_IGNORED
+      && before.born_ms > 0)
     belief = before;
   if (verdict != INC_STALE)
     in_use_[id] = true;
@@ -178,21 +180,21 @@
 
 /// @return  Whether the item could be read.
 bool
-Gateway::take_item (const Item &item, uint64_t remove_at_ms, uint64_t now_ms)
+Gateway::apply_item (const Item &item, uint64_t remove_at_ms, uint64_t now_ms)
 {
   if (!is_target (item))
     {
-      if (item.is_gone || item.value.is_bad)
-        return !item.value.is_bad;
+      if (item.is_gone || item.value.is_malformed)
+        return !item.value.is_malformed;
       if (item.value.config > 0)
-        take_config (item.value.config);
+        apply_config (item.value.config);
       if (item.value.version > 0)
-        take_version (item.value.version);
+        apply_version (item.value.version);
       return true;
     }
   if (item.is_gone)
     ros_unlist (&roster_, id_of (item).c_str (), remove_at_ms);
-  else if (!take_target (item))
+  else if (!apply_target (item))
     {
       ros_unlist (&roster_, id_of (item).c_str (), now_ms);
       return false;
@@ -201,7 +203,7 @@
 }
 
 void
-Gateway::sweep (uint64_t now_ms)
+Gateway::remove_expired_targets (uint64_t now_ms)
 {
   char id[INC_ID_BYTES];
   while (ros_pop_expired (&roster_, now_ms, id))
@@ -209,18 +211,18 @@
 }
 
 void
-Gateway::take_items (const std::vector<Item> &items, uint64_t now_ms)
+Gateway::apply_items (const std::vector<Item> &items, uint64_t now_ms)
 {
   uint32_t vanished = 0;
   for (const Item &item : items)
     vanished += is_target (item) && item.is_gone;
-  if (planted_ == Planted::LAPSED_ENTRY_IS_GONE)
+  if (planted_fault_ == PlantedFault::EXPIRED_ENTRY_IS_REMOVED)
     follower_.retain_until_ms = 0;
   uint64_t remove_at_ms = ros_removal_ms (
       &roster_, vanished, flw_retain_until_ms (&follower_), now_ms);
   for (const Item &item : items)
-    if (!take_item (item, remove_at_ms, now_ms)
-        && planted_ == Planted::BATCH_IS_LOST_BY_ONE_BAD_ENTRY)
+    if (!apply_item (item, remove_at_ms, now_ms)
+        && planted_fault_ == PlantedFault::MALFORMED_ENTRY_DROPS_BATCH)
       break;
 }
 
@@ -236,124 +238,130 @@
 }
 
 void
-Gateway::take (flw_reader_id_t which, const Answer &answer, uint64_t now_ms)
+Gateway::apply_answer (flw_reader_id_t reader, const Answer &answer,
+                       uint64_t now_ms)
 {
-  flw_answered (&follower_, which, now_ms, answer.as_of,
+  flw_answered (&follower_, reader, now_ms, answer.as_of,
                 operator_revision (answer.items), (uint32_t)random_ ());
   for (const Item &item : answer.items)
     if (item.key == "op/config")
       config_revision_ = std::max (config_revision_, item.revision);
-  bool is_list = answer.is_range && which == FLW_BATCH;
+  bool is_list = answer.is_range && reader == FLW_BATCH;
   if (is_list)
     ros_range_begin (&roster_);
-  take_items (answer.items, now_ms);
+  apply_items (answer.items, now_ms);
   if (is_list)
     ros_range_end (&roster_, flw_retain_until_ms (&follower_), now_ms);
 }
 
-/// @return  Whether the word was of use.
+/// @return  Whether the reply was of use.
 bool
-Gateway::take_word (const Word &word, uint64_t now_ms)
+Gateway::apply_reply (const SidecarReply &reply, uint64_t now_ms)
 {
-  bool is_known = word.verdict == SHR_CHANGES_KNOWN
-                  && word.config_revision <= config_revision_;
+  bool is_known = reply.status == SHR_CHANGES_KNOWN
+                  && reply.config_revision <= config_revision_;
   uint64_t began_ms
-      = reads_[FLW_BATCH].sent_ms + (uint64_t)word.began_after_ms;
-  if (planted_ == Planted::ARRIVAL_IS_TRUSTED)
+      = reads_[FLW_BATCH].sent_ms + (uint64_t)reply.read_start_offset_ms;
+  if (planted_fault_ == PlantedFault::SIDECAR_REPLY_IS_FRESH)
     began_ms = now_ms;
   if (!is_known)
     flw_shared_failed (&follower_, now_ms);
-  else if (flw_shared_answered (&follower_, now_ms, began_ms, word.as_of,
-                                operator_revision (word.items),
+  else if (flw_shared_answered (&follower_, now_ms, began_ms, reply.as_of,
+                                operator_revision (reply.items),
                                 (uint32_t)random_ ()))
     {
-      take_items (word.items, now_ms);
-      shared++;
+      apply_items (reply.items, now_ms);
+      shared_reads++;
       return true;
     }
   return false;
 }
 
 void
-Gateway::step_shared (Sidecar *peer, uint64_t now_ms)
+Gateway::step_shared_read (Sidecar *peer, uint64_t now_ms)
 {
-  std::deque<Word> &words = peer->words[at_];
-  while (!words.empty () && words.front ().at_ms <= now_ms && !is_apart)
+  std::deque<SidecarReply> &replies = peer->replies[index_];
+  while (!replies.empty () && replies.front ().arrival_ms <= now_ms
+         && !is_sidecar_unreachable)
     {
-      Word word = words.front ();
-      words.pop_front ();
-      Read &r = reads_[FLW_BATCH];
-      if (!r.is_open || !r.read.is_shared || word.id != ask_id_)
+      SidecarReply reply = replies.front ();
+      replies.pop_front ();
+      PendingRead &r = reads_[FLW_BATCH];
+      if (!r.is_open || !r.read.is_shared || reply.id != request_id_)
         continue;
-      bool is_of_use = take_word (word, now_ms);
-      r = Read ();
-      if (!is_of_use && word.verdict != SHR_TOO_OLD)
-        leave_alone_until_ms_ = now_ms + LEAVE_ALONE_MS;
+      bool was_applied = apply_reply (reply, now_ms);
+      r = PendingRead ();
+      if (!was_applied && reply.status != SHR_TOO_OLD)
+        sidecar_backoff_until_ms_ = now_ms + SIDECAR_BACKOFF_MS;
     }
-  Read &r = reads_[FLW_BATCH];
-  bool is_late = r.is_open && r.read.is_shared
-                 && now_ms - r.sent_ms >= r.read.timeout_ms;
-  if (!is_late)
+  PendingRead &r = reads_[FLW_BATCH];
+  bool has_timed_out = r.is_open && r.read.is_shared
+                       && now_ms - r.sent_ms >= r.read.timeout_ms;
+  if (!has_timed_out)
     return;
-  r = Read ();
-  leave_alone_until_ms_ = now_ms + LEAVE_ALONE_MS;
+  r = PendingRead ();
+  sidecar_backoff_until_ms_ = now_ms + SIDECAR_BACKOFF_MS;
   flw_shared_failed (&follower_, now_ms);
 }
 
 void
-Gateway::send_ask (Sidecar *peer, const flw_read_t &read, uint64_t now_ms)
+Gateway::send_shared_request (Sidecar *peer, const flw_read_t &read,
+                              uint64_t now_ms)
 {
-  shr_request_t ask = {};
-  ask.id = ++ask_id_;
-  ask.after = read.after;
-  ask.known_age_ms = planted_ == Planted::ARRIVAL_IS_TRUSTED
-                         ? (uint64_t)ANY_AGE_MS
-                         : read.known_age_ms;
-  ask.pause_ms = read.pause_ms;
-  peer->ask (at_, ask, now_ms + 1);
+  shr_request_t shared_request = {};
+  shared_request.id = ++request_id_;
+  shared_request.after = read.after;
+  shared_request.known_age_ms
+      = planted_fault_ == PlantedFault::SIDECAR_REPLY_IS_FRESH
+            ? (uint64_t)OVERSTATED_AGE_MS
+            : read.known_age_ms;
+  shared_request.pause_ms = read.pause_ms;
+  peer->add_request (index_, shared_request, now_ms + 1);
 }
 
 /// The store takes the read up, unless it never reaches it or the store is
 /// silent; its answer takes its way back.
 void
-Gateway::fetch_answer (Read &r, flw_reader_id_t which, const Store &store,
-                       uint64_t now_ms)
+Gateway::serve_read (PendingRead &r, flw_reader_id_t reader,
+                     const Store &store, uint64_t now_ms)
 {
-  if (store.trouble == Trouble::SILENT || is_cut)
+  if (store.fault == StoreFault::SILENT || is_store_unreachable)
     r.is_lost = true;
-  if (r.is_lost || now_ms - r.sent_ms < delay_ms)
+  if (r.is_lost || now_ms - r.sent_ms < one_way_delay_ms)
     return;
-  bool is_operator_only = which == FLW_DIRECT;
-  bool is_waited_out = now_ms - r.sent_ms >= r.read.wait_ms + delay_ms;
-  if (store.trouble == Trouble::REFUSING)
+  bool is_operator_only = reader == FLW_DIRECT;
+  bool has_wait_ended
+      = now_ms - r.sent_ms >= r.read.wait_ms + one_way_delay_ms;
+  if (store.fault == StoreFault::REFUSING)
     r.answer = Answer{ .kind = Answer::REFUSED };
-  else if (is_waited_out || store.has_answer (is_operator_only, r.read.after))
+  else if (has_wait_ended || store.has_answer (is_operator_only, r.read.after))
     r.answer = store.answer (is_operator_only, r.read.after);
   else
     return;
-  uint64_t slowness = store.trouble == Trouble::SLOW ? 80 : 1;
-  r.answer_ms = now_ms + delay_ms * slowness;
-  r.is_lost = is_deaf;
+  uint64_t slow_factor = store.fault == StoreFault::SLOW ? 80 : 1;
+  r.answer_ms = now_ms + one_way_delay_ms * slow_factor;
+  r.is_lost = are_answers_lost;
 }
 
 void
-Gateway::step_read (flw_reader_id_t which, const Store &store, uint64_t now_ms)
+Gateway::step_read (flw_reader_id_t reader, const Store &store,
+                    uint64_t now_ms)
 {
-  Read &r = reads_[which];
+  PendingRead &r = reads_[reader];
   if (!r.is_open || r.read.is_shared)
     return;
   if (!r.answer)
-    fetch_answer (r, which, store, now_ms);
+    serve_read (r, reader, store, now_ms);
   bool is_answered = r.answer && !r.is_lost && now_ms >= r.answer_ms;
-  bool is_late = now_ms - r.sent_ms >= r.read.timeout_ms;
-  if (!is_answered && !is_late)
+  bool has_timed_out = now_ms - r.sent_ms >= r.read.timeout_ms;
+  if (!is_answered && !has_timed_out)
     return;
-  Read done = r;
-  r = Read ();
+  PendingRead done = r;
+  r = PendingRead ();
   if (is_answered && done.answer->kind == Answer::OK)
-    take (which, *done.answer, now_ms);
+    apply_answer (reader, *done.answer, now_ms);
   else
-    flw_failed (&follower_, which, now_ms,
+    flw_failed (&follower_, reader, now_ms,
                 is_answered && done.answer->kind == Answer::HISTORY_GONE
                     ? FLW_HISTORY_GONE
                     : FLW_NO_ANSWER,
@@ -365,32 +373,33 @@
 {
   if (is_frozen)
     return;
-  step_shared (peer, now_ms);
+  step_shared_read (peer, now_ms);
   for (int i = 0; i < FLW_READERS; i++)
     step_read ((flw_reader_id_t)i, store, now_ms);
-  sweep (now_ms);
+  remove_expired_targets (now_ms);
   for (int i = 0; i < FLW_READERS; i++)
     {
-      flw_reader_id_t which = (flw_reader_id_t)i;
-      if (flw_take_cancellation (&follower_, which))
-        reads_[i] = Read ();
+      flw_reader_id_t reader = (flw_reader_id_t)i;
+      if (flw_take_cancellation (&follower_, reader))
+        reads_[i] = PendingRead ();
       flw_read_t read;
-      bool has_peer = !is_apart && now_ms >= leave_alone_until_ms_;
-      if (!flw_begin (&follower_, which, has_peer, now_ms, &read))
+      bool has_peer
+          = !is_sidecar_unreachable && now_ms >= sidecar_backoff_until_ms_;
+      if (!flw_begin (&follower_, reader, has_peer, now_ms, &read))
         continue;
-      if (planted_ == Planted::SILENT_READ_IS_WAITED_FOR && read.after > 0
-          && !read.is_shared)
+      if (planted_fault_ == PlantedFault::LONG_WAIT_FOR_SILENT_STORE
+          && read.after > 0 && !read.is_shared)
         read.wait_ms = 5000, read.timeout_ms = 6500;
-      reads_[i] = Read ();
+      reads_[i] = PendingRead ();
       reads_[i].is_open = true;
       reads_[i].read = read;
       reads_[i].sent_ms = now_ms;
       if (read.is_shared)
         {
-          send_ask (peer, read, now_ms);
+          send_shared_request (peer, read, now_ms);
           continue;
         }
-      calls++;
+      store_calls++;
     }
 }
 
--- a/test/model/model_test.cc
+++ b/test/model/model_test.cc
@@ -15,24 +15,25 @@
 enum
 {
   SCHEDULES = 3000,
-  /// Planted faults must be found within so many.
+  /// PlantedFault faults must be found within so many.
   PLANTED_SCHEDULES = 1500,
 };
 
 /// @return  The first seed that breaks a promise, or zero.
 uint32_t
-first_broken (Planted planted, uint32_t schedules, std::string *what,
-              std::set<uint64_t> *states)
+first_failing_seed (PlantedFault planted_fault, uint32_t schedules,
+                    std::string *what, std::set<uint64_t> *state_hashes)
 {
   for (uint32_t seed = 1; seed <= schedules; seed++)
     {
-      World world (seed, planted);
-      *what = world.play ();
-      if (states != nullptr)
-        states->insert (world.states.begin (), world.states.end ());
+      World world (seed, planted_fault);
+      *what = world.run ();
+      if (state_hashes != nullptr)
+        state_hashes->insert (world.state_hashes.begin (),
+                              world.state_hashes.end ());
       if (!what->empty ())
         {
-          *what += "\n" + world.story ();
+          *what += "\n" + world.schedule_text ();
           return seed;
         }
     }
@@ -42,29 +43,30 @@
 TEST (Model, PromisesHoldOverAllSchedules)
 {
   std::string what;
-  std::set<uint64_t> states;
+  std::set<uint64_t> state_hashes;
   const char *range = getenv ("KB_MODEL_SCHEDULES");
   uint32_t schedules = SCHEDULES;
   if (range != nullptr)
     schedules = (uint32_t)atoi (range);
   auto begin = std::chrono::steady_clock::now ();
-  uint32_t seed = first_broken (Planted::NONE, schedules, &what, &states);
+  uint32_t seed = first_failing_seed (PlantedFault::NONE, schedules, &what,
+                                      &state_hashes);
   std::chrono::duration<double> took
       = std::chrono::steady_clock::now () - begin;
   EXPECT_EQ (seed, 0u) << "seed " << seed << ": " << what;
   printf ("%u schedules, %zu states seen, %.0f schedules a minute\n",
-          schedules, states.size (), schedules / took.count () * 60);
+          schedules, state_hashes.size (), schedules / took.count () * 60);
 }
 
-/// A planted fault must be found by just the promise that it breaks; others
-/// that it breaks as well do not count.
+/// A planted_fault fault must be found by just the promise that it breaks;
+/// others that it breaks as well do not count.
 void
-expect_found (Planted planted, const std::string &promise)
+expect_fault_found (PlantedFault planted_fault, const std::string &promise)
 {
   for (uint32_t seed = 1; seed <= PLANTED_SCHEDULES; seed++)
     {
-      World world (seed, planted);
-      std::string what = world.play (promise);
+      World world (seed, planted_fault);
+      std::string what = world.run (promise);
       if (what.empty ())
         continue;
       printf ("found by seed %u: %s\n", seed, what.c_str ());
@@ -75,62 +77,66 @@
 
 // A read that a silent store swallowed is waited for to its end: the fault by
 // which confirmed routes were refused for seconds.
-TEST (Model, FindsASilentReadThatIsWaitedFor)
+TEST (Model, FindsALongWaitForASilentStore)
 {
-  expect_found (Planted::SILENT_READ_IS_WAITED_FOR,
-                "a confirmed configuration is not in force");
+  expect_fault_found (PlantedFault::LONG_WAIT_FOR_SILENT_STORE,
+                      "a confirmed configuration is not in force");
 }
 
-TEST (Model, FindsAnOlderWordThatIsTaken)
+TEST (Model, FindsAnOlderConfigurationApplied)
 {
-  expect_found (Planted::OLDER_WORD_IS_TAKEN,
-                "an older configuration is in force again");
+  expect_fault_found (PlantedFault::OLDER_CONFIG_IS_APPLIED,
+                      "an older configuration is in force again");
 }
 
-TEST (Model, FindsABirthThatIsIgnored)
+TEST (Model, FindsANewIncarnationIgnored)
 {
-  expect_found (Planted::BIRTH_IS_IGNORED, "an earlier incarnation");
+  expect_fault_found (PlantedFault::NEW_INCARNATION_IS_IGNORED,
+                      "an earlier incarnation");
 }
 
-TEST (Model, FindsABatchLostByOneBadEntry)
+TEST (Model, FindsABatchDroppedByOneMalformedEntry)
 {
-  expect_found (Planted::BATCH_IS_LOST_BY_ONE_BAD_ENTRY, "is not used");
+  expect_fault_found (PlantedFault::MALFORMED_ENTRY_DROPS_BATCH,
+                      "is not used");
 }
 
-// A gateway takes a word of the sidecar for fresh because it has just arrived,
-// and does not say how old its knowledge is. The sidecar tells it again what
-// it read seconds ago, and a target that is gone is used on.
-TEST (Model, FindsAWordWhoseArrivalIsTrusted)
+// A gateway takes a reply of the sidecar for fresh because it has just
+// arrived, and does not say how old its knowledge is. The sidecar tells it
+// again what it read seconds ago, and a target that is gone is used on.
+TEST (Model, FindsASidecarReplyCountedAsFresh)
 {
-  expect_found (Planted::ARRIVAL_IS_TRUSTED, "is gone and still used");
+  expect_fault_found (PlantedFault::SIDECAR_REPLY_IS_FRESH,
+                      "is gone and still used");
 }
 
-// The schedules above are about words of the sidecar as much as about the
+// The schedules above are about replies of the sidecar as much as about the
 // store's own: most of what gateways learn comes through it.
 TEST (Model, GatewaysLearnFromTheSidecar)
 {
-  uint64_t shared = 0;
+  uint64_t shared_reads = 0;
   for (uint32_t seed = 1; seed <= 20; seed++)
     {
-      World world (seed, Planted::NONE);
-      EXPECT_EQ (world.play (), "");
-      shared += world.shared ();
+      World world (seed, PlantedFault::NONE);
+      EXPECT_EQ (world.run (), "");
+      shared_reads += world.shared_reads ();
     }
-  EXPECT_GT (shared, 20u * 10);
+  EXPECT_GT (shared_reads, 20u * 10);
 }
 
 // A gateway that the store does not answer hears from a sidecar which
 // configuration is in force, takes that for a read of the store, and goes on
 // with keys that a later one has taken away.
-TEST (Model, FindsAPassedOnConfigurationTakenForFresh)
+TEST (Model, FindsAForwardedConfigurationCountedAsFresh)
 {
-  expect_found (Planted::PASSED_ON_IS_FRESH,
-                "a key that was taken away is let in");
+  expect_fault_found (PlantedFault::FORWARDED_CONFIG_IS_FRESH,
+                      "a key that was taken away is let in");
 }
 
-TEST (Model, FindsLapsedEntriesTakenForGone)
+TEST (Model, FindsExpiredEntriesRemovedEarly)
 {
-  expect_found (Planted::LAPSED_ENTRY_IS_GONE, "lapsed with the store");
+  expect_fault_found (PlantedFault::EXPIRED_ENTRY_IS_REMOVED,
+                      "lapsed with the store");
 }
 
 } // namespace
--- a/test/model/sidecar.cc
+++ b/test/model/sidecar.cc
@@ -8,8 +8,8 @@
   /// As platform/reader.c.
   WAIT_MS = 1,
   TIMEOUT_MS = 600,
-  DELAY_MS = 4,
-  SLOWNESS = 80,
+  ONE_WAY_DELAY_MS = 4,
+  SLOW_FACTOR = 80,
 };
 
 static const char kConfigKey[] = "op/config";
@@ -24,28 +24,29 @@
   shr_cache_finish (&cache_);
   shr_cache_init (&cache_);
   items_.clear ();
-  asks_.clear ();
+  requests_.clear ();
   is_open_ = false;
 }
 
 void
-Sidecar::ask (size_t gateway, const shr_request_t &ask, uint64_t at_ms)
+Sidecar::add_request (size_t gateway, const shr_request_t &shared_request,
+                      uint64_t arrival_ms)
 {
-  shr_request_t sent = ask;
+  shr_request_t sent = shared_request;
   snprintf (sent.gateway, sizeof sent.gateway, "%zu", gateway);
-  asks_.emplace_back (at_ms, sent);
+  requests_.emplace_back (arrival_ms, sent);
 }
 
 /// What an item means.
 static uint64_t
 digest_of (const Value &value)
 {
-  uint64_t parts[3] = { value.born_ms, value.version, value.is_bad };
+  uint64_t parts[3] = { value.born_ms, value.version, value.is_malformed };
   return kb_hash (parts, sizeof parts, 0);
 }
 
 void
-Sidecar::take (const Answer &answer)
+Sidecar::apply_answer (const Answer &answer)
 {
   std::vector<shr_change_t> changes;
   uint64_t config_revision = 0;
@@ -72,51 +73,55 @@
 void
 Sidecar::step_read (const Store &store, uint64_t now_ms)
 {
-  bool is_deaf = store.trouble == Trouble::SILENT || is_cut;
-  is_lost_ = is_lost_ || is_deaf;
-  bool has_reached = now_ms - sent_ms_ >= DELAY_MS;
-  if (!answer_ && !is_lost_ && has_reached)
+  bool is_unanswered
+      = store.fault == StoreFault::SILENT || is_store_unreachable;
+  is_lost_ = is_lost_ || is_unanswered;
+  bool has_reached_store = now_ms - sent_ms_ >= ONE_WAY_DELAY_MS;
+  if (!answer_ && !is_lost_ && has_reached_store)
     {
-      bool is_waited_out = now_ms - sent_ms_ >= WAIT_MS + DELAY_MS;
-      if (store.trouble == Trouble::REFUSING)
+      bool has_wait_ended = now_ms - sent_ms_ >= WAIT_MS + ONE_WAY_DELAY_MS;
+      if (store.fault == StoreFault::REFUSING)
         answer_ = Answer{ .kind = Answer::REFUSED };
-      else if (is_waited_out || store.has_answer (false, after_))
-        answer_ = store.answer (false, after_);
-      answer_ms_
-          = now_ms
-            + DELAY_MS * (store.trouble == Trouble::SLOW ? SLOWNESS : 1);
+      else if (has_wait_ended || store.has_answer (false, after_revision_))
+        answer_ = store.answer (false, after_revision_);
+      answer_ms_ = now_ms
+                   + ONE_WAY_DELAY_MS
+                         * (store.fault == StoreFault::SLOW ? SLOW_FACTOR : 1);
     }
   bool is_answered = answer_ && !is_lost_ && now_ms >= answer_ms_;
   if (!is_answered && now_ms - sent_ms_ < TIMEOUT_MS)
     return;
   is_open_ = false;
   if (is_answered && answer_->kind == Answer::OK)
-    take (*answer_);
+    apply_answer (*answer_);
   else
     shr_read_failed (&cache_,
                      is_answered && answer_->kind == Answer::HISTORY_GONE);
 }
 
 void
-Sidecar::tell (const shr_request_t &ask, shr_status_t verdict, uint64_t now_ms)
+Sidecar::send_reply (const shr_request_t &shared_request, shr_status_t status,
+                     uint64_t now_ms)
 {
-  Word word;
-  word.id = ask.id;
-  word.at_ms = now_ms + 1;
-  word.verdict = verdict;
-  word.as_of = cache_.as_of;
-  word.began_after_ms
-      = (int64_t)cache_.read_began_ms - (int64_t)ask.arrived_ms;
-  word.config_revision = cache_.config_revision;
-  uint32_t at = 0;
-  for (const shr_item_t *i = shr_next_change (&cache_, ask.after, &at);
-       i != nullptr; i = shr_next_change (&cache_, ask.after, &at))
+  SidecarReply reply;
+  reply.id = shared_request.id;
+  reply.arrival_ms = now_ms + 1;
+  reply.status = status;
+  reply.as_of = cache_.as_of;
+  reply.read_start_offset_ms
+      = (int64_t)cache_.read_began_ms - (int64_t)shared_request.arrived_ms;
+  reply.config_revision = cache_.config_revision;
+  uint32_t cursor = 0;
+  for (const shr_item_t *i
+       = shr_next_change (&cache_, shared_request.after, &cursor);
+       i != nullptr;
+       i = shr_next_change (&cache_, shared_request.after, &cursor))
     {
       Item item = items_.at (i->key);
       item.revision = i->revision;
-      word.items.push_back (item);
+      reply.items.push_back (item);
     }
-  words[atoi (ask.gateway)].push_back (word);
+  replies[atoi (shared_request.gateway)].push_back (reply);
 }
 
 void
@@ -124,26 +129,26 @@
 {
   if (is_frozen)
     return;
-  while (!asks_.empty () && asks_.front ().first <= now_ms)
+  while (!requests_.empty () && requests_.front ().first <= now_ms)
     {
-      shr_request_t ask = asks_.front ().second;
-      ask.arrived_ms = now_ms;
-      asks_.pop_front ();
-      shr_request_add (&cache_, &ask);
+      shr_request_t shared_request = requests_.front ().second;
+      shared_request.arrived_ms = now_ms;
+      requests_.pop_front ();
+      shr_request_add (&cache_, &shared_request);
     }
   if (is_open_)
     step_read (store, now_ms);
-  shr_request_t ask;
-  shr_status_t verdict;
-  while (shr_request_pop (&cache_, now_ms, &ask, &verdict))
-    tell (ask, verdict, now_ms);
-  if (!shr_read_begin (&cache_, now_ms, &after_))
+  shr_request_t shared_request;
+  shr_status_t status;
+  while (shr_request_pop (&cache_, now_ms, &shared_request, &status))
+    send_reply (shared_request, status, now_ms);
+  if (!shr_read_begin (&cache_, now_ms, &after_revision_))
     return;
   is_open_ = true;
   is_lost_ = false;
   answer_.reset ();
   sent_ms_ = now_ms;
-  calls++;
+  store_calls++;
 }
 
 } // namespace model
--- a/test/model/sidecar.h
+++ b/test/model/sidecar.h
@@ -20,13 +20,14 @@
 {
 
 /// What a sidecar tells one gateway.
-struct Word
+struct SidecarReply
 {
   uint64_t id = 0;
-  uint64_t at_ms = 0; ///< When it arrives.
-  shr_status_t verdict = SHR_READ_FAILED;
+  uint64_t arrival_ms = 0; ///< When it arrives.
+  shr_status_t status = SHR_READ_FAILED;
   uint64_t as_of = 0;
-  int64_t began_after_ms = 0; ///< From the question's arrival to the read.
+  int64_t read_start_offset_ms
+      = 0; ///< From the question's arrival to the read.
   uint64_t config_revision = 0;
   std::vector<Item> items;
 };
@@ -41,25 +42,28 @@
   /// Start again: everything that was learnt is gone.
   void restart ();
   /// A question on its way.
-  void ask (size_t gateway, const shr_request_t &ask, uint64_t at_ms);
+  void add_request (size_t gateway, const shr_request_t &shared_request,
+                    uint64_t arrival_ms);
   void step (const Store &store, uint64_t now_ms);
   /// Words on their way to each gateway.
-  std::deque<Word> words[2];
+  std::deque<SidecarReply> replies[2];
 
   bool is_frozen = false;
-  bool is_cut = false; ///< Its calls to the store get no answer.
-  uint64_t calls = 0;
+  bool is_store_unreachable
+      = false; ///< Its store_calls to the store get no answer.
+  uint64_t store_calls = 0;
 
 private:
   void step_read (const Store &store, uint64_t now_ms);
-  void take (const Answer &answer);
-  void tell (const shr_request_t &ask, shr_status_t verdict, uint64_t now_ms);
+  void apply_answer (const Answer &answer);
+  void send_reply (const shr_request_t &shared_request, shr_status_t status,
+                   uint64_t now_ms);
   shr_cache_t cache_;
   std::map<std::string, Item> items_; ///< Values behind the cache's keys.
-  std::deque<std::pair<uint64_t, shr_request_t>> asks_;
+  std::deque<std::pair<uint64_t, shr_request_t>> requests_;
   bool is_open_ = false;
   bool is_lost_ = false;
-  uint64_t after_ = 0;
+  uint64_t after_revision_ = 0;
   uint64_t sent_ms_ = 0;
   std::optional<Answer> answer_;
   uint64_t answer_ms_ = 0;
--- a/test/model/store.cc
+++ b/test/model/store.cc
@@ -45,7 +45,7 @@
 }
 
 bool
-Store::holds (const std::string &key) const
+Store::contains (const std::string &key) const
 {
   return find (key) != nullptr;
 }
@@ -53,7 +53,7 @@
 void
 Store::compact ()
 {
-  compacted_ = revision;
+  compacted_revision_ = revision;
   history_.clear ();
 }
 
@@ -68,9 +68,9 @@
 {
   if (after == 0)
     return true;
-  if (is_quiet)
+  if (are_watches_silent)
     return false;
-  if (after < compacted_)
+  if (after < compacted_revision_)
     return true;
   for (auto it = history_.rbegin ();
        it != history_.rend () && it->revision > after; ++it)
@@ -85,7 +85,7 @@
   Answer out;
   out.as_of = revision;
   out.is_range = after == 0;
-  if (after > 0 && after < compacted_)
+  if (after > 0 && after < compacted_revision_)
     {
       out.kind = Answer::HISTORY_GONE;
       return out;
--- a/test/model/store.h
+++ b/test/model/store.h
@@ -14,10 +14,10 @@
 /// What stands under a key; which members apply follows from the key.
 struct Value
 {
-  uint64_t config = 0;  ///< Revision of a configuration document.
-  uint64_t born_ms = 0; ///< Of a target.
-  uint32_t version = 0; ///< Of an adapter.
-  bool is_bad = false;  ///< Another writer's: it can not be read.
+  uint64_t config = 0;       ///< Revision of a configuration document.
+  uint64_t born_ms = 0;      ///< Of a target.
+  uint32_t version = 0;      ///< Of an adapter.
+  bool is_malformed = false; ///< Another writer's: it can not be read.
 };
 
 struct Item
@@ -28,10 +28,10 @@
   bool is_gone = false;
 };
 
-enum class Trouble
+enum class StoreFault
 {
   NONE,
-  SILENT, ///< Takes calls and never answers them, nor those that wait.
+  SILENT, ///< Takes store_calls and never answers them, nor those that wait.
   REFUSING,
   SLOW,
 };
@@ -55,7 +55,7 @@
 public:
   void put (const std::string &key, const Value &value);
   void remove (const std::string &key);
-  bool holds (const std::string &key) const;
+  bool contains (const std::string &key) const;
   const Item *find (const std::string &key) const;
   /// Forget all changes so far.
   void compact ();
@@ -63,15 +63,15 @@
   bool has_answer (bool is_operator_only, uint64_t after) const;
   Answer answer (bool is_operator_only, uint64_t after) const;
   uint64_t revision = 1;
-  Trouble trouble = Trouble::NONE;
-  bool is_quiet
+  StoreFault fault = StoreFault::NONE;
+  bool are_watches_silent
       = false; ///< Watches hear nothing; a forgotten history follows.
 
 private:
   static bool is_visible (const Item &item, bool is_operator_only);
   std::vector<Item> items_;
   std::vector<Item> history_;
-  uint64_t compacted_ = 0;
+  uint64_t compacted_revision_ = 0;
 };
 
 } // namespace model
--- a/test/model/world.cc
+++ b/test/model/world.cc
@@ -6,54 +6,54 @@
 enum
 {
   STEP_MS = 10,
-  END_MS = 30000,
+  SCHEDULE_MS = 30000,
   GATEWAYS = 2,
   TARGETS = 4,
   HEARTBEAT_MS = 1200,
   LEASE_MS = 3600,
-  CONTACT_MS = 3000,
-  APPLY_MS = 2000,
-  VERSION_MS = 5000,
-  LEAVE_MS = 2000,
-  REVOKE_MS = 5000,
+  MAX_RECOVERY_MS = 3000,
+  MAX_CONFIG_DELAY_MS = 2000,
+  MAX_VERSION_DELAY_MS = 5000,
+  MAX_REMOVAL_DELAY_MS = 2000,
+  MAX_REVOKE_DELAY_MS = 5000,
   /// A listed target is in use after a pause of the batches, an answer, and
   /// what a return shows of it.
-  USE_MS = 1500,
+  MAX_USE_DELAY_MS = 1500,
   /// One whose clock was stepped back must insist.
-  USE_BACK_DATED_MS = 5000,
+  MAX_USE_DELAY_BACKDATED_MS = 5000,
   /// Targets whose entries lapsed are kept at least this long.
-  KEEP_MS = 1000,
-  /// A shorter trouble of the store may fall between two reads, and nobody
+  MIN_RETAIN_MS = 1000,
+  /// A shorter fault of the store may fall between two reads, and nobody
   /// sees it: what lapses in it is gone until its next heartbeat.
-  SEEN_MS = 1000,
-  WALL_MS = 1000000,
-  PASS_MS = 400,
+  MIN_NOTICED_OUTAGE_MS = 1000,
+  WALL_CLOCK_START_MS = 1000000,
+  FORWARD_PERIOD_MS = 400,
 };
 
 /// What may happen.
-enum Kind
+enum EventKind
 {
   STORE_SILENT,
   STORE_REFUSES,
   STORE_SLOW,
-  STORE_FORGETS,
+  STORE_COMPACTS,
   GATEWAY_FROZEN,
-  GATEWAY_CUT,
-  GATEWAY_DEAF,
+  GATEWAY_LOSES_REQUESTS,
+  GATEWAY_LOSES_ANSWERS,
   GATEWAY_RESTARTS,
   CONFIG_CHANGES,
-  CONFIG_STORM,
-  CONFIG_IS_BAD,
+  CONFIG_BURST,
+  CONFIG_MALFORMED,
   VERSION_CHANGES,
-  TARGET_REBORN,
+  TARGET_RESTARTS,
   TARGET_DIES,
   TARGET_LEAVES,
   TARGET_WRITES_LATE,
   TARGET_CLOCK_STEPS,
-  ENTRY_IS_BAD,
-  STRANGER_WRITES,
-  WORD_COMES_LATE,
-  GATEWAY_APART,
+  ENTRY_MALFORMED,
+  UNKNOWN_ENTRY_WRITTEN,
+  CONFIG_FORWARDED_LATE,
+  GATEWAY_LOSES_SIDECAR,
   SIDECAR_FROZEN,
   SIDECAR_CUT,
   SIDECAR_RESTARTS,
@@ -63,23 +63,23 @@
 static const char kConfigKey[] = "op/config";
 static const char kVersionKey[] = "op/version/m.a1";
 
-World::World (uint32_t seed, Planted planted) : random_ (seed)
+World::World (uint32_t seed, PlantedFault planted_fault) : random_ (seed)
 {
   for (int i = 0; i < GATEWAYS; i++)
     {
       gateways_.emplace_back ();
       gateways_.back ().gateway
-          = std::make_unique<Gateway> (random_ (), planted, i, 0);
+          = std::make_unique<Gateway> (random_ (), planted_fault, i, 0);
     }
   for (int i = 0; i < TARGETS; i++)
     {
       Target target;
       target.id = "i-" + std::to_string (i);
-      target.born_ms = WALL_MS + draw_number (1, 900);
-      target.next_beat_ms = draw_number (0, HEARTBEAT_MS);
+      target.born_ms = WALL_CLOCK_START_MS + draw_number (1, 900);
+      target.next_heartbeat_ms = draw_number (0, HEARTBEAT_MS);
       targets_.push_back (target);
     }
-  draw ();
+  draw_schedule ();
 }
 
 uint64_t
@@ -89,21 +89,21 @@
 }
 
 bool
-World::is_well () const
+World::is_store_serving () const
 {
-  return store_.trouble == Trouble::NONE || store_.trouble == Trouble::SLOW;
+  return store_.fault == StoreFault::NONE || store_.fault == StoreFault::SLOW;
 }
 
 /// Troubles meet: half of the events come within a second of another one.
 void
-World::draw ()
+World::draw_schedule ()
 {
   events_.push_back ({ 0, CONFIG_CHANGES, 0, 0 });
   uint64_t count = draw_number (4, 24);
   uint64_t at_ms = 0;
   for (uint64_t i = 0; i < count; i++)
     {
-      at_ms = draw_number (0, 1) == 0 ? draw_number (500, END_MS - 7000)
+      at_ms = draw_number (0, 1) == 0 ? draw_number (500, SCHEDULE_MS - 7000)
                                       : at_ms + draw_number (0, 1000);
       events_.push_back ({ at_ms, (int)draw_number (0, KINDS - 1),
                            draw_number (100, 7000), (size_t)random_ () });
@@ -111,7 +111,7 @@
 }
 
 void
-World::operator_writes (bool is_version)
+World::write_operator_change (bool is_version)
 {
   Value value;
   if (is_version)
@@ -124,85 +124,87 @@
   config_ += draw_number (1, 4);
   value.config = config_;
   store_.put (kConfigKey, value);
-  config_acks_.push_back ({ now_ms_, config_, quiet_total_ms_ });
+  config_acks_.push_back ({ now_ms_, config_, watches_silent_total_ms_ });
 }
 
 void
-World::begin_trouble (const Event &event)
+World::begin_store_fault (const Event &event)
 {
-  if (is_well ())
+  if (is_store_serving ())
     {
-      trouble_from_ms_ = now_ms_;
+      fault_from_ms_ = now_ms_;
       // When it is away again before an entry is seen back, what was seen of
-      // its removal holds.
-      is_alone_ = store_disturbed_ms_ == 0
-                  || now_ms_ - store_disturbed_ms_ >= CONTACT_MS;
+      // its removal contains.
+      was_calm_before_fault_
+          = store_disturbed_ms_ == 0
+            || now_ms_ - store_disturbed_ms_ >= MAX_RECOVERY_MS;
       for (Target &target : targets_)
-        target.has_lapsed = target.has_lapsed && is_alone_;
+        target.has_expired_in_outage
+            = target.has_expired_in_outage && was_calm_before_fault_;
     }
-  store_.trouble = event.kind == STORE_SILENT    ? Trouble::SILENT
-                   : event.kind == STORE_REFUSES ? Trouble::REFUSING
-                                                 : Trouble::SLOW;
-  trouble_until_ms_ = now_ms_ + event.for_ms;
-  leases_lapse_ = event.kind != STORE_SLOW && event.which % 2 == 0;
+  store_.fault = event.kind == STORE_SILENT    ? StoreFault::SILENT
+                 : event.kind == STORE_REFUSES ? StoreFault::REFUSING
+                                               : StoreFault::SLOW;
+  fault_until_ms_ = now_ms_ + event.duration_ms;
+  do_leases_expire_early_ = event.kind != STORE_SLOW && event.subject % 2 == 0;
 }
 
 void
-World::begin (const Event &event)
+World::begin_event (const Event &event)
 {
-  Observed &o = gateways_[event.which % GATEWAYS];
-  Target &target = targets_[event.which % TARGETS];
-  uint64_t end_ms = now_ms_ + event.for_ms;
-  Value bad;
-  bad.is_bad = true;
+  ObservedGateway &o = gateways_[event.subject % GATEWAYS];
+  Target &target = targets_[event.subject % TARGETS];
+  uint64_t end_ms = now_ms_ + event.duration_ms;
+  Value malformed;
+  malformed.is_malformed = true;
   switch (event.kind)
     {
     case STORE_SILENT:
     case STORE_REFUSES:
     case STORE_SLOW:
-      begin_trouble (event);
+      begin_store_fault (event);
       break;
-    case STORE_FORGETS:
-      quiet_until_ms_ = now_ms_ + 1000;
+    case STORE_COMPACTS:
+      watches_silent_until_ms_ = now_ms_ + 1000;
       break;
     case GATEWAY_FROZEN:
-    case GATEWAY_CUT:
-    case GATEWAY_DEAF:
-      o.until_ms[event.kind - GATEWAY_FROZEN] = end_ms;
+    case GATEWAY_LOSES_REQUESTS:
+    case GATEWAY_LOSES_ANSWERS:
+      o.fault_end_ms[event.kind - GATEWAY_FROZEN] = end_ms;
       break;
     case GATEWAY_RESTARTS:
       o.gateway->restart (now_ms_);
-      o.seen_config = 0;
-      o.seen_version = 0;
-      o.disturbed_ms = now_ms_;
+      o.last_config = 0;
+      o.last_version = 0;
+      o.last_disturbed_ms = now_ms_;
       break;
     case CONFIG_CHANGES:
-      writes_due_++;
+      pending_config_writes_++;
       break;
-    case CONFIG_STORM:
-      writes_due_ += 6;
+    case CONFIG_BURST:
+      pending_config_writes_ += 6;
       break;
-    case CONFIG_IS_BAD:
-      bad.config = config_ + 1000000;
-      if (!is_well ())
+    case CONFIG_MALFORMED:
+      malformed.config = config_ + 1000000;
+      if (!is_store_serving ())
         break;
-      store_.put (kConfigKey, bad);
+      store_.put (kConfigKey, malformed);
       // Who has not learnt the good one yet can not any more.
       config_acks_.clear ();
       break;
     case VERSION_CHANGES:
-      if (is_well ())
-        operator_writes (true);
+      if (is_store_serving ())
+        write_operator_change (true);
       break;
-    case TARGET_REBORN:
+    case TARGET_RESTARTS:
       {
-        target.born_ms
-            = (uint64_t)((int64_t)(WALL_MS + now_ms_) + target.clock_ms);
+        target.born_ms = (uint64_t)((int64_t)(WALL_CLOCK_START_MS + now_ms_)
+                                    + target.clock_offset_ms);
         target.is_alive = !target.has_left;
-        target.has_lapsed = false;
-        target.is_back_dated = target.born_ms < target.latest_ms;
-        target.next_beat_ms = now_ms_ + draw_number (0, 1500);
-        target.steady_ms = UINT64_MAX;
+        target.has_expired_in_outage = false;
+        target.is_backdated = target.born_ms < target.latest_born_ms;
+        target.next_heartbeat_ms = now_ms_ + draw_number (0, 1500);
+        target.valid_since_ms = UINT64_MAX;
         break;
       }
     case TARGET_DIES:
@@ -211,38 +213,38 @@
     case TARGET_LEAVES:
       target.is_alive = false;
       target.has_left = true;
-      if (is_well ())
-        target.heard_ms = 0;
+      if (is_store_serving ())
+        target.last_heartbeat_ms = 0;
       break;
     case TARGET_WRITES_LATE:
       {
         Value value;
         value.born_ms = target.born_ms;
-        late_writes_.emplace_back (
-            now_ms_ + event.for_ms,
+        delayed_writes_.emplace_back (
+            now_ms_ + event.duration_ms,
             Item{ "servers/" + target.id, value, 0, false });
         break;
       }
     case TARGET_CLOCK_STEPS:
-      target.clock_ms += event.which % 2 == 0 ? -3000 : 3000;
+      target.clock_offset_ms += event.subject % 2 == 0 ? -3000 : 3000;
       break;
-    case ENTRY_IS_BAD:
-      if (is_well () && target.is_alive)
+    case ENTRY_MALFORMED:
+      if (is_store_serving () && target.is_alive)
         {
-          store_.put ("servers/" + target.id, bad);
-          target.steady_ms = UINT64_MAX;
+          store_.put ("servers/" + target.id, malformed);
+          target.valid_since_ms = UINT64_MAX;
         }
       break;
-    case STRANGER_WRITES:
-      if (is_well ())
-        store_.put ("servers/a-stranger", bad);
+    case UNKNOWN_ENTRY_WRITTEN:
+      if (is_store_serving ())
+        store_.put ("servers/a-stranger", malformed);
       break;
-    case WORD_COMES_LATE:
-      stale_config_
+    case CONFIG_FORWARDED_LATE:
+      late_config_
           = config_acks_.empty () ? 0 : config_acks_.front ().revision;
       break;
-    case GATEWAY_APART:
-      o.until_ms[3] = end_ms;
+    case GATEWAY_LOSES_SIDECAR:
+      o.fault_end_ms[3] = end_ms;
       break;
     case SIDECAR_FROZEN:
       sidecar_frozen_ms_ = end_ms;
@@ -261,53 +263,55 @@
 void
 World::step_store ()
 {
-  if (store_.trouble != Trouble::NONE && now_ms_ >= trouble_until_ms_)
+  if (store_.fault != StoreFault::NONE && now_ms_ >= fault_until_ms_)
     {
-      store_.trouble = Trouble::NONE;
-      store_back_ms_ = now_ms_;
+      store_.fault = StoreFault::NONE;
+      store_recovered_ms_ = now_ms_;
     }
-  bool was_quiet = store_.is_quiet;
-  store_.is_quiet = now_ms_ < quiet_until_ms_;
-  if (was_quiet && !store_.is_quiet)
+  bool were_watches_silent = store_.are_watches_silent;
+  store_.are_watches_silent = now_ms_ < watches_silent_until_ms_;
+  if (were_watches_silent && !store_.are_watches_silent)
     store_.compact ();
-  if (store_.trouble != Trouble::NONE || store_.is_quiet || was_quiet)
+  if (store_.fault != StoreFault::NONE || store_.are_watches_silent
+      || were_watches_silent)
     store_disturbed_ms_ = now_ms_;
-  if (store_.trouble != Trouble::NONE)
-    store_away_ms_ = now_ms_;
-  if (store_.is_quiet)
-    quiet_total_ms_ += STEP_MS;
-  for (; writes_due_ > 0 && is_well (); writes_due_--)
-    operator_writes (false);
-  for (auto &[at_ms, item] : late_writes_)
-    if (at_ms <= now_ms_ && is_well () && store_.holds (item.key))
+  if (store_.fault != StoreFault::NONE)
+    store_unavailable_ms_ = now_ms_;
+  if (store_.are_watches_silent)
+    watches_silent_total_ms_ += STEP_MS;
+  for (; pending_config_writes_ > 0 && is_store_serving ();
+       pending_config_writes_--)
+    write_operator_change (false);
+  for (auto &[at_ms, item] : delayed_writes_)
+    if (at_ms <= now_ms_ && is_store_serving () && store_.contains (item.key))
       {
         store_.put (item.key, item.value);
         at_ms = UINT64_MAX;
         for (Target &target : targets_)
           if (item.key == "servers/" + target.id
               && item.value.born_ms != target.born_ms)
-            target.steady_ms = UINT64_MAX;
+            target.valid_since_ms = UINT64_MAX;
       }
 }
 
 void
-World::beat (Target &target)
+World::write_heartbeat (Target &target)
 {
-  target.next_beat_ms = now_ms_ + HEARTBEAT_MS;
-  if (!is_well ())
+  target.next_heartbeat_ms = now_ms_ + HEARTBEAT_MS;
+  if (!is_store_serving ())
     {
-      target.next_beat_ms = now_ms_ + 200;
+      target.next_heartbeat_ms = now_ms_ + 200;
       return;
     }
   Value value;
   value.born_ms = target.born_ms;
   store_.put ("servers/" + target.id, value);
-  target.latest_ms = std::max (target.latest_ms, target.born_ms);
-  target.heard_ms = now_ms_;
-  target.absent_ms = 0;
-  target.has_lapsed = false;
-  if (target.steady_ms == 0 || target.steady_ms == UINT64_MAX)
-    target.steady_ms = now_ms_;
+  target.latest_born_ms = std::max (target.latest_born_ms, target.born_ms);
+  target.last_heartbeat_ms = now_ms_;
+  target.removed_ms = 0;
+  target.has_expired_in_outage = false;
+  if (target.valid_since_ms == 0 || target.valid_since_ms == UINT64_MAX)
+    target.valid_since_ms = now_ms_;
 }
 
 void
@@ -315,63 +319,70 @@
 {
   for (Target &target : targets_)
     {
-      if (target.is_alive && now_ms_ >= target.next_beat_ms)
-        beat (target);
-      bool does_lapse = leases_lapse_ && !is_well ();
-      uint64_t lease_ms = does_lapse ? LEASE_MS / 4 : LEASE_MS;
-      bool may_end = is_well () || does_lapse;
-      bool has_ended
-          = target.heard_ms == 0 || now_ms_ - target.heard_ms > lease_ms;
-      if (may_end && has_ended && store_.holds ("servers/" + target.id))
+      if (target.is_alive && now_ms_ >= target.next_heartbeat_ms)
+        write_heartbeat (target);
+      bool do_leases_expire_early
+          = do_leases_expire_early_ && !is_store_serving ();
+      uint64_t lease_ms = do_leases_expire_early ? LEASE_MS / 4 : LEASE_MS;
+      bool can_expire = is_store_serving () || do_leases_expire_early;
+      bool has_expired = target.last_heartbeat_ms == 0
+                         || now_ms_ - target.last_heartbeat_ms > lease_ms;
+      if (can_expire && has_expired
+          && store_.contains ("servers/" + target.id))
         {
           store_.remove ("servers/" + target.id);
-          target.absent_ms = now_ms_;
-          target.went_stable = now_ms_ - store_disturbed_ms_ >= CONTACT_MS;
-          target.has_lapsed = does_lapse && target.is_alive
-                              && target.steady_ms != UINT64_MAX && is_alone_;
-          target.steady_ms = 0;
+          target.removed_ms = now_ms_;
+          target.was_removed_undisturbed
+              = now_ms_ - store_disturbed_ms_ >= MAX_RECOVERY_MS;
+          target.has_expired_in_outage = do_leases_expire_early
+                                         && target.is_alive
+                                         && target.valid_since_ms != UINT64_MAX
+                                         && was_calm_before_fault_;
+          target.valid_since_ms = 0;
         }
     }
 }
 
 /// The sidecar hears of what gateways have, and passes it on to the others; a
-/// word may come late.
+/// reply may come config_violation.
 void
-World::pass_on ()
+World::forward_state ()
 {
-  if (now_ms_ % PASS_MS != 0)
+  if (now_ms_ % FORWARD_PERIOD_MS != 0)
     return;
-  for (Observed &o : gateways_)
+  for (ObservedGateway &o : gateways_)
     {
       if (o.gateway->is_frozen)
         continue;
-      passed_config_ = std::max (passed_config_, o.gateway->config);
-      passed_version_ = std::max (passed_version_, o.gateway->version ());
-      o.gateway->take_passed_config (passed_config_, now_ms_);
-      if (stale_config_ > 0)
-        o.gateway->take_passed_config (stale_config_, now_ms_);
-      if (passed_version_ > 0)
-        o.gateway->take_version (passed_version_);
+      sidecar_config_ = std::max (sidecar_config_, o.gateway->config);
+      sidecar_version_ = std::max (sidecar_version_, o.gateway->version ());
+      o.gateway->apply_forwarded_config (sidecar_config_, now_ms_);
+      if (late_config_ > 0)
+        o.gateway->apply_forwarded_config (late_config_, now_ms_);
+      if (sidecar_version_ > 0)
+        o.gateway->apply_version (sidecar_version_);
     }
-  stale_config_ = 0;
+  late_config_ = 0;
 }
 
 std::string
-World::check_target (const Observed &o, const Target &target)
+World::check_target (const ObservedGateway &o, const Target &target)
 {
-  std::optional<uint64_t> born = o.gateway->born_in_use (target.id);
-  bool is_listed = target.absent_ms == 0 && target.steady_ms != UINT64_MAX
-                   && target.steady_ms > 0 && target.is_alive;
-  uint64_t bound_ms = target.is_back_dated ? USE_BACK_DATED_MS : USE_MS;
-  if (is_listed && now_ms_ - target.steady_ms >= bound_ms)
+  std::optional<uint64_t> born = o.gateway->used_born_ms (target.id);
+  bool is_listed = target.removed_ms == 0
+                   && target.valid_since_ms != UINT64_MAX
+                   && target.valid_since_ms > 0 && target.is_alive;
+  uint64_t bound_ms
+      = target.is_backdated ? MAX_USE_DELAY_BACKDATED_MS : MAX_USE_DELAY_MS;
+  if (is_listed && now_ms_ - target.valid_since_ms >= bound_ms)
     {
       if (!born)
         return target.id + " lives, is listed and is not used";
       if (*born != target.born_ms)
         return target.id + " is taken for an earlier incarnation";
     }
-  bool is_gone = target.absent_ms > 0 && target.went_stable
-                 && now_ms_ - target.absent_ms >= LEAVE_MS;
+  bool is_gone = target.removed_ms > 0 && target.was_removed_undisturbed
+                 && now_ms_ - target.removed_ms >= MAX_REMOVAL_DELAY_MS;
   if (is_gone && born)
     return target.id + " is gone and still used";
   return "";
@@ -380,42 +391,48 @@
 /// A target that lives and whose entry lapsed with the store is kept until it
 /// can be back.
 std::string
-World::check_lapsed (Observed &o, const Target &target)
+World::check_retained (ObservedGateway &o, const Target &target)
 {
-  bool is_used = o.gateway->born_in_use (target.id).has_value ();
-  bool has_lapsed = target.has_lapsed && target.is_alive;
-  if (!has_lapsed)
+  bool is_used = o.gateway->used_born_ms (target.id).has_value ();
+  bool has_expired_in_outage = target.has_expired_in_outage && target.is_alive;
+  if (!has_expired_in_outage)
     o.was_used[target.id] = is_used;
-  bool is_calm
-      = o.disturbed_ms + CONTACT_MS < target.absent_ms || o.disturbed_ms == 0;
-  bool is_store_back = store_.trouble == Trouble::NONE && !store_.is_quiet
-                       && store_back_ms_ >= target.absent_ms;
-  bool is_early = !is_store_back || now_ms_ - store_back_ms_ < KEEP_MS;
-  bool is_long
-      = now_ms_ - trouble_from_ms_ >= SEEN_MS
-        && (!is_store_back || store_back_ms_ - trouble_from_ms_ >= SEEN_MS);
-  if (has_lapsed && is_calm && is_early && is_long && o.was_used[target.id]
-      && !is_used)
+  bool was_gateway_calm
+      = o.last_disturbed_ms + MAX_RECOVERY_MS < target.removed_ms
+        || o.last_disturbed_ms == 0;
+  bool has_store_recovered = store_.fault == StoreFault::NONE
+                             && !store_.are_watches_silent
+                             && store_recovered_ms_ >= target.removed_ms;
+  bool is_within_retention
+      = !has_store_recovered || now_ms_ - store_recovered_ms_ < MIN_RETAIN_MS;
+  bool was_outage_noticed
+      = now_ms_ - fault_from_ms_ >= MIN_NOTICED_OUTAGE_MS
+        && (!has_store_recovered
+            || store_recovered_ms_ - fault_from_ms_ >= MIN_NOTICED_OUTAGE_MS);
+  if (has_expired_in_outage && was_gateway_calm && is_within_retention
+      && was_outage_noticed && o.was_used[target.id] && !is_used)
     return target.id + " lapsed with the store and is not kept";
   return "";
 }
 
-/// Each configuration may take a key away. This holds for all gateways, also
-/// for those that are cut off, and for one at the moment at which it wakes.
+/// Each configuration may apply_answer a key away. This contains for all
+/// gateways, also for those that are cut off, and for one at the moment at
+/// subject it wakes.
 std::string
-World::check_keys (const Observed &o) const
+World::check_revoked_key (const ObservedGateway &o) const
 {
   if (o.gateway->is_frozen || !o.gateway->admits_keys (now_ms_))
     return "";
   for (const ConfigAck &ack : config_acks_)
-    if (now_ms_ > ack.at_ms + REVOKE_MS && o.gateway->config < ack.revision)
+    if (now_ms_ > ack.at_ms + MAX_REVOKE_DELAY_MS
+        && o.gateway->config < ack.revision)
       return "a key that was taken away is let in";
   return "";
 }
 
 /// A key that stays is let in while its gateway and the store are well.
 std::string
-World::check_admitted (const Observed &o) const
+World::check_valid_key (const ObservedGateway &o) const
 {
   return o.gateway->admits_keys (now_ms_) ? "" : "a key that stays is refused";
 }
@@ -423,15 +440,17 @@
 /// While watches hear nothing the store still answers plain reads: that time
 /// stretches the bound of a change, and excuses nothing beyond it.
 std::string
-World::check_config (const Observed &o) const
+World::check_config (const ObservedGateway &o) const
 {
-  uint64_t calm_ms = std::max (o.disturbed_ms, store_away_ms_);
-  if (now_ms_ - calm_ms < CONTACT_MS || now_ms_ < CONTACT_MS)
+  uint64_t last_fault_ms
+      = std::max (o.last_disturbed_ms, store_unavailable_ms_);
+  if (now_ms_ - last_fault_ms < MAX_RECOVERY_MS || now_ms_ < MAX_RECOVERY_MS)
     return "";
   for (const ConfigAck &ack : config_acks_)
     {
-      uint64_t quiet_ms = quiet_total_ms_ - ack.quiet_total_ms;
-      if (now_ms_ >= ack.at_ms + APPLY_MS + quiet_ms
+      uint64_t silent_ms
+          = watches_silent_total_ms_ - ack.silent_total_at_ack_ms;
+      if (now_ms_ >= ack.at_ms + MAX_CONFIG_DELAY_MS + silent_ms
           && o.gateway->config < ack.revision)
         return "a confirmed configuration is not in force";
     }
@@ -439,39 +458,39 @@
 }
 
 std::string
-World::check (Observed &o)
+World::check (ObservedGateway &o)
 {
   Gateway &g = *o.gateway;
-  if (g.config < o.seen_config)
+  if (g.config < o.last_config)
     return "an older configuration is in force again";
-  if (g.version () < o.seen_version)
+  if (g.version () < o.last_version)
     return "an older version is in force again";
-  o.seen_config = g.config;
-  o.seen_version = g.version ();
+  o.last_config = g.config;
+  o.last_version = g.version ();
   if (g.config > config_)
     return "a configuration that is not valid is in force";
-  uint64_t calm_ms = std::max (o.disturbed_ms, store_disturbed_ms_);
+  uint64_t last_fault_ms = std::max (o.last_disturbed_ms, store_disturbed_ms_);
   for (const Target &target : targets_)
     {
-      std::string broken = check_lapsed (o, target);
-      if (!broken.empty ())
-        return broken;
+      std::string violation = check_retained (o, target);
+      if (!violation.empty ())
+        return violation;
     }
-  std::string late = check_config (o);
-  if (!late.empty ())
-    return late;
-  if (now_ms_ - calm_ms < CONTACT_MS || now_ms_ < CONTACT_MS)
+  std::string config_violation = check_config (o);
+  if (!config_violation.empty ())
+    return config_violation;
+  if (now_ms_ - last_fault_ms < MAX_RECOVERY_MS || now_ms_ < MAX_RECOVERY_MS)
     return "";
   for (const auto &[at_ms, version] : version_acks_)
-    if (now_ms_ >= at_ms + VERSION_MS && g.version () < version)
+    if (now_ms_ >= at_ms + MAX_VERSION_DELAY_MS && g.version () < version)
       return "a confirmed version is not in force";
   for (const Target &target : targets_)
     {
-      std::string broken = check_target (o, target);
-      if (!broken.empty ())
-        return broken;
+      std::string violation = check_target (o, target);
+      if (!violation.empty ())
+        return violation;
     }
-  return check_admitted (o);
+  return check_valid_key (o);
 }
 
 void
@@ -479,29 +498,30 @@
 {
   for (const Event &event : events_)
     if (event.at_ms / STEP_MS == now_ms_ / STEP_MS)
-      begin (event);
+      begin_event (event);
   step_store ();
   step_targets ();
   sidecar_.is_frozen = now_ms_ < sidecar_frozen_ms_;
-  sidecar_.is_cut = now_ms_ < sidecar_cut_ms_;
+  sidecar_.is_store_unreachable = now_ms_ < sidecar_cut_ms_;
   sidecar_.step (store_, now_ms_);
-  for (Observed &o : gateways_)
+  for (ObservedGateway &o : gateways_)
     {
-      o.gateway->is_apart = now_ms_ < o.until_ms[3];
-      o.gateway->is_frozen = now_ms_ < o.until_ms[0];
-      o.gateway->is_cut = now_ms_ < o.until_ms[1];
-      o.gateway->is_deaf = now_ms_ < o.until_ms[2];
-      if (o.gateway->is_frozen || o.gateway->is_cut || o.gateway->is_deaf)
-        o.disturbed_ms = now_ms_;
-      if (woken_.empty ())
-        woken_ = check_keys (o);
+      o.gateway->is_sidecar_unreachable = now_ms_ < o.fault_end_ms[3];
+      o.gateway->is_frozen = now_ms_ < o.fault_end_ms[0];
+      o.gateway->is_store_unreachable = now_ms_ < o.fault_end_ms[1];
+      o.gateway->are_answers_lost = now_ms_ < o.fault_end_ms[2];
+      if (o.gateway->is_frozen || o.gateway->is_store_unreachable
+          || o.gateway->are_answers_lost)
+        o.last_disturbed_ms = now_ms_;
+      if (violation_before_step_.empty ())
+        violation_before_step_ = check_revoked_key (o);
       o.gateway->step (store_, &sidecar_, now_ms_);
     }
-  pass_on ();
+  forward_state ();
 }
 
 std::string
-World::story () const
+World::schedule_text () const
 {
   static const char *const names[] = {
     "store silent",   "store refuses",  "store slow",    "store forgets",
@@ -514,35 +534,38 @@
   std::string out;
   for (const Event &e : events_)
     out += std::to_string (e.at_ms) + " " + names[e.kind] + " for "
-           + std::to_string (e.for_ms) + " at "
-           + std::to_string (e.which % GATEWAYS) + "/"
-           + std::to_string (e.which % TARGETS) + "\n";
+           + std::to_string (e.duration_ms) + " at "
+           + std::to_string (e.subject % GATEWAYS) + "/"
+           + std::to_string (e.subject % TARGETS) + "\n";
   return out;
 }
 
 uint64_t
-World::shared () const
+World::shared_reads () const
 {
   uint64_t sum = 0;
-  for (const Observed &o : gateways_)
-    sum += o.gateway->shared;
+  for (const ObservedGateway &o : gateways_)
+    sum += o.gateway->shared_reads;
   return sum;
 }
 
 std::string
-World::play (const std::string &only)
+World::run (const std::string &promise_filter)
 {
-  for (; now_ms_ < END_MS; now_ms_ += STEP_MS)
+  for (; now_ms_ < SCHEDULE_MS; now_ms_ += STEP_MS)
     {
       step ();
-      for (Observed &o : gateways_)
+      for (ObservedGateway &o : gateways_)
         {
           if (now_ms_ % 100 == 0)
-            states.insert (o.gateway->state ());
-          std::string broken = woken_.empty () ? check (o) : woken_;
-          woken_.clear ();
-          if (!broken.empty () && broken.find (only) != std::string::npos)
-            return std::to_string (now_ms_) + " ms: " + broken;
+            state_hashes.insert (o.gateway->state_hash ());
+          std::string violation = violation_before_step_.empty ()
+                                      ? check (o)
+                                      : violation_before_step_;
+          violation_before_step_.clear ();
+          if (!violation.empty ()
+              && violation.find (promise_filter) != std::string::npos)
+            return std::to_string (now_ms_) + " ms: " + violation;
         }
     }
   return "";
--- a/test/soak/checks.cc
+++ b/test/soak/checks.cc
@@ -11,9 +11,9 @@
 namespace
 {
 
-constexpr int kEventsOfAStream = 10;
+constexpr int kEventsPerStream = 10;
 constexpr int kRecoveryCalls = 20;
-constexpr int kLeastRecovered = 15;
+constexpr int kMinRecovered = 15;
 /// Bounds of the settings that the daemons run with.
 constexpr int kLeaveBoundMs = 2000;
 constexpr int kVersionBoundMs = 5000;
@@ -22,15 +22,15 @@
 constexpr int kRetryWindowMs = 10000;
 /// A request under which this many targets ended reaches as many more at most,
 /// once all gateways are in touch.
-constexpr int kFatalEnds = 3;
+constexpr int kMaxFatalEnds = 3;
 constexpr int kFatalCheckMs = 2500;
-/// A target's limit, as its statement binds.
-constexpr int kLimitBindsAfterMs = 3000;
+/// A target's limit, as its statement effective_from.
+constexpr int kLimitEffectiveAfterMs = 3000;
 constexpr int kLimitWindowMs = 4000;
 constexpr int kLimitSlack = 5;
 
 bool
-is_promise_of_no_run (int status)
+is_not_executed_status (int status)
 {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
@@ -38,7 +38,7 @@
 } // namespace
 
 void
-Soak::violate (const std::string &attempt_id, const std::string &text)
+Soak::add_violation (const std::string &attempt_id, const std::string &text)
 {
   std::lock_guard<std::mutex> lock (mutex_);
   violations_.push_back ({ attempt_id, text });
@@ -75,30 +75,31 @@
   const Message &m = record.answer;
   int runs = site_.runs_of (record.id);
   std::string status = " status " + std::to_string (m.status);
-  if (!record.may_repeat && runs > 1)
-    violate (record.id, "ran " + std::to_string (runs) + " times," + status);
-  if (!record.may_repeat && runs > 0 && is_promise_of_no_run (m.status))
-    violate (record.id, "ran, and its caller was told that it did not");
-  if (m.status == 401 && !record.may_lack_key)
-    violate (record.id, "a key that stays was denied");
+  if (!record.is_repeatable && runs > 1)
+    add_violation (record.id,
+                   "ran " + std::to_string (runs) + " times," + status);
+  if (!record.is_repeatable && runs > 0 && is_not_executed_status (m.status))
+    add_violation (record.id, "ran, and its caller was told that it did not");
+  if (m.status == 401 && !record.can_lose_key)
+    add_violation (record.id, "a key that stays was denied");
   if (m.status == 404 || m.status == 400 || m.status == 413)
-    violate (record.id, "a proper request was denied," + status);
+    add_violation (record.id, "a proper request was denied," + status);
   if (m.status != 200)
     return;
   if (m.header ("x-knapweedbay-attempt-id") != record.id)
-    violate (record.id, "got the answer of another request");
+    add_violation (record.id, "got the answer of another request");
   if (m.header ("x-knapweedbay-server-seal").empty ())
-    violate (record.id, "an answer that no target gave");
+    add_violation (record.id, "an answer that no target gave");
   if (record.is_stream)
     check_stream (record);
   else if (m.is_whole && m.body.find ("some length\"}") == std::string::npos)
-    violate (record.id, "half a body looks whole: " + m.body);
+    add_violation (record.id, "half a body looks whole: " + m.body);
 }
 
 /// Called when all daemons have been undisturbed for a while, and before the
 /// callers stop.
 void
-Soak::check_fatal ()
+Soak::check_fatal_requests ()
 {
   auto ends_of = [this] (int first, int count) {
     int sum = 0;
@@ -111,31 +112,31 @@
   std::this_thread::sleep_for (std::chrono::milliseconds (kFatalCheckMs));
   int more_engines = ends_of (0, size_.engines) - engines;
   int more_plain = ends_of (size_.engines, size_.plain) - plain;
-  if (engines >= kFatalEnds && more_engines > kFatalEnds)
-    violate ("", "a request that had ended " + std::to_string (engines)
-                     + " engines ended " + std::to_string (more_engines)
-                     + " more");
-  if (plain >= kFatalEnds && more_plain > kFatalEnds)
-    violate ("", "a request that had ended " + std::to_string (plain)
-                     + " plain targets ended " + std::to_string (more_plain)
-                     + " more");
+  if (engines >= kMaxFatalEnds && more_engines > kMaxFatalEnds)
+    add_violation ("", "a request that had ended " + std::to_string (engines)
+                           + " engines ended " + std::to_string (more_engines)
+                           + " more");
+  if (plain >= kMaxFatalEnds && more_plain > kMaxFatalEnds)
+    add_violation ("", "a request that had ended " + std::to_string (plain)
+                           + " plain targets ended "
+                           + std::to_string (more_plain) + " more");
   printf ("ends: engines %d and %d, plain targets %d and %d\n", engines,
           more_engines, plain, more_plain);
 }
 
 /// At all gateways, in touch or not, stopped and started.
 void
-Soak::check_key_taken_away ()
+Soak::check_revoked_key ()
 {
-  auto bound = taken_away_ + std::chrono::milliseconds (kRevokeBoundMs);
-  for (const auto &[came, tokens] : tokens_of (site_, "gone"))
-    if (came > bound)
+  auto bound = key_revoked_at_ + std::chrono::milliseconds (kRevokeBoundMs);
+  for (const auto &[arrival, tokens] : tokens_of (site_, "gone"))
+    if (arrival > bound)
       {
         auto late = std::chrono::duration_cast<std::chrono::milliseconds> (
-            came - bound);
-        violate ("", "a key that was taken away ran "
-                         + std::to_string (late.count ())
-                         + " ms after the bound");
+            arrival - bound);
+        add_violation ("", "a key that was taken away ran "
+                               + std::to_string (late.count ())
+                               + " ms after the bound");
         return;
       }
 }
@@ -149,17 +150,17 @@
       {
         int allowed
             = (int)(1.5 * limit.per_s * kLimitWindowMs / 1000) + kLimitSlack;
-        auto binds
-            = limit.from + std::chrono::milliseconds (kLimitBindsAfterMs);
+        auto effective_from
+            = limit.from + std::chrono::milliseconds (kLimitEffectiveAfterMs);
         std::vector<Moment> arrivals;
-        for (Moment came : arrivals_at (target_at (i)))
-          if (came < limit.to)
-            arrivals.push_back (came);
-        int most = most_in (arrivals, binds, kLimitWindowMs);
-        if (most > allowed)
-          violate ("", "target " + std::to_string (i) + " got "
-                           + std::to_string (most) + " of "
-                           + std::to_string (allowed) + " in a window");
+        for (Moment arrival : arrivals_at (target_at (i)))
+          if (arrival < limit.to)
+            arrivals.push_back (arrival);
+        int max_arrivals = most_in (arrivals, effective_from, kLimitWindowMs);
+        if (max_arrivals > allowed)
+          add_violation ("", "target " + std::to_string (i) + " got "
+                                 + std::to_string (max_arrivals) + " of "
+                                 + std::to_string (allowed) + " in a window");
       }
 }
 
@@ -183,13 +184,14 @@
   return line.substr (at, line.find ('"', at) - at);
 }
 
-/// What a target said to a gateway binds that one's later requests, unless it
-/// or the target was started again since.
+/// What a target said to a gateway effective_from that one's later requests,
+/// unless it or the target was started again since.
 /// @param event    With which the gateway logs it.
-/// @param from_ms  It binds that much later.
+/// @param effective_after_ms  It effective_from that much later.
 /// @param most     Requests that may come all the same.
 void
-Soak::check_told (const std::string &event, int from_ms, int most)
+Soak::check_announcement (const std::string &event, int effective_after_ms,
+                          int max_requests)
 {
   auto wall = std::chrono::system_clock::now ();
   auto steady = std::chrono::steady_clock::now ();
@@ -205,7 +207,8 @@
     for (const auto &line :
          Site::log_lines (gateway.daemon, { "\"event\":\"" + event + "\"" }))
       {
-        Moment from = moment_of (line) + std::chrono::milliseconds (from_ms);
+        Moment from = moment_of (line)
+                      + std::chrono::milliseconds (effective_after_ms);
         Moment to = Moment::max ();
         int64_t pause_ms = number_in (line, "pause_ms");
         if (pause_ms > 0)
@@ -214,20 +217,20 @@
              Site::log_lines (gateway.daemon, { "\"event\":\"start\"" }))
           if (moment_of (start) > moment_of (line))
             to = std::min (to, moment_of (start));
-        int came = 0;
+        int arrived = 0;
         for (int i = 0; i < size_.engines + size_.plain; i++)
           for (const Message &request : target_at (i).requests ())
-            came += request.header ("x-knapweedbay-expect-instance")
-                        == text_in (line, "target")
-                    && sender[request.header ("x-knapweedbay-attempt-id")]
-                           == gateway.daemon.name
-                    && request.came > from && request.came < to
-                    && target_at (i).born_at (request.came)
-                           == target_at (i).born_at (moment_of (line));
-        if (came > most)
-          violate (text_in (line, "id"),
-                   std::to_string (came) + " requests of "
-                       + gateway.daemon.name + " after " + line);
+            arrived += request.header ("x-knapweedbay-expect-instance")
+                           == text_in (line, "target")
+                       && sender[request.header ("x-knapweedbay-attempt-id")]
+                              == gateway.daemon.name
+                       && request.came > from && request.came < to
+                       && target_at (i).born_at (request.came)
+                              == target_at (i).born_at (moment_of (line));
+        if (arrived > max_requests)
+          add_violation (text_in (line, "id"),
+                         std::to_string (arrived) + " requests of "
+                             + gateway.daemon.name + " after " + line);
       }
 }
 
@@ -237,11 +240,12 @@
   int allowed = (int)((kSoakQuotaRate * kQuotaWindowS + kSoakQuotaBurst)
                       * (1 + kQuotaOvershoot))
                 + kQuotaSlack;
-  int most = most_in_window (tokens_of (site_, "red"), kQuotaWindowS);
-  printf ("quota: %d of %d in a window\n", most, allowed);
-  if (most > allowed)
-    violate ("", "a workspace ran " + std::to_string (most) + " of "
-                     + std::to_string (allowed) + " in a window");
+  int max_tokens = most_in_window (tokens_of (site_, "red"), kQuotaWindowS);
+  printf ("quota: %d of %d in a window\n", max_tokens, allowed);
+  if (max_tokens > allowed)
+    add_violation ("", "a workspace ran " + std::to_string (max_tokens)
+                           + " of " + std::to_string (allowed)
+                           + " in a window");
 }
 
 /// A run in which nobody was served would hold every other promise.
@@ -251,8 +255,8 @@
   for (const auto &record : records_)
     if (record.answer.status == 200 && record.answer.is_whole)
       return;
-  violate ("", "none of " + std::to_string (records_.size ())
-                   + " requests was served whole");
+  add_violation ("", "none of " + std::to_string (records_.size ())
+                         + " requests was served whole");
 }
 
 void
@@ -262,35 +266,38 @@
   for (size_t i = 0; i < ids.size (); i++)
     if (ids[i] != (int)i + 1)
       {
-        violate (record.id, "event " + std::to_string (ids[i]) + " at place "
-                                + std::to_string (i + 1));
+        add_violation (record.id, "event " + std::to_string (ids[i])
+                                      + " at place " + std::to_string (i + 1));
         break;
       }
-  if (record.answer.is_whole && (int)ids.size () != kEventsOfAStream)
-    violate (record.id, "half a stream looks whole");
+  if (record.answer.is_whole && (int)ids.size () != kEventsPerStream)
+    add_violation (record.id, "half a stream looks whole");
 }
 
 /// Room for adapters is never exceeded, one process alone gives orders under
-/// one fencing number, and a request runs with the adapter it named.
+/// one fencing number, and a request runs with the adapter it
+/// adapter_of_request.
 void
 Soak::check_engines ()
 {
-  std::map<std::string, std::string> named;
+  std::map<std::string, std::string> adapter_of_request;
   for (const auto &record : records_)
-    named[record.id] = record.adapter;
+    adapter_of_request[record.id] = record.adapter;
   for (auto &e : site_.engines)
     {
       if (e.target->most_held () > 4)
-        violate ("", e.sidecar.name + ": more adapters than there is room");
+        add_violation ("",
+                       e.sidecar.name + ": more adapters than there is room");
       if (e.target->orderers ().size () > 1)
-        violate ("", e.sidecar.name + ": its engine saw several orderers");
+        add_violation ("",
+                       e.sidecar.name + ": its engine saw several orderers");
       for (const Message &request : e.target->requests ())
         {
           std::string id = request.header ("x-knapweedbay-attempt-id");
-          auto it = named.find (id);
-          if (it != named.end ()
+          auto it = adapter_of_request.find (id);
+          if (it != adapter_of_request.end ()
               && request.header ("x-knapweedbay-model") != "m/" + it->second)
-            violate (id, "sent for another adapter");
+            add_violation (id, "sent for another adapter");
         }
     }
 }
@@ -308,16 +315,16 @@
   int length_ms = plan_.empty () ? 0 : plan_.back ().at_ms;
   double windows = 2 + length_ms / kRetryWindowMs;
   // Two services have a budget each.
-  double most
+  double max_repeats
       = kRetryRatio * (double)records_.size () + 2 * kRetrySlack * windows;
-  if (repeats > most)
-    violate ("", std::to_string (repeats) + " repeats of "
-                     + std::to_string (arrivals.size ()) + " requests");
+  if (repeats > max_repeats)
+    add_violation ("", std::to_string (repeats) + " repeats of "
+                           + std::to_string (arrivals.size ()) + " requests");
 }
 
 /// Ask as a caller that keeps its key.
 Message
-Soak::ask (int gateway, Call call)
+Soak::send_with_kept_key (int gateway, Call call)
 {
   call.headers += key_line_;
   return send_call (site_.gateways[(size_t)(gateway % size_.gateways)], call);
@@ -329,14 +336,15 @@
   int good = 0;
   for (int i = 0; i < kRecoveryCalls; i++)
     {
-      Message m = ask (i, stream_call ("after" + std::to_string (i),
-                                       "a" + std::to_string (i % 12)));
+      Message m = send_with_kept_key (
+          i, stream_call ("after" + std::to_string (i),
+                          "a" + std::to_string (i % 12)));
       good += m.status == 200 && m.is_whole;
     }
-  if (good < kLeastRecovered)
-    violate ("after0", "after the last fault " + std::to_string (good) + " of "
-                           + std::to_string (kRecoveryCalls)
-                           + " requests are served");
+  if (good < kMinRecovered)
+    add_violation ("after0", "after the last fault " + std::to_string (good)
+                                 + " of " + std::to_string (kRecoveryCalls)
+                                 + " requests are served");
 }
 
 void
@@ -349,27 +357,28 @@
       call.id = "last" + std::to_string (i);
       call.path = "/v" + std::to_string (config_version_) + "/";
       bool is_served = Site::wait_for (
-          [&] { return ask ((int)i, call).status == 200; }, kLeaveBoundMs);
+          [&] { return send_with_kept_key ((int)i, call).status == 200; },
+          kLeaveBoundMs);
       if (!is_served)
-        violate (call.id, "a new configuration is not in force in time");
+        add_violation (call.id, "a new configuration is not in force in time");
     }
 }
 
 void
 Soak::check_version ()
 {
-  name_version (0);
+  publish_adapter_version (0);
   std::string newest = std::to_string (adapter_version_);
   std::this_thread::sleep_for (std::chrono::milliseconds (kVersionBoundMs));
   for (int i = 0; i < 6; i++)
     {
       std::string id = "version" + std::to_string (i);
-      ask (i, stream_call (id, "a0"));
+      send_with_kept_key (i, stream_call (id, "a0"));
       for (auto &e : site_.engines)
         for (const Message &request : e.target->requests ())
           if (request.header ("x-knapweedbay-attempt-id") == id
               && request.header ("x-knapweedbay-expect-version") != newest)
-            violate (id, "sent for an older version of its adapter");
+            add_violation (id, "sent for an older version of its adapter");
     }
 }
 
@@ -382,9 +391,9 @@
     {
       Call call;
       call.id = "leaving" + std::to_string (i);
-      ask (i, call);
+      send_with_kept_key (i, call);
       if (site_.plain[1]->runs_of (call.id) > 0)
-        violate (call.id, "went to a target that leaves");
+        add_violation (call.id, "went to a target that leaves");
     }
   site_.list_plain (1);
 }
@@ -397,8 +406,9 @@
   std::vector<std::future<Message>> streams;
   for (int i = 0; i < 6; i++)
     streams.push_back (std::async (std::launch::async, [this, i] {
-      return ask (0, stream_call ("stop" + std::to_string (i),
-                                  "a" + std::to_string (i % 3), false));
+      return send_with_kept_key (0, stream_call ("stop" + std::to_string (i),
+                                                 "a" + std::to_string (i % 3),
+                                                 false));
     }));
   std::this_thread::sleep_for (std::chrono::milliseconds (250));
   site_.stop (&site_.gateways[0].daemon, SIGTERM);
@@ -406,7 +416,7 @@
     {
       Message m = streams[i].get ();
       if (m.status == 0 || !m.is_whole)
-        violate ("stop" + std::to_string (i), "cut by a graceful stop");
+        add_violation ("stop" + std::to_string (i), "cut by a graceful stop");
     }
 }
 
--- a/test/soak/plan.cc
+++ b/test/soak/plan.cc
@@ -8,14 +8,14 @@
 namespace
 {
 
-struct KindInfo
+struct FaultKindInfo
 {
   const char *name;
-  int least_ms; ///< Shortest and longest time that it lasts.
-  int most_ms;
+  int min_ms; ///< Shortest and longest time that it lasts.
+  int max_ms;
 };
 
-constexpr KindInfo kKinds[] = {
+constexpr FaultKindInfo kKinds[] = {
   { "kill", 0, 0 },
   { "terminate", 0, 0 },
   { "pause", 50, 2500 },
@@ -39,61 +39,61 @@
   { "stated_leaving", 0, 0 },
   { "stated_pause", 200, 1500 },
 };
-constexpr int kFirstKinds = 15;
-constexpr int kKindsWithoutStatements = 19;
-constexpr int kLeastGapMs = 20;
-constexpr int kMostGapMs = 350;
+constexpr int kInitialKinds = 15;
+constexpr int kKindsWithoutAnnouncements = 19;
+constexpr int kMinGapMs = 20;
+constexpr int kMaxGapMs = 350;
 
 } // namespace
 
-std::vector<Step>
+std::vector<FaultStep>
 draw_plan (uint64_t seed, int length_ms)
 {
   std::mt19937_64 random (seed);
   auto draw = [&] (int low, int high) {
     return std::uniform_int_distribution<> (low, high) (random);
   };
-  std::vector<Step> plan;
+  std::vector<FaultStep> plan;
   int kinds = (int)std::size (kKinds);
-  if (seed <= kLastSeedWithoutStatements)
-    kinds = kKindsWithoutStatements;
-  if (seed <= kLastSeedOfFirstKinds)
-    kinds = kFirstKinds;
+  if (seed <= kLastSeedWithoutAnnouncements)
+    kinds = kKindsWithoutAnnouncements;
+  if (seed <= kLastSeedWithInitialKinds)
+    kinds = kInitialKinds;
   int at_ms = 0;
   for (;;)
     {
-      at_ms += draw (kLeastGapMs, kMostGapMs);
-      Step step;
-      step.at_ms = at_ms;
+      at_ms += draw (kMinGapMs, kMaxGapMs);
+      FaultStep fault_step;
+      fault_step.at_ms = at_ms;
       int kind = draw (0, kinds - 1);
-      step.kind = (Kind)kind;
-      step.for_ms = draw (kKinds[kind].least_ms, kKinds[kind].most_ms);
-      step.who = draw (0, 1 << 20);
-      step.how = draw (0, 1 << 20);
-      if (at_ms + step.for_ms > length_ms)
+      fault_step.kind = (FaultKind)kind;
+      fault_step.duration_ms = draw (kKinds[kind].min_ms, kKinds[kind].max_ms);
+      fault_step.subject = draw (0, 1 << 20);
+      fault_step.variant = draw (0, 1 << 20);
+      if (at_ms + fault_step.duration_ms > length_ms)
         return plan;
-      plan.push_back (step);
+      plan.push_back (fault_step);
     }
 }
 
 std::string
-describe (const Step &step)
+describe (const FaultStep &fault_step)
 {
-  std::string text = std::to_string (step.at_ms) + " ms "
-                     + kKinds[(int)step.kind].name + " who "
-                     + std::to_string (step.who) + " how "
-                     + std::to_string (step.how);
-  if (step.for_ms > 0)
-    text += " for " + std::to_string (step.for_ms) + " ms";
+  std::string text = std::to_string (fault_step.at_ms) + " ms "
+                     + kKinds[(int)fault_step.kind].name + " who "
+                     + std::to_string (fault_step.subject) + " how "
+                     + std::to_string (fault_step.variant);
+  if (fault_step.duration_ms > 0)
+    text += " for " + std::to_string (fault_step.duration_ms) + " ms";
   return text;
 }
 
 std::string
-describe (const std::vector<Step> &plan)
+describe (const std::vector<FaultStep> &plan)
 {
   std::string text;
-  for (const Step &step : plan)
-    text += "  " + describe (step) + "\n";
+  for (const FaultStep &fault_step : plan)
+    text += "  " + describe (fault_step) + "\n";
   return text;
 }
 
--- a/test/soak/plan.h
+++ b/test/soak/plan.h
@@ -11,7 +11,7 @@
 namespace relay
 {
 
-enum class Kind
+enum class FaultKind
 {
   KILL,
   TERMINATE,
@@ -22,40 +22,40 @@
   CUT,           ///< Nothing passes either way for a while.
   CUT_ONE_WAY,
   DELAY,
-  STORE_AWAY,     ///< For the gateways that read one of its two faces.
-  FORGET_HISTORY, ///< Of the store.
+  STORE_UNAVAILABLE, ///< For the gateways that read one of its two faces.
+  COMPACT_HISTORY,   ///< Of the store.
   CONFIGURATION,
   ADAPTER_VERSION,
   FAILING_TARGET,
   RESTART_ENGINE,
-  TARGET_BORN_AGAIN, ///< Under its id.
-  LATE_ENTRY,        ///< Of a target's life before.
-  STRANGE_ENTRY,     ///< Another writer's, also in the place of a target's.
-  STORE_MUTE,        ///< Reads are taken and never answered, also later.
-  STATED_LIMIT,      ///< By a target in its answers, until another life.
-  STATED_LEAVING,    ///< The same.
-  STATED_PAUSE,      ///< A target turns all requests away and asks for one.
+  TARGET_NEW_INCARNATION, ///< Under its id.
+  LATE_ENTRY,             ///< Of a target's life before.
+  INVALID_ENTRY,     ///< Another writer's, also in the place of a target's.
+  STALL_STORE_READS, ///< Reads are taken and never answered, also later.
+  ANNOUNCED_LIMIT,   ///< By a target in its answers, until another life.
+  ANNOUNCED_LEAVING, ///< The same.
+  REQUESTED_PAUSE,   ///< A target turns all requests away and asks for one.
 };
 
-struct Step
+struct FaultStep
 {
-  int at_ms = 0;  ///< Since the first fault.
-  int for_ms = 0; ///< Zero: it has no end.
-  Kind kind = Kind::KILL;
-  int who = 0; ///< Number of the process, link or target; taken modulo.
-  int how = 0; ///< Variant; taken modulo.
+  int at_ms = 0;       ///< Since the first fault.
+  int duration_ms = 0; ///< Zero: it has no end.
+  FaultKind kind = FaultKind::KILL;
+  int subject = 0; ///< Number of the process, link or target; taken modulo.
+  int variant = 0; ///< Variant; taken modulo.
 };
 
 /// Seeds that failed keep what they failed with: the plan from the kinds that
 /// there were, and the callers.
-constexpr uint64_t kLastSeedOfFirstKinds = 2;
+constexpr uint64_t kLastSeedWithInitialKinds = 2;
 constexpr uint64_t kLastSeedWithoutWorkspaces = 300;
-constexpr uint64_t kLastSeedWithoutStatements = 400;
+constexpr uint64_t kLastSeedWithoutAnnouncements = 400;
 
 /// @param length_ms  All faults begin and end within this.
-std::vector<Step> draw_plan (uint64_t seed, int length_ms);
-std::string describe (const Step &step);
-std::string describe (const std::vector<Step> &plan);
+std::vector<FaultStep> draw_plan (uint64_t seed, int length_ms);
+std::string describe (const FaultStep &fault_step);
+std::string describe (const std::vector<FaultStep> &plan);
 
 } // namespace relay
 
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -11,22 +11,22 @@
 {
 
 constexpr int kAdapters = 12;
-/// Pause of the caller whose requests end targets, and how many such pauses a
-/// target stays down.
-constexpr int kFatalPauseMs = 200;
-constexpr int kDownPauses = 4;
+/// Pause of the caller whose requests end targets, and variant many such
+/// pauses a target stays down.
+constexpr int kFatalIntervalMs = 200;
+constexpr int kDownIntervals = 4;
 constexpr int kFatalTimeoutMs = 1000;
 /// A key is taken away after this part of the faults.
-constexpr int kKeyLastsParts = 3;
+constexpr int kKeyRevokedAfterFraction = 3;
 constexpr int kWorkspaceCallers = 3;
 /// Bound of the settings that the daemons run with.
 constexpr int kLeaveBoundMs = 2000;
 /// Of a pause a gateway may miss this much, and send so many in the rest.
-constexpr int kPauseHeardMs = 500;
-constexpr int kWithinPause = 2;
+constexpr int kPauseEffectiveAfterMs = 500;
+constexpr int kMaxDuringPause = 2;
 
 void
-sleep_until_ms (std::chrono::steady_clock::time_point start, int at_ms)
+sleep_until_offset (std::chrono::steady_clock::time_point start, int at_ms)
 {
   std::this_thread::sleep_until (start + std::chrono::milliseconds (at_ms));
 }
@@ -38,12 +38,12 @@
 }
 
 Call
-any_call (std::mt19937_64 &random, const std::string &id, Record *record)
+random_call (std::mt19937_64 &random, const std::string &id, Record *record)
 {
   int kind = (int)(random () % 4);
   record->id = id;
   record->is_stream = kind < 2;
-  record->may_repeat = kind == 0 || kind == 2;
+  record->is_repeatable = kind == 0 || kind == 2;
   if (record->is_stream)
     {
       record->adapter = "a" + std::to_string (random () % kAdapters);
@@ -57,14 +57,14 @@
 }
 
 std::string
-free_workspace ()
+unlimited_workspace ()
 {
   return workspace ("free", { "k-free" });
 }
 
-/// Two callers without a pause ask for more than that.
+/// Two callers without a pause send_with_kept_key for more than that.
 std::string
-red_workspace ()
+limited_workspace ()
 {
   return workspace ("red", { "k-red" },
                     ",\"RatePerS\":" + std::to_string (kSoakQuotaRate)
@@ -81,11 +81,11 @@
 }
 
 const std::vector<Violation> &
-Soak::play ()
+Soak::run ()
 {
   if (!site_.wait_ready ())
     {
-      violate ("", "the site does not start");
+      add_violation ("", "the site does not start");
       return violations_;
     }
   bool has_workspaces = seed_ > kLastSeedWithoutWorkspaces;
@@ -97,27 +97,28 @@
       threads.emplace_back ([this, caller] { workspace_loop (caller); });
   for (int i = 0; i < size_.callers; i++)
     threads.emplace_back ([this, i] { call_loop (i); });
-  threads.emplace_back ([this] { probe_loop (); });
-  bool has_fatal_caller = seed_ > kLastSeedOfFirstKinds;
+  threads.emplace_back ([this] { config_probe_loop (); });
+  bool has_fatal_caller = seed_ > kLastSeedWithInitialKinds;
   if (has_fatal_caller)
-    threads.emplace_back ([this] { fatal_loop (); });
+    threads.emplace_back ([this] { fatal_request_loop (); });
   inject ();
   heal ();
   std::this_thread::sleep_for (std::chrono::seconds (3));
   if (has_fatal_caller)
-    check_fatal ();
+    check_fatal_requests ();
   is_done_ = true;
   for (auto &thread : threads)
     thread.join ();
   check_served ();
   if (has_workspaces)
     {
-      check_key_taken_away ();
+      check_revoked_key ();
       check_quota ();
     }
   check_limits ();
-  check_told ("target_states_leaving", kLeaveBoundMs, 0);
-  check_told ("target_paused", kPauseHeardMs, kWithinPause);
+  check_announcement ("target_states_leaving", kLeaveBoundMs, 0);
+  check_announcement ("target_paused", kPauseEffectiveAfterMs,
+                      kMaxDuringPause);
   for (const auto &record : records_)
     check_record (record);
   check_engines ();
@@ -135,154 +136,159 @@
 Soak::inject ()
 {
   auto start = std::chrono::steady_clock::now ();
-  std::multimap<int, std::pair<const Step *, bool>> moments;
-  for (const Step &step : plan_)
+  std::multimap<int, std::pair<const FaultStep *, bool>> timeline;
+  for (const FaultStep &fault_step : plan_)
     {
-      moments.insert ({ step.at_ms, { &step, true } });
-      if (step.for_ms > 0)
-        moments.insert ({ step.at_ms + step.for_ms, { &step, false } });
+      timeline.insert ({ fault_step.at_ms, { &fault_step, true } });
+      if (fault_step.duration_ms > 0)
+        timeline.insert ({ fault_step.at_ms + fault_step.duration_ms,
+                           { &fault_step, false } });
     }
   if (seed_ > kLastSeedWithoutWorkspaces)
-    moments.insert ({ length_ms_ / kKeyLastsParts, { nullptr, true } });
-  for (const auto &[at_ms, moment] : moments)
+    timeline.insert (
+        { length_ms_ / kKeyRevokedAfterFraction, { nullptr, true } });
+  for (const auto &[at_ms, timeline_entry] : timeline)
     {
-      sleep_until_ms (start, at_ms);
-      if (moment.first == nullptr)
-        take_key_away ();
+      sleep_until_offset (start, at_ms);
+      if (timeline_entry.first == nullptr)
+        revoke_key ();
       else
-        moment.second ? begin (*moment.first) : end (*moment.first);
+        timeline_entry.second ? begin_fault (*timeline_entry.first)
+                              : end_fault (*timeline_entry.first);
     }
 }
 
 Daemon &
-Soak::daemon_at (int who)
+Soak::daemon_at (int subject)
 {
-  size_t at = (size_t)(who % (size_.engines + size_.gateways));
+  size_t at = (size_t)(subject % (size_.engines + size_.gateways));
   return at < site_.engines.size ()
              ? site_.engines[at].sidecar
              : site_.gateways[at - site_.engines.size ()].daemon;
 }
 
 Target &
-Soak::target_at (int who)
+Soak::target_at (int subject)
 {
-  size_t at = (size_t)(who % (size_.engines + size_.plain));
+  size_t at = (size_t)(subject % (size_.engines + size_.plain));
   return at < site_.engines.size () ? *site_.engines[at].target
                                     : *site_.plain[at - site_.engines.size ()];
 }
 
 Proxy &
-Soak::proxy_at (int who)
+Soak::proxy_at (int subject)
 {
-  return *proxies_.all[(size_t)who % proxies_.all.size ()];
+  return *proxies_.all[(size_t)subject % proxies_.all.size ()];
 }
 
 void
-Soak::begin (const Step &step)
+Soak::begin_fault (const FaultStep &fault_step)
 {
   static const Store::Mode modes[]
       = { Store::BUSY, Store::RESET, Store::SILENT };
-  switch (step.kind)
+  switch (fault_step.kind)
     {
-    case Kind::KILL:
-      restart (daemon_at (step.who), SIGKILL);
+    case FaultKind::KILL:
+      restart (daemon_at (fault_step.subject), SIGKILL);
       break;
-    case Kind::TERMINATE:
-      restart (daemon_at (step.who), SIGTERM);
+    case FaultKind::TERMINATE:
+      restart (daemon_at (fault_step.subject), SIGTERM);
       break;
-    case Kind::PAUSE:
-      signal_to (daemon_at (step.who), SIGSTOP);
+    case FaultKind::PAUSE:
+      signal_to (daemon_at (fault_step.subject), SIGSTOP);
       break;
-    case Kind::HANGUP:
-      signal_to (daemon_at (step.who), SIGHUP);
+    case FaultKind::HANGUP:
+      signal_to (daemon_at (fault_step.subject), SIGHUP);
       break;
-    case Kind::RESET_LINKS:
-      proxy_at (step.who).reset_all ();
+    case FaultKind::RESET_LINKS:
+      proxy_at (fault_step.subject).reset_all ();
       break;
-    case Kind::SILENCE_LINKS:
-      proxy_at (step.who).silence_present ();
+    case FaultKind::SILENCE_LINKS:
+      proxy_at (fault_step.subject).silence_present ();
       break;
-    case Kind::CUT:
-      proxy_at (step.who).set_path (Path::SILENT);
+    case FaultKind::CUT:
+      proxy_at (fault_step.subject).set_path (Path::SILENT);
       break;
-    case Kind::CUT_ONE_WAY:
-      proxy_at (step.who).set_path (Path::ONE_WAY);
+    case FaultKind::CUT_ONE_WAY:
+      proxy_at (fault_step.subject).set_path (Path::ONE_WAY);
       break;
-    case Kind::DELAY:
-      proxy_at (step.who).set_delay_ms (5 + step.how % 60);
+    case FaultKind::DELAY:
+      proxy_at (fault_step.subject).set_delay_ms (5 + fault_step.variant % 60);
       break;
-    case Kind::STORE_AWAY:
-      (step.who % 2 == 0 ? site_.store : site_.far_store)
-          .set_mode (modes[step.how % 3]);
+    case FaultKind::STORE_UNAVAILABLE:
+      (fault_step.subject % 2 == 0 ? site_.store : site_.far_store)
+          .set_mode (modes[fault_step.variant % 3]);
       break;
-    case Kind::FORGET_HISTORY:
-      (step.who % 2 == 0 ? site_.store : site_.far_store).compact ();
+    case FaultKind::COMPACT_HISTORY:
+      (fault_step.subject % 2 == 0 ? site_.store : site_.far_store).compact ();
       break;
-    case Kind::CONFIGURATION:
+    case FaultKind::CONFIGURATION:
       write_config ();
       break;
-    case Kind::ADAPTER_VERSION:
-      name_version (step.who % kAdapters);
+    case FaultKind::ADAPTER_VERSION:
+      publish_adapter_version (fault_step.subject % kAdapters);
       break;
-    case Kind::FAILING_TARGET:
-      fail_target (step);
+    case FaultKind::FAILING_TARGET:
+      inject_target_failures (fault_step);
       break;
-    case Kind::RESTART_ENGINE:
-      restart_engine (step.who);
+    case FaultKind::RESTART_ENGINE:
+      restart_engine (fault_step.subject);
       break;
-    case Kind::TARGET_BORN_AGAIN:
-      target_at (step.who).restart (target_at (step.who).id ());
-      list_target (step.who, 0);
+    case FaultKind::TARGET_NEW_INCARNATION:
+      target_at (fault_step.subject)
+          .restart (target_at (fault_step.subject).id ());
+      list_target (fault_step.subject, 0);
       break;
-    case Kind::LATE_ENTRY:
-      list_target (step.who, -1000 - step.how % 5000);
+    case FaultKind::LATE_ENTRY:
+      list_target (fault_step.subject, -1000 - fault_step.variant % 5000);
       break;
-    case Kind::STRANGE_ENTRY:
-      write_strange_entry (step);
+    case FaultKind::INVALID_ENTRY:
+      write_invalid_entry (fault_step);
       break;
-    case Kind::STORE_MUTE:
-      (step.who % 2 == 0 ? site_.store : site_.far_store)
-          .mute (step.how % 3 == 0 ? "op/" : "");
+    case FaultKind::STALL_STORE_READS:
+      (fault_step.subject % 2 == 0 ? site_.store : site_.far_store)
+          .mute (fault_step.variant % 3 == 0 ? "op/" : "");
       break;
-    case Kind::STATED_LIMIT:
-      target_at (step.who).state_limit (1 + step.how % 10);
+    case FaultKind::ANNOUNCED_LIMIT:
+      target_at (fault_step.subject).state_limit (1 + fault_step.variant % 10);
       break;
-    case Kind::STATED_LEAVING:
-      target_at (step.who).says_leaving = true;
+    case FaultKind::ANNOUNCED_LEAVING:
+      target_at (fault_step.subject).says_leaving = true;
       break;
-    case Kind::STATED_PAUSE:
-      target_at (step.who).pause_s = 0.5 + 0.5 * (step.how % 6);
+    case FaultKind::REQUESTED_PAUSE:
+      target_at (fault_step.subject).pause_s
+          = 0.5 + 0.5 * (fault_step.variant % 6);
       break;
     }
 }
 
 void
-Soak::end (const Step &step)
+Soak::end_fault (const FaultStep &fault_step)
 {
-  switch (step.kind)
+  switch (fault_step.kind)
     {
-    case Kind::PAUSE:
-      signal_to (daemon_at (step.who), SIGCONT);
+    case FaultKind::PAUSE:
+      signal_to (daemon_at (fault_step.subject), SIGCONT);
       break;
-    case Kind::CUT:
-    case Kind::CUT_ONE_WAY:
-      proxy_at (step.who).set_path (Path::OPEN);
+    case FaultKind::CUT:
+    case FaultKind::CUT_ONE_WAY:
+      proxy_at (fault_step.subject).set_path (Path::OPEN);
       break;
-    case Kind::DELAY:
-      proxy_at (step.who).set_delay_ms (0);
+    case FaultKind::DELAY:
+      proxy_at (fault_step.subject).set_delay_ms (0);
       break;
-    case Kind::STORE_AWAY:
-      (step.who % 2 == 0 ? site_.store : site_.far_store)
+    case FaultKind::STORE_UNAVAILABLE:
+      (fault_step.subject % 2 == 0 ? site_.store : site_.far_store)
           .set_mode (Store::WELL);
       break;
-    case Kind::STORE_MUTE:
-      (step.who % 2 == 0 ? site_.store : site_.far_store).unmute ();
+    case FaultKind::STALL_STORE_READS:
+      (fault_step.subject % 2 == 0 ? site_.store : site_.far_store).unmute ();
       break;
-    case Kind::STRANGE_ENTRY:
-      list_target (step.who, 0);
+    case FaultKind::INVALID_ENTRY:
+      list_target (fault_step.subject, 0);
       break;
-    case Kind::STATED_PAUSE:
-      target_at (step.who).pause_s = -1;
+    case FaultKind::REQUESTED_PAUSE:
+      target_at (fault_step.subject).pause_s = -1;
       break;
     default:
       break;
@@ -332,7 +338,7 @@
 }
 
 void
-Soak::name_version (int adapter)
+Soak::publish_adapter_version (int adapter)
 {
   int version = ++adapter_version_;
   std::string name = "a" + std::to_string (adapter);
@@ -344,19 +350,19 @@
 }
 
 void
-Soak::fail_target (const Step &step)
+Soak::inject_target_failures (const FaultStep &fault_step)
 {
   std::vector<Fault> faults;
-  for (int i = 0; i <= step.how % 6; i++)
+  for (int i = 0; i <= fault_step.variant % 6; i++)
     faults.push_back (
-        (Fault)((step.how / 7 + i) % ((int)Fault::EXTRA_AFTER + 1)));
-  target_at (step.who).fail_next (faults);
+        (Fault)((fault_step.variant / 7 + i) % ((int)Fault::EXTRA_AFTER + 1)));
+  target_at (fault_step.subject).fail_next (faults);
 }
 
 void
-Soak::restart_engine (int who)
+Soak::restart_engine (int subject)
 {
-  size_t at = (size_t)(who % size_.engines);
+  size_t at = (size_t)(subject % size_.engines);
   site_.remove ("servers/" + site_.engines[at].target->id ());
   // No id that a target which ended comes back under.
   site_.engines[at].target->restart ("i-new"
@@ -365,9 +371,9 @@
 }
 
 void
-Soak::list_target (int who, int64_t born_shift_ms)
+Soak::list_target (int subject, int64_t born_shift_ms)
 {
-  size_t at = (size_t)(who % (size_.engines + size_.plain));
+  size_t at = (size_t)(subject % (size_.engines + size_.plain));
   if (at < site_.engines.size ())
     site_.list_engine (at, "ready", born_shift_ms);
   else
@@ -375,7 +381,7 @@
 }
 
 void
-Soak::write_strange_entry (const Step &step)
+Soak::write_invalid_entry (const FaultStep &fault_step)
 {
   static const std::string texts[]
       = { "",
@@ -386,13 +392,15 @@
           std::string ("\xff\x00\xfe", 3),
           "{\"Service\":\"maps\",\"Address\":\"127.0.0.1:9\",\"Zone\":\"d1\","
           "\"Version\":\"v1\",\"Slots\":6,\"State\":\"warm\",\"Seq\":1}" };
-  bool is_in_place = step.how % 2 == 0;
-  std::string id = is_in_place ? target_at (step.who).id () : "stranger";
-  site_.put ("servers/" + id, texts[(size_t)step.how / 2 % std::size (texts)]);
+  bool is_in_place = fault_step.variant % 2 == 0;
+  std::string id
+      = is_in_place ? target_at (fault_step.subject).id () : "stranger";
+  site_.put ("servers/" + id,
+             texts[(size_t)fault_step.variant / 2 % std::size (texts)]);
 }
 
 void
-Soak::end_statements ()
+Soak::clear_announcements ()
 {
   for (int i = 0; i < size_.engines + size_.plain; i++)
     if (target_at (i).limit_per_s >= 0 || target_at (i).says_leaving)
@@ -405,7 +413,7 @@
 void
 Soak::heal ()
 {
-  end_statements ();
+  clear_announcements ();
   site_.store.set_mode (Store::WELL);
   site_.far_store.set_mode (Store::WELL);
   site_.store.unmute ();
@@ -433,7 +441,7 @@
   for (int n = 0; !is_done_; n++)
     {
       Record record;
-      Call call = any_call (
+      Call call = random_call (
           random, "c" + std::to_string (caller) + "-" + std::to_string (n),
           &record);
       call.headers += key_line_;
@@ -450,9 +458,9 @@
           continue;
         }
       record.answer = connection->read_answer (4000);
-      bool is_kept = record.answer.is_whole && record.answer.status != 0
-                     && record.answer.header ("connection") != "close";
-      if (!is_kept)
+      bool is_kept_alive = record.answer.is_whole && record.answer.status != 0
+                           && record.answer.header ("connection") != "close";
+      if (!is_kept_alive)
         connection.reset ();
       std::lock_guard<std::mutex> lock (mutex_);
       records_.push_back (record);
@@ -460,9 +468,10 @@
 }
 
 /// Two requests that end each target that begins to run them are sent again
-/// and again, through any gateway; the targets are back after a moment.
+/// and again, through any gateway; the targets are back after a
+/// timeline_entry.
 void
-Soak::fatal_loop ()
+Soak::fatal_request_loop ()
 {
   std::mt19937_64 random (seed_);
   site_.end_on ("/fatal");
@@ -478,9 +487,10 @@
           = dial (site_.gateways[random () % site_.gateways.size ()].address);
       if (connection != nullptr && connection->write (call.text ()))
         connection->read_answer (kFatalTimeoutMs);
-      if (n % kDownPauses == 0)
+      if (n % kDownIntervals == 0)
         site_.begin_ended_again ();
-      std::this_thread::sleep_for (std::chrono::milliseconds (kFatalPauseMs));
+      std::this_thread::sleep_for (
+          std::chrono::milliseconds (kFatalIntervalMs));
     }
   site_.end_on ("");
   site_.begin_ended_again ();
@@ -490,7 +500,7 @@
 void
 Soak::begin_workspaces ()
 {
-  set_workspaces (&site_, { free_workspace (), red_workspace (),
+  set_workspaces (&site_, { unlimited_workspace (), limited_workspace (),
                             workspace ("gone", { "k-gone" }) });
   key_line_ = key_line ("k-free");
   write_config ();
@@ -503,11 +513,11 @@
 }
 
 void
-Soak::take_key_away ()
+Soak::revoke_key ()
 {
-  set_workspaces (&site_, { free_workspace (), red_workspace () });
+  set_workspaces (&site_, { unlimited_workspace (), limited_workspace () });
   write_config ();
-  taken_away_ = std::chrono::steady_clock::now ();
+  key_revoked_at_ = std::chrono::steady_clock::now ();
 }
 
 /// One caller whose key is taken away, the others press a quota.
@@ -519,10 +529,10 @@
   for (int n = 0; !is_done_; n++)
     {
       Record record;
-      record.may_lack_key = caller == 0;
+      record.can_lose_key = caller == 0;
       std::string id
           = "w" + std::to_string (caller) + "-" + std::to_string (n);
-      Call call = any_call (random, id, &record);
+      Call call = random_call (random, id, &record);
       call.headers += key_line (key);
       const Gateway &gateway
           = site_.gateways[random () % site_.gateways.size ()];
@@ -535,9 +545,9 @@
 
 /// A process that served a route of some configuration never forgets it.
 void
-Soak::probe_loop ()
+Soak::config_probe_loop ()
 {
-  std::map<pid_t, int> seen;
+  std::map<pid_t, int> served_versions;
   for (int n = 0; !is_done_; n++)
     {
       const Gateway &gateway
@@ -549,8 +559,9 @@
         pid = gateway.daemon.pid;
         newest = config_version_;
       }
-      bool tries_newest = n / size_.gateways % 2 == 0 || seen.count (pid) == 0;
-      int version = tries_newest ? newest : seen[pid];
+      bool is_newest_tried
+          = n / size_.gateways % 2 == 0 || served_versions.count (pid) == 0;
+      int version = is_newest_tried ? newest : served_versions[pid];
       Call call;
       call.id = "v" + std::to_string (n);
       call.path = probe_path (version);
@@ -559,11 +570,11 @@
       Message m = send_call (gateway, call);
       bool is_same = pid == gateway.daemon.pid;
       if (m.status == 200 && is_same)
-        seen[pid] = std::max (seen[pid], version);
-      if (m.status == 404 && is_same && !tries_newest)
-        violate (call.id, gateway.daemon.name + " served configuration "
-                              + std::to_string (version)
-                              + " and then denied its route");
+        served_versions[pid] = std::max (served_versions[pid], version);
+      if (m.status == 404 && is_same && !is_newest_tried)
+        add_violation (call.id, gateway.daemon.name + " served configuration "
+                                    + std::to_string (version)
+                                    + " and then denied its route");
       std::this_thread::sleep_for (std::chrono::milliseconds (40));
     }
 }
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -24,9 +24,9 @@
   std::string gateway; ///< Its name.
   std::string adapter; ///< Empty: none.
   bool is_stream = false;
-  bool may_repeat = false;
+  bool is_repeatable = false;
   Message answer;
-  bool may_lack_key = false; ///< Its key is taken away.
+  bool can_lose_key = false; ///< Its key is taken away.
 };
 
 struct Violation
@@ -48,44 +48,45 @@
 public:
   Soak (uint64_t seed, int length_ms, const SoakSize &size = {});
   /// @return  What was violated, in the order in which it was found.
-  const std::vector<Violation> &play ();
+  const std::vector<Violation> &run ();
   /// Seed, plan, first violation, and the log lines of its request.
   std::string report () const;
 
 private:
   // soak.cc
   void inject ();
-  void begin (const Step &step);
-  void end (const Step &step);
+  void begin_fault (const FaultStep &fault_step);
+  void end_fault (const FaultStep &fault_step);
   void restart (Daemon &daemon, int signal);
   void signal_to (Daemon &daemon, int signal);
   void write_config ();
-  void name_version (int adapter);
-  void fail_target (const Step &step);
-  void restart_engine (int who);
+  void publish_adapter_version (int adapter);
+  void inject_target_failures (const FaultStep &fault_step);
+  void restart_engine (int subject);
   /// List a target as it is, or as it was before.
-  void list_target (int who, int64_t born_shift_ms);
-  void write_strange_entry (const Step &step);
+  void list_target (int subject, int64_t born_shift_ms);
+  void write_invalid_entry (const FaultStep &fault_step);
   /// What targets stated ends with their lives.
-  void end_statements ();
+  void clear_announcements ();
   void heal ();
   void call_loop (int caller);
-  void probe_loop ();
-  void fatal_loop ();
+  void config_probe_loop ();
+  void fatal_request_loop ();
   void begin_workspaces ();
-  void take_key_away ();
+  void revoke_key ();
   void workspace_loop (int caller);
-  Daemon &daemon_at (int who);
-  Target &target_at (int who);
-  Proxy &proxy_at (int who);
+  Daemon &daemon_at (int subject);
+  Target &target_at (int subject);
+  Proxy &proxy_at (int subject);
 
   // checks.cc
-  void violate (const std::string &attempt_id, const std::string &text);
-  Message ask (int gateway, Call call);
-  void check_fatal ();
-  void check_key_taken_away ();
+  void add_violation (const std::string &attempt_id, const std::string &text);
+  Message send_with_kept_key (int gateway, Call call);
+  void check_fatal_requests ();
+  void check_revoked_key ();
   void check_limits ();
-  void check_told (const std::string &event, int from_ms, int most);
+  void check_announcement (const std::string &event, int effective_after_ms,
+                           int max_requests);
   void check_quota ();
   void check_served ();
   void check_record (const Record &record);
@@ -101,7 +102,7 @@
   uint64_t seed_;
   int length_ms_;
   SoakSize size_;
-  std::vector<Step> plan_;
+  std::vector<FaultStep> plan_;
   Proxies proxies_;
   Site site_;
   std::atomic<bool> is_done_{ false };
@@ -112,7 +113,7 @@
   std::vector<std::future<void>> restarts_;
   std::string probe_routes_;
   std::string key_line_; ///< Of callers that keep their key; may be empty.
-  std::chrono::steady_clock::time_point taken_away_;
+  std::chrono::steady_clock::time_point key_revoked_at_;
   int config_version_ = 10;
   int adapter_version_ = 1;
   int incarnation_ = 0;
--- a/test/soak/soak_test.cc
+++ b/test/soak/soak_test.cc
@@ -21,7 +21,7 @@
   // 212: a request that others send all the time under many adapters, and that
   // is served between the ends of its engines, was held. 218: a store that was
   // away hid the ends of plain targets from the gateways. 231: what broke off
-  // after the end of a plain target hid who had been alone there.
+  // after the end of a plain target hid subject had been alone there.
   // 301: the first with workspaces. 402: a request that ends plain targets was
   // never alone at one, because others were always there.
   std::vector<uint64_t> list = { 1, 2, 212, 218, 231, 301, 402 };
@@ -53,10 +53,10 @@
   for (uint64_t seed : seeds ())
     {
       Soak soak (seed, 1000 * number_from ("KB_SOAK_S", 6), size);
-      bool is_clean = soak.play ().empty ();
+      bool has_no_violations = soak.run ().empty ();
       printf ("seed %llu %s\n", (unsigned long long)seed,
-              is_clean ? "clean" : "FAILED");
-      EXPECT_TRUE (is_clean) << soak.report ();
+              has_no_violations ? "clean" : "FAILED");
+      EXPECT_TRUE (has_no_violations) << soak.report ();
     }
 }
 
@@ -76,7 +76,7 @@
   for (uint64_t seed = 1; seed <= 5 && !is_found; seed++)
     {
       Soak soak (seed, 4000);
-      for (const Violation &violation : soak.play ())
+      for (const Violation &violation : soak.run ())
         is_found
             = is_found || violation.text.find (" times") != std::string::npos;
     }
