--- a/test/fakes/fake.c
+++ b/test/fakes/fake.c
@@ -7,10 +7,10 @@
 uv_loop_t fk_loop;
 tmr_service_t fk_timers;
 static const fk_role_t *fk_role;
-/// What it asks of its callers in each handle_call.
-static double limit_per_s = -1; ///< Negative: it states none.
+/// Announced to callers in response headers.
+static double limit_per_s = -1; ///< Negative: none.
 static bool is_leaving;
-static double retry_after_s = -1; ///< Negative: it turns nothing away.
+static double retry_after_s = -1; ///< Negative: requests are not refused.
 uint64_t fk_rejected_count;
 
 void
--- a/test/fakes/fake.h
+++ b/test/fakes/fake.h
@@ -1,6 +1,6 @@
 /// @file fake.h
-/// Small stand-ins for the systems around the product, with fault switches.
-/// Each is one HTTP server; POST /fault sets its switches.
+/// Fakes of the external systems, with fault switches. Each is one HTTP
+/// server; POST /fault sets its switches.
 #ifndef KB_TEST_FAKES_FAKE_H
 #define KB_TEST_FAKES_FAKE_H
 
@@ -26,12 +26,12 @@
 
 void fk_reply (hts_request_t *request, int http_status, const kb_buf_t *body);
 void fk_reply_text (hts_request_t *request, int http_status, const char *text);
-/// Cut the handle_call: the effect took place, its word is lost.
+/// Truncate the response: the request took effect, but its answer is lost.
 void fk_reply_truncated (hts_request_t *request);
-/// Turn a request away if the target asks for a pause.
-/// @return  Whether it was.
+/// Refuse a request with 503 and retry-after while a pause is requested.
+/// @return  Whether the request was refused.
 bool fk_reject_if_paused (hts_request_t *request);
-extern uint64_t fk_rejected_count; ///< How many were.
+extern uint64_t fk_rejected_count; ///< Requests refused so far.
 bool fk_path_is (const hts_request_t *request, const char *path);
 struct json_object *fk_body (const hts_request_t *request);
 
--- a/test/fakes/fake_engine.c
+++ b/test/fakes/fake_engine.c
@@ -1,6 +1,6 @@
 /// @file fake_engine.c
-/// Stand-in engine: OpenAI-style completions, LoRA load and unload, one timer
-/// a sequence. Records every run by its prompt, so that a test can count.
+/// Fake engine: OpenAI-style completions, LoRA load and unload, one timer per
+/// sequence. Counts runs by prompt for the tests.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,7 +18,7 @@
   uint32_t in_use;
 } adapter_t;
 
-/// One request that generates.
+/// One running completion.
 typedef struct run
 {
   hts_request_t *http;
@@ -37,13 +37,13 @@
   int64_t load_ms;
   int64_t step_ms;
   int64_t slots;
-  int64_t fail_loads;  ///< This many of the next loads fail.
-  int64_t lose_loads;  ///< Answers of the next loads are lost.
+  int64_t fail_loads;  ///< Number of next loads that fail.
+  int64_t lose_loads;  ///< Number of next loads whose answers are lost.
   int64_t cut_after;   ///< Streams are cut after this many tokens; 0: never.
-  bool is_hung;        ///< Accept and never handle_call a run.
-  bool is_wrong_model; ///< Answer for another model.
+  bool is_hung;        ///< Accepts completions and never answers them.
+  bool is_wrong_model; ///< Answers name another model.
   bool is_fence_checked;
-  char end_on[64]; ///< A prompt with this text ends the engine; empty: none.
+  char end_on[64]; ///< Prompts with this text crash the engine; empty: none.
 } faults
     = { .load_ms = 30, .step_ms = 2, .slots = 8, .is_fence_checked = true };
 
@@ -56,7 +56,7 @@
 static uint64_t evicted_in_use;
 static uint64_t stale_orders;
 static uint64_t over_slots;
-static uint64_t ends; ///< Times that a prompt ended it.
+static uint64_t ends; ///< Crashes caused by a prompt.
 
 enum
 {
@@ -227,7 +227,7 @@
   tmr_after (&fk_timers, &run->timer, delay, run_step, run);
 }
 
-/// @return  False when the order carries an old number; it was answered.
+/// @return  False if the order was refused with 412 for a stale number.
 static bool
 is_order_fresh (hts_request_t *http)
 {
@@ -247,7 +247,7 @@
   return false;
 }
 
-/// A load that takes its time.
+/// A load in progress.
 typedef struct
 {
   hts_request_t *http;
@@ -389,7 +389,7 @@
   run_free (run);
 }
 
-/// Cold restart: everything loaded is gone and running work is cut.
+/// Cold restart: adapters are lost and running requests are cut.
 static void
 engine_restart (void)
 {
@@ -409,7 +409,7 @@
   incarnation = tmr_now_us ();
 }
 
-/// The process ends as soon as it has begun this run, and begins again.
+/// Simulates a process that crashes when it begins this run, and restarts.
 static void
 run_crash_engine (void *arg)
 {
--- a/test/fakes/fake_kv.c
+++ b/test/fakes/fake_kv.c
@@ -1,6 +1,5 @@
 /// @file fake_kv.c
-/// Stand-in key-value service: the few etcd v3 JSON call_counts the product
-/// makes.
+/// Fake key-value service: the etcd v3 JSON calls that the daemons make.
 #include <inttypes.h>
 #include <openssl/evp.h>
 #include <stdio.h>
@@ -15,7 +14,7 @@
 
 typedef struct
 {
-  char *key; ///< base64 is not ordered, so keys are kept decoded.
+  char *key; ///< Decoded, because base64 does not keep the order of keys.
   char *value64;
   uint64_t mod_revision;
 } kv_item_t;
@@ -27,7 +26,7 @@
   char *to;
 } watch_t;
 
-/// A call that is answered later.
+/// A call whose answer is delayed.
 typedef struct
 {
   hts_request_t *http;
@@ -37,8 +36,8 @@
 static struct
 {
   int64_t latency_ms;
-  int64_t lose_cas; ///< Answers of the next writes are lost.
-  bool is_down;     ///< Accept and never handle_call.
+  int64_t lose_cas; ///< Number of next writes whose answers are lost.
+  bool is_down;     ///< Accepts calls and never answers them.
 } faults;
 
 static kv_item_t *items;
@@ -296,7 +295,7 @@
   faults.latency_ms = jsn_int (f, "latency_ms", faults.latency_ms);
   faults.lose_cas = jsn_int (f, "lose_cas", faults.lose_cas);
   faults.is_down = jsn_bool (f, "down", faults.is_down);
-  // Muted watches stay open and hear nothing more.
+  // Muted watches stay open and receive nothing more.
   bool is_mute = jsn_bool (f, "mute_watches", false);
   if (!jsn_bool (f, "drop_watches", false) && !faults.is_down && !is_mute)
     return;
--- a/test/fakes/fake_plain.c
+++ b/test/fakes/fake_plain.c
@@ -1,6 +1,6 @@
 /// @file fake_plain.c
-/// Stand-ins of a plain service, whose call_counts are counted by their body,
-/// and of the platform's list, whose content is posted to it.
+/// Fakes of a plain service, which counts calls by their body, and of the
+/// platform's list, whose content is set by POST.
 #include <stdio.h>
 #include <stdlib.h>
 
@@ -9,14 +9,13 @@
 static struct
 {
   int64_t latency_ms;
-  bool
-      is_reply_truncated; ///< The effect takes place; the handle_call is lost.
+  bool is_reply_truncated; ///< The call takes effect, but its answer is lost.
 } faults;
 
 static struct json_object *call_counts;
 static kb_buf_t list_document;
 
-/// A call that is answered later.
+/// A call whose answer is delayed.
 typedef struct
 {
   hts_request_t *http;
--- a/test/model/gateway.cc
+++ b/test/model/gateway.cc
@@ -13,8 +13,8 @@
   READ_PAUSE_MS = 700, ///< As platform/directory.c for a bound of 2 s.
   LEAVE_BOUND_MS = 2000,
   REVOKE_BOUND_MS = 5000,
-  SIDECAR_BACKOFF_MS = 5000, ///< As gateway_peers.c.
-  OVERSTATED_AGE_MS = 60000, ///< Whatever is told is fresher.
+  SIDECAR_BACKOFF_MS = 5000, ///< As in gateway_peers.c.
+  OVERSTATED_AGE_MS = 60000, ///< Any reply is fresher than this.
 };
 
 static const char kTargets[] = "servers/";
@@ -178,7 +178,7 @@
   return true;
 }
 
-/// @return  Whether the item could be read.
+/// @return  Whether the item could be parsed.
 bool
 Gateway::apply_item (const Item &item, uint64_t remove_at_ms, uint64_t now_ms)
 {
@@ -226,7 +226,7 @@
       break;
 }
 
-/// @return  Revision of the newest change of the operator's, or zero.
+/// @return  Revision of the operator's newest change, or zero.
 static uint64_t
 operator_revision (const std::vector<Item> &items)
 {
@@ -254,7 +254,7 @@
     ros_range_end (&roster_, flw_retain_until_ms (&follower_), now_ms);
 }
 
-/// @return  Whether the reply was of use.
+/// @return  Whether the reply was applied.
 bool
 Gateway::apply_reply (const SidecarReply &reply, uint64_t now_ms)
 {
@@ -319,8 +319,8 @@
   peer->add_request (index_, shared_request, now_ms + 1);
 }
 
-/// The store takes the read up, unless it never reaches it or the store is
-/// silent; its answer takes its way back.
+/// Let the store process the read, unless the request is lost or the store is
+/// silent; the answer takes time to return.
 void
 Gateway::serve_read (PendingRead &r, flw_reader_id_t reader,
                      const Store &store, uint64_t now_ms)
--- a/test/model/gateway.h
+++ b/test/model/gateway.h
@@ -1,8 +1,9 @@
 /// @file gateway.h
-/// What a gateway believes, in simulated time. Every decision is the daemon's
-/// own code: when to read (follow), reader targets are listed (roster), reader
-/// incarnation a reply is about (incarnation), reader revision and version
-/// hold. Only the wiring of platform/directory.c and gateway/ is played here.
+/// What a gateway knows of the store, in simulated time. Every decision is
+/// made by the daemon's own code: when to read (follow), which targets are
+/// listed (roster), which incarnation a message concerns (incarnation), and
+/// which revision and version apply. Only the wiring of platform/directory.c
+/// and gateway/ is simulated.
 #ifndef KB_TEST_MODEL_GATEWAY_H
 #define KB_TEST_MODEL_GATEWAY_H
 
@@ -24,7 +25,7 @@
 namespace model
 {
 
-/// A fault that is planted_fault in the rules, to see that it is found.
+/// A fault planted in the rules, to check that the model detects it.
 enum class PlantedFault
 {
   NONE,
@@ -33,44 +34,45 @@
   NEW_INCARNATION_IS_IGNORED,
   MALFORMED_ENTRY_DROPS_BATCH,
   EXPIRED_ENTRY_IS_REMOVED,
-  SIDECAR_REPLY_IS_FRESH, ///< A peer's reply counts as fresh when it arrives.
-  FORWARDED_CONFIG_IS_FRESH, ///< A configuration passed on counts as just
+  SIDECAR_REPLY_IS_FRESH, ///< A reply's data counts as read when it arrives.
+  FORWARDED_CONFIG_IS_FRESH, ///< A forwarded configuration counts as just
                              ///< read.
 };
 
 class Gateway
 {
 public:
-  /// @param index  Its number among the gateways.
+  /// @param index  Index among the gateways.
   Gateway (uint32_t seed, PlantedFault planted_fault, size_t index,
            uint64_t now_ms);
   ~Gateway ();
   Gateway (const Gateway &) = delete;
   Gateway &operator= (const Gateway &) = delete;
-  /// Start again: everything that was learnt is gone.
+  /// Restart without any earlier state.
   void restart (uint64_t now_ms);
-  /// @param peer  A sidecar that can be asked in place of the store.
+  /// @param peer  Sidecar that can serve reads in place of the store.
   void step (const Store &store, Sidecar *peer, uint64_t now_ms);
-  /// A configuration that another daemon passed on.
+  /// Apply a configuration forwarded by another daemon.
   void apply_forwarded_config (uint64_t revision, uint64_t now_ms);
-  /// Whether a request with a key that is known here is let in.
+  /// @return  Whether a request with a key known here is admitted.
   bool admits_keys (uint64_t now_ms) const;
   void apply_version (uint32_t version);
   uint32_t version () const;
-  /// Whether a target is in use, and by reader birth.
+  /// @return  Start time of the incarnation in use; empty: target unused.
   std::optional<uint64_t> used_born_ms (const std::string &id) const;
-  /// A hash of all that is believed.
+  /// @return  Hash of everything the gateway knows, to count distinct states.
   uint64_t state_hash () const;
 
   uint64_t config = 0;
   bool is_frozen = false;
-  bool is_store_unreachable = false; ///< Calls to the store get no answer.
-  bool are_answers_lost = false;     ///< Calls arrive there, answers are lost.
+  bool is_store_unreachable = false; ///< Requests to the store are lost.
+  bool are_answers_lost
+      = false; ///< Requests reach the store; answers are lost.
   bool is_sidecar_unreachable
-      = false; ///< Words to and from the sidecar are held up.
-  uint64_t one_way_delay_ms = 4; ///< Of an answer.
+      = false; ///< Messages to and from the sidecar are delayed.
+  uint64_t one_way_delay_ms = 4; ///< Of requests and answers.
   uint64_t store_calls = 0;
-  uint64_t shared_reads = 0; ///< Words of the sidecar that were taken.
+  uint64_t shared_reads = 0; ///< Replies of the sidecar that were applied.
 
 private:
   struct PendingRead
@@ -102,9 +104,11 @@
   PlantedFault planted_fault_;
   size_t index_;
   uint64_t request_id_ = 0;
-  uint64_t sidecar_backoff_until_ms_ = 0; ///< The sidecar failed.
-  uint64_t config_revision_ = 0;          ///< Of the store, as read there.
-  uint64_t forwarded_config_ms_ = 0; ///< When a configuration was passed on.
+  uint64_t sidecar_backoff_until_ms_ = 0; ///< Set when the sidecar fails.
+  uint64_t config_revision_
+      = 0; ///< The store's revision of the configuration, as read.
+  uint64_t forwarded_config_ms_
+      = 0; ///< When a configuration was last forwarded.
   std::mt19937 random_;
   flw_follower_t follower_;
   ros_roster_t roster_;
--- a/test/model/model_test.cc
+++ b/test/model/model_test.cc
@@ -1,4 +1,4 @@
-// What gateways believe, over thousands of seeded schedules of store,
+// Checks what gateways know over thousands of seeded schedules of store,
 // gateways, sidecar, targets and operator.
 #include <gtest/gtest.h>
 
@@ -15,11 +15,11 @@
 enum
 {
   SCHEDULES = 3000,
-  /// PlantedFault faults must be found within so many.
+  /// Planted faults must be found within this many.
   PLANTED_SCHEDULES = 1500,
 };
 
-/// @return  The first seed that breaks a promise, or zero.
+/// @return  The first seed that violates a promise, or zero.
 uint32_t
 first_failing_seed (PlantedFault planted_fault, uint32_t schedules,
                     std::string *what, std::set<uint64_t> *state_hashes)
@@ -58,8 +58,8 @@
           schedules, state_hashes.size (), schedules / took.count () * 60);
 }
 
-/// A planted_fault fault must be found by just the promise that it breaks;
-/// others that it breaks as well do not count.
+/// A planted fault must be found by the promise it breaks; other promises that
+/// it breaks as well do not count.
 void
 expect_fault_found (PlantedFault planted_fault, const std::string &promise)
 {
@@ -75,8 +75,8 @@
   ADD_FAILURE () << "no schedule shows: " << promise;
 }
 
-// A read that a silent store swallowed is waited for to its end: the fault by
-// which confirmed routes were refused for seconds.
+// A read that a silent store never answers is awaited until its long time-out:
+// routes that were already confirmed are refused for seconds.
 TEST (Model, FindsALongWaitForASilentStore)
 {
   expect_fault_found (PlantedFault::LONG_WAIT_FOR_SILENT_STORE,
@@ -101,17 +101,17 @@
                       "is not used");
 }
 
-// A gateway takes a reply of the sidecar for fresh because it has just
-// arrived, and does not say how old its knowledge is. The sidecar tells it
-// again what it read seconds ago, and a target that is gone is used on.
+// A gateway counts the data of a sidecar reply as fresh because the reply has
+// just arrived, and does not state how old its own knowledge is. The sidecar
+// returns what it read seconds ago, and a removed target stays in use.
 TEST (Model, FindsASidecarReplyCountedAsFresh)
 {
   expect_fault_found (PlantedFault::SIDECAR_REPLY_IS_FRESH,
                       "is gone and still used");
 }
 
-// The schedules above are about replies of the sidecar as much as about the
-// store's own: most of what gateways learn comes through it.
+// The schedules above cover sidecar replies as much as reads of the store:
+// gateways learn most changes through the sidecar.
 TEST (Model, GatewaysLearnFromTheSidecar)
 {
   uint64_t shared_reads = 0;
@@ -124,9 +124,9 @@
   EXPECT_GT (shared_reads, 20u * 10);
 }
 
-// A gateway that the store does not answer hears from a sidecar which
-// configuration is in force, takes that for a read of the store, and goes on
-// with keys that a later one has taken away.
+// A gateway that gets no answer from the store receives the current
+// configuration from a sidecar, counts it as a read of the store, and
+// continues to admit keys that a later configuration has revoked.
 TEST (Model, FindsAForwardedConfigurationCountedAsFresh)
 {
   expect_fault_found (PlantedFault::FORWARDED_CONFIG_IS_FRESH,
--- a/test/model/sidecar.cc
+++ b/test/model/sidecar.cc
@@ -5,7 +5,7 @@
 
 enum
 {
-  /// As platform/reader.c.
+  /// As in platform/reader.c.
   WAIT_MS = 1,
   TIMEOUT_MS = 600,
   ONE_WAY_DELAY_MS = 4,
@@ -37,7 +37,7 @@
   requests_.emplace_back (arrival_ms, sent);
 }
 
-/// What an item means.
+/// Digest of the parts of an item that matter to a gateway.
 static uint64_t
 digest_of (const Value &value)
 {
--- a/test/model/store.h
+++ b/test/model/store.h
@@ -1,6 +1,6 @@
 /// @file store.h
 /// A store in simulated time: items with revisions, a history that can be
-/// forgotten, and troubles that come and go.
+/// compacted, and temporary faults.
 #ifndef KB_TEST_MODEL_STORE_H
 #define KB_TEST_MODEL_STORE_H
 
@@ -11,13 +11,13 @@
 namespace model
 {
 
-/// What stands under a key; which members apply follows from the key.
+/// Value of a key; the key determines which members apply.
 struct Value
 {
   uint64_t config = 0;       ///< Revision of a configuration document.
-  uint64_t born_ms = 0;      ///< Of a target.
-  uint32_t version = 0;      ///< Of an adapter.
-  bool is_malformed = false; ///< Another writer's: it can not be read.
+  uint64_t born_ms = 0;      ///< Start time of a target's incarnation.
+  uint32_t version = 0;      ///< Version of an adapter.
+  bool is_malformed = false; ///< Another writer's; can not be parsed.
 };
 
 struct Item
@@ -31,7 +31,7 @@
 enum class StoreFault
 {
   NONE,
-  SILENT, ///< Takes store_calls and never answers them, nor those that wait.
+  SILENT, ///< Accepts requests and answers neither them nor pending ones.
   REFUSING,
   SLOW,
 };
@@ -57,15 +57,15 @@
   void remove (const std::string &key);
   bool contains (const std::string &key) const;
   const Item *find (const std::string &key) const;
-  /// Forget all changes so far.
+  /// Drop the history of all changes so far.
   void compact ();
-  /// @return  Whether a read has something to answer.
+  /// @return  Whether a read can be answered now.
   bool has_answer (bool is_operator_only, uint64_t after) const;
   Answer answer (bool is_operator_only, uint64_t after) const;
   uint64_t revision = 1;
   StoreFault fault = StoreFault::NONE;
   bool are_watches_silent
-      = false; ///< Watches hear nothing; a forgotten history follows.
+      = false; ///< Watches receive nothing; a compaction follows.
 
 private:
   static bool is_visible (const Item &item, bool is_operator_only);
--- a/test/model/world.cc
+++ b/test/model/world.cc
@@ -16,21 +16,22 @@
   MAX_VERSION_DELAY_MS = 5000,
   MAX_REMOVAL_DELAY_MS = 2000,
   MAX_REVOKE_DELAY_MS = 5000,
-  /// A listed target is in use after a pause of the batches, an answer, and
-  /// what a return shows of it.
+  /// Covers the pause between batches, the answer, and the evidence that
+  /// a returning target gives.
   MAX_USE_DELAY_MS = 1500,
-  /// One whose clock was stepped back must insist.
+  /// A target whose clock was stepped back must report its start time
+  /// repeatedly before it is accepted.
   MAX_USE_DELAY_BACKDATED_MS = 5000,
-  /// Targets whose entries lapsed are kept at least this long.
+  /// Targets whose entries expired in an outage are kept at least this long.
   MIN_RETAIN_MS = 1000,
-  /// A shorter fault of the store may fall between two reads, and nobody
-  /// sees it: what lapses in it is gone until its next heartbeat.
+  /// A shorter outage may fall between two reads and go unnoticed: an entry
+  /// that expires in it is removed until the target's next heartbeat.
   MIN_NOTICED_OUTAGE_MS = 1000,
   WALL_CLOCK_START_MS = 1000000,
   FORWARD_PERIOD_MS = 400,
 };
 
-/// What may happen.
+/// Events of a schedule.
 enum EventKind
 {
   STORE_SILENT,
@@ -94,7 +95,8 @@
   return store_.fault == StoreFault::NONE || store_.fault == StoreFault::SLOW;
 }
 
-/// Troubles meet: half of the events come within a second of another one.
+/// Half of the events come within a second of the previous one, so that faults
+/// overlap.
 void
 World::draw_schedule ()
 {
@@ -133,8 +135,8 @@
   if (is_store_serving ())
     {
       fault_from_ms_ = now_ms_;
-      // When it is away again before an entry is seen back, what was seen of
-      // its removal contains.
+      // If the store fails again before an entry is seen back, the removal
+      // that was seen stands.
       was_calm_before_fault_
           = store_disturbed_ms_ == 0
             || now_ms_ - store_disturbed_ms_ >= MAX_RECOVERY_MS;
@@ -189,7 +191,7 @@
       if (!is_store_serving ())
         break;
       store_.put (kConfigKey, malformed);
-      // Who has not learnt the good one yet can not any more.
+      // A gateway that has not read the good one yet no longer can.
       config_acks_.clear ();
       break;
     case VERSION_CHANGES:
@@ -343,8 +345,8 @@
     }
 }
 
-/// The sidecar hears of what gateways have, and passes it on to the others; a
-/// reply may come config_violation.
+/// The sidecar receives what gateways have and forwards it to the others; a
+/// forwarded configuration may arrive late.
 void
 World::forward_state ()
 {
@@ -388,8 +390,8 @@
   return "";
 }
 
-/// A target that lives and whose entry lapsed with the store is kept until it
-/// can be back.
+/// A live target whose entry expired in an outage of the store is kept until
+/// it has had time to return.
 std::string
 World::check_retained (ObservedGateway &o, const Target &target)
 {
@@ -415,9 +417,8 @@
   return "";
 }
 
-/// Each configuration may apply_answer a key away. This contains for all
-/// gateways, also for those that are cut off, and for one at the moment at
-/// subject it wakes.
+/// Each configuration may revoke a key. This holds for all gateways, also for
+/// partitioned ones, and for one that has just resumed.
 std::string
 World::check_revoked_key (const ObservedGateway &o) const
 {
@@ -430,15 +431,15 @@
   return "";
 }
 
-/// A key that stays is let in while its gateway and the store are well.
+/// A valid key is admitted while its gateway and the store are undisturbed.
 std::string
 World::check_valid_key (const ObservedGateway &o) const
 {
-  return o.gateway->admits_keys (now_ms_) ? "" : "a key that stays is refused";
+  return o.gateway->admits_keys (now_ms_) ? "" : "a valid key is refused";
 }
 
-/// While watches hear nothing the store still answers plain reads: that time
-/// stretches the bound of a change, and excuses nothing beyond it.
+/// While watches are silent the store still answers plain reads: that time
+/// extends the bound of a change and excuses nothing beyond it.
 std::string
 World::check_config (const ObservedGateway &o) const
 {
--- a/test/model/world.h
+++ b/test/model/world.h
@@ -1,7 +1,7 @@
 /// @file world.h
-/// A store, gateways, one sidecar that passes things on, targets and an
-/// operator, driven by a schedule that a seed draws; and the promises that are
-/// checked at each step.
+/// A store, gateways, one sidecar that forwards state, targets and an
+/// operator, driven by a schedule drawn from a seed; the promises are checked
+/// at each step.
 #ifndef KB_TEST_MODEL_WORLD_H
 #define KB_TEST_MODEL_WORLD_H
 
@@ -13,40 +13,41 @@
 namespace model
 {
 
-/// A target and what the store last heard of it.
+/// A target and its last report to the store.
 struct Target
 {
   std::string id;
   bool is_alive = true;
   bool has_left = false;
   uint64_t born_ms = 0;
-  int64_t clock_offset_ms = 0; ///< How far its clock is off.
+  int64_t clock_offset_ms = 0; ///< Error of its clock.
   uint64_t next_heartbeat_ms = 0;
-  uint64_t last_heartbeat_ms = 0; ///< Its last entry, as the store has it.
-  uint64_t valid_since_ms = 0;    ///< Since then its entry says what it is.
-  uint64_t removed_ms = 0; ///< Since then it has no entry; zero: it has one.
+  uint64_t last_heartbeat_ms = 0; ///< Last entry in the store; zero: none.
+  uint64_t valid_since_ms = 0; ///< Its entry is correct since then; zero: no
+                               ///< entry; UINT64_MAX: incorrect.
+  uint64_t removed_ms = 0; ///< It has no entry since then; zero: it has one.
   bool has_expired_in_outage
-      = false; ///< Removed with the store, while it lives.
+      = false; ///< Its entry expired in an outage while it was alive.
   bool was_removed_undisturbed
-      = true;                  ///< It was removed while the store was well.
-  uint64_t latest_born_ms = 0; ///< Latest birth that it told so far.
-  bool is_backdated = false;   ///< Its birth is older than one told before.
+      = true; ///< The store was undisturbed when its entry was removed.
+  uint64_t latest_born_ms = 0; ///< Newest incarnation written so far.
+  bool is_backdated
+      = false; ///< Its incarnation is older than one written before.
 };
 
 class World
 {
 public:
   World (uint32_t seed, PlantedFault planted_fault);
-  /// Play the schedule.
-  /// @param promise_filter  Part of the promise that is looked for; empty:
-  /// any.
-  /// @return      The first violation promise, or empty.
+  /// Run the schedule.
+  /// @param promise_filter  Text that a violation must contain; empty: any.
+  /// @return                The first violation, or empty.
   std::string run (const std::string &promise_filter = "");
-  /// The schedule, a line for each event.
+  /// @return  The schedule, one line an event.
   std::string schedule_text () const;
-  /// Words of the sidecar that gateways took in place of the store's.
+  /// @return  Sidecar replies that gateways applied in place of the store's.
   uint64_t shared_reads () const;
-  /// States of gateways that were seen.
+  /// Hashes of the gateway states seen.
   std::set<uint64_t> state_hashes;
 
 private:
@@ -58,17 +59,17 @@
     size_t subject;
   };
 
-  /// One gateway with what the checks know of it.
+  /// One gateway with the state the checks need.
   struct ObservedGateway
   {
     std::unique_ptr<Gateway> gateway;
     uint64_t last_disturbed_ms
-        = 0; ///< Last moment at subject it was out of touch.
+        = 0; ///< Last time it was frozen or partitioned.
     uint64_t fault_end_ms[4]
-        = {}; ///< Frozen, cut, deaf, apart from the sidecar.
+        = {}; ///< Frozen, requests lost, answers lost, no sidecar.
     uint64_t last_config = 0;
     uint32_t last_version = 0;
-    std::map<std::string, bool> was_used; ///< Before its entry lapsed.
+    std::map<std::string, bool> was_used; ///< Before its entry expired.
   };
 
   void draw_schedule ();
@@ -91,40 +92,40 @@
 
   std::mt19937 random_;
   uint64_t now_ms_ = 0;
-  std::string violation_before_step_; ///< Broken before a gateway's step.
+  std::string violation_before_step_; ///< Found before a gateway's step.
   Store store_;
   uint64_t fault_until_ms_ = 0;
   uint64_t fault_from_ms_ = 0;
   bool was_calm_before_fault_
-      = false; ///< The store was well for a while before it.
+      = false; ///< The store was undisturbed before the fault.
   uint64_t watches_silent_until_ms_ = 0;
   uint64_t store_disturbed_ms_ = 0;
-  uint64_t store_unavailable_ms_
-      = 0; ///< Last moment at subject it served no reads.
-  uint64_t watches_silent_total_ms_
-      = 0; ///< How long watches have heard nothing.
+  uint64_t store_unavailable_ms_ = 0;    ///< Last time it served no reads.
+  uint64_t watches_silent_total_ms_ = 0; ///< Total time of silent watches.
   uint64_t store_recovered_ms_ = 0;
   bool do_leases_expire_early_ = false;
   std::vector<Event> events_;
   std::vector<ObservedGateway> gateways_;
-  Sidecar sidecar_; ///< Reads the store for the gateways.
+  Sidecar sidecar_;
   uint64_t sidecar_frozen_ms_ = 0;
   uint64_t sidecar_cut_ms_ = 0;
   std::vector<Target> targets_;
-  uint64_t sidecar_config_ = 0; ///< What the sidecar has.
+  uint64_t sidecar_config_ = 0; ///< Newest that the sidecar received.
   uint32_t sidecar_version_ = 0;
-  uint64_t late_config_ = 0; ///< A reply that is passed on config_violation.
-  uint64_t config_ = 0;      ///< The operator's last.
+  uint64_t late_config_ = 0; ///< An old configuration to forward; zero: none.
+  uint64_t config_ = 0;      ///< The operator's newest.
   uint32_t version_ = 0;
   struct ConfigAck
   {
     uint64_t at_ms;
     uint64_t revision;
-    uint64_t silent_total_at_ack_ms; ///< When it was acknowledged.
+    uint64_t
+        silent_total_at_ack_ms; ///< Silent time of watches when acknowledged.
   };
   std::vector<ConfigAck> config_acks_;
   std::vector<std::pair<uint64_t, uint32_t>> version_acks_;
-  int pending_config_writes_ = 0; ///< Configurations that wait for the store.
+  int pending_config_writes_
+      = 0; ///< Configurations to write once the store serves.
   std::vector<std::pair<uint64_t, Item>> delayed_writes_;
 };
 
--- a/test/soak/checks.cc
+++ b/test/soak/checks.cc
@@ -1,4 +1,4 @@
-// What must hold, from what callers and targets saw.
+// The promises, checked from what callers and targets observed.
 #include "soak.h"
 
 #include "load.h"
@@ -14,17 +14,17 @@
 constexpr int kEventsPerStream = 10;
 constexpr int kRecoveryCalls = 20;
 constexpr int kMinRecovered = 15;
-/// Bounds of the settings that the daemons run with.
+/// Bounds in the settings of the daemons.
 constexpr int kLeaveBoundMs = 2000;
 constexpr int kVersionBoundMs = 5000;
 constexpr double kRetryRatio = 0.2;
 constexpr double kRetrySlack = 50;
 constexpr int kRetryWindowMs = 10000;
-/// A request under which this many targets ended reaches as many more at most,
-/// once all gateways are in touch.
+/// A request that has crashed this many targets may crash at most as many more
+/// once all gateways are connected.
 constexpr int kMaxFatalEnds = 3;
 constexpr int kFatalCheckMs = 2500;
-/// A target's limit, as its statement effective_from.
+/// When and over which window an announced limit of a target is checked.
 constexpr int kLimitEffectiveAfterMs = 3000;
 constexpr int kLimitWindowMs = 4000;
 constexpr int kLimitSlack = 5;
@@ -79,25 +79,24 @@
     add_violation (record.id,
                    "ran " + std::to_string (runs) + " times," + status);
   if (!record.is_repeatable && runs > 0 && is_not_executed_status (m.status))
-    add_violation (record.id, "ran, and its caller was told that it did not");
+    add_violation (record.id, "ran, but its caller was told that it had not");
   if (m.status == 401 && !record.can_lose_key)
-    add_violation (record.id, "a key that stays was denied");
+    add_violation (record.id, "a valid key was denied");
   if (m.status == 404 || m.status == 400 || m.status == 413)
-    add_violation (record.id, "a proper request was denied," + status);
+    add_violation (record.id, "a valid request was denied," + status);
   if (m.status != 200)
     return;
   if (m.header ("x-knapweedbay-attempt-id") != record.id)
     add_violation (record.id, "got the answer of another request");
   if (m.header ("x-knapweedbay-server-seal").empty ())
-    add_violation (record.id, "an answer that no target gave");
+    add_violation (record.id, "got an answer without the seal of a target");
   if (record.is_stream)
     check_stream (record);
   else if (m.is_whole && m.body.find ("some length\"}") == std::string::npos)
-    add_violation (record.id, "half a body looks whole: " + m.body);
+    add_violation (record.id, "a truncated body looks complete: " + m.body);
 }
 
-/// Called when all daemons have been undisturbed for a while, and before the
-/// callers stop.
+/// Called after a period without faults, before the callers stop.
 void
 Soak::check_fatal_requests ()
 {
@@ -113,18 +112,18 @@
   int more_engines = ends_of (0, size_.engines) - engines;
   int more_plain = ends_of (size_.engines, size_.plain) - plain;
   if (engines >= kMaxFatalEnds && more_engines > kMaxFatalEnds)
-    add_violation ("", "a request that had ended " + std::to_string (engines)
-                           + " engines ended " + std::to_string (more_engines)
-                           + " more");
+    add_violation ("", "a request that had crashed " + std::to_string (engines)
+                           + " engines crashed "
+                           + std::to_string (more_engines) + " more");
   if (plain >= kMaxFatalEnds && more_plain > kMaxFatalEnds)
-    add_violation ("", "a request that had ended " + std::to_string (plain)
-                           + " plain targets ended "
+    add_violation ("", "a request that had crashed " + std::to_string (plain)
+                           + " plain targets crashed "
                            + std::to_string (more_plain) + " more");
   printf ("ends: engines %d and %d, plain targets %d and %d\n", engines,
           more_engines, plain, more_plain);
 }
 
-/// At all gateways, in touch or not, stopped and started.
+/// Applies to all gateways, partitioned and restarted ones included.
 void
 Soak::check_revoked_key ()
 {
@@ -134,14 +133,15 @@
       {
         auto late = std::chrono::duration_cast<std::chrono::milliseconds> (
             arrival - bound);
-        add_violation ("", "a key that was taken away ran "
+        add_violation ("", "a revoked key ran "
                                + std::to_string (late.count ())
                                + " ms after the bound");
         return;
       }
 }
 
-/// From all gateways together, once a target has stated its limit for a while.
+/// The limit covers the requests of all gateways together, from some time
+/// after the target announced it.
 void
 Soak::check_limits ()
 {
@@ -164,7 +164,7 @@
       }
 }
 
-/// @return  A number that a line of a log holds.
+/// @return  Value of a numeric field of a log line; zero if it is absent.
 static int64_t
 number_in (const std::string &line, const std::string &name)
 {
@@ -184,11 +184,12 @@
   return line.substr (at, line.find ('"', at) - at);
 }
 
-/// What a target said to a gateway effective_from that one's later requests,
-/// unless it or the target was started again since.
-/// @param event    With which the gateway logs it.
-/// @param effective_after_ms  It effective_from that much later.
-/// @param most     Requests that may come all the same.
+/// Check that an announcement of a target to a gateway applies to the
+/// gateway's later requests, unless the gateway or the target has restarted
+/// since.
+/// @param event               Event that the gateway logs for it.
+/// @param effective_after_ms  Delay until it applies.
+/// @param max_requests        Requests that may still arrive.
 void
 Soak::check_announcement (const std::string &event, int effective_after_ms,
                           int max_requests)
@@ -248,7 +249,7 @@
                            + " in a window");
 }
 
-/// A run in which nobody was served would hold every other promise.
+/// A run in which no request succeeded would meet every other promise.
 void
 Soak::check_served ()
 {
@@ -256,7 +257,7 @@
     if (record.answer.status == 200 && record.answer.is_whole)
       return;
   add_violation ("", "none of " + std::to_string (records_.size ())
-                         + " requests was served whole");
+                         + " requests got a complete answer");
 }
 
 void
@@ -271,12 +272,11 @@
         break;
       }
   if (record.answer.is_whole && (int)ids.size () != kEventsPerStream)
-    add_violation (record.id, "half a stream looks whole");
+    add_violation (record.id, "a truncated stream looks complete");
 }
 
-/// Room for adapters is never exceeded, one process alone gives orders under
-/// one fencing number, and a request runs with the adapter it
-/// adapter_of_request.
+/// Adapter slots are never exceeded, only one process issues orders under a
+/// fencing number, and a request runs with the adapter it requested.
 void
 Soak::check_engines ()
 {
@@ -286,11 +286,10 @@
   for (auto &e : site_.engines)
     {
       if (e.target->most_held () > 4)
-        add_violation ("",
-                       e.sidecar.name + ": more adapters than there is room");
+        add_violation ("", e.sidecar.name + ": more adapters than slots");
       if (e.target->orderers ().size () > 1)
-        add_violation ("",
-                       e.sidecar.name + ": its engine saw several orderers");
+        add_violation ("", e.sidecar.name
+                               + ": its engine got orders of several issuers");
       for (const Message &request : e.target->requests ())
         {
           std::string id = request.header ("x-knapweedbay-attempt-id");
@@ -314,7 +313,7 @@
     repeats += count - 1;
   int length_ms = plan_.empty () ? 0 : plan_.back ().at_ms;
   double windows = 2 + length_ms / kRetryWindowMs;
-  // Two services have a budget each.
+  // Two services have a retry budget each.
   double max_repeats
       = kRetryRatio * (double)records_.size () + 2 * kRetrySlack * windows;
   if (repeats > max_repeats)
@@ -322,7 +321,7 @@
                            + std::to_string (arrivals.size ()) + " requests");
 }
 
-/// Ask as a caller that keeps its key.
+/// Send a request with a key that is never revoked.
 Message
 Soak::send_with_kept_key (int gateway, Call call)
 {
@@ -393,7 +392,7 @@
       call.id = "leaving" + std::to_string (i);
       send_with_kept_key (i, call);
       if (site_.plain[1]->runs_of (call.id) > 0)
-        add_violation (call.id, "went to a target that leaves");
+        add_violation (call.id, "was sent to a leaving target");
     }
   site_.list_plain (1);
 }
--- a/test/soak/plan.cc
+++ b/test/soak/plan.cc
@@ -11,7 +11,7 @@
 struct FaultKindInfo
 {
   const char *name;
-  int min_ms; ///< Shortest and longest time that it lasts.
+  int min_ms; ///< Range of the duration.
   int max_ms;
 };
 
--- a/test/soak/plan.h
+++ b/test/soak/plan.h
@@ -1,6 +1,6 @@
 /// @file plan.h
-/// The faults of one soak run, drawn from its seed before it begins: the same
-/// seed gives the same plan, whatever the run does with it.
+/// The faults of one soak run, drawn from its seed before it begins: a seed
+/// always gives the same plan, whatever happens in the run.
 #ifndef KB_TEST_SOAK_PLAN_H
 #define KB_TEST_SOAK_PLAN_H
 
@@ -15,44 +15,44 @@
 {
   KILL,
   TERMINATE,
-  PAUSE, ///< SIGSTOP, and SIGCONT after a while.
+  PAUSE, ///< SIGSTOP, then SIGCONT.
   HANGUP,
   RESET_LINKS,
-  SILENCE_LINKS, ///< Present connections carry nothing any more.
-  CUT,           ///< Nothing passes either way for a while.
+  SILENCE_LINKS, ///< Existing connections carry no more data.
+  CUT,           ///< No data passes in either direction.
   CUT_ONE_WAY,
   DELAY,
-  STORE_UNAVAILABLE, ///< For the gateways that read one of its two faces.
-  COMPACT_HISTORY,   ///< Of the store.
+  STORE_UNAVAILABLE, ///< For the gateways that use one of its two addresses.
+  COMPACT_HISTORY,   ///< The store drops its history.
   CONFIGURATION,
   ADAPTER_VERSION,
   FAILING_TARGET,
   RESTART_ENGINE,
-  TARGET_NEW_INCARNATION, ///< Under its id.
-  LATE_ENTRY,             ///< Of a target's life before.
-  INVALID_ENTRY,     ///< Another writer's, also in the place of a target's.
-  STALL_STORE_READS, ///< Reads are taken and never answered, also later.
-  ANNOUNCED_LIMIT,   ///< By a target in its answers, until another life.
-  ANNOUNCED_LEAVING, ///< The same.
-  REQUESTED_PAUSE,   ///< A target turns all requests away and asks for one.
+  TARGET_NEW_INCARNATION, ///< It keeps its id.
+  LATE_ENTRY,             ///< From the target's previous incarnation.
+  INVALID_ENTRY,          ///< By a foreign writer, maybe under a target's key.
+  STALL_STORE_READS,      ///< Reads accepted then are never answered.
+  ANNOUNCED_LIMIT,        ///< In a target's answers, until it restarts.
+  ANNOUNCED_LEAVING,      ///< In a target's answers, until it restarts.
+  REQUESTED_PAUSE, ///< A target refuses all requests and asks for a pause.
 };
 
 struct FaultStep
 {
-  int at_ms = 0;       ///< Since the first fault.
-  int duration_ms = 0; ///< Zero: it has no end.
+  int at_ms = 0;       ///< Since the start of the faults.
+  int duration_ms = 0; ///< Zero: no end.
   FaultKind kind = FaultKind::KILL;
-  int subject = 0; ///< Number of the process, link or target; taken modulo.
-  int variant = 0; ///< Variant; taken modulo.
+  int subject = 0; ///< Index of the process, link or target; taken modulo.
+  int variant = 0; ///< Taken modulo.
 };
 
-/// Seeds that failed keep what they failed with: the plan from the kinds that
-/// there were, and the callers.
+/// Seeds that failed keep the conditions under which they failed: the kinds of
+/// faults in the plan, and the callers.
 constexpr uint64_t kLastSeedWithInitialKinds = 2;
 constexpr uint64_t kLastSeedWithoutWorkspaces = 300;
 constexpr uint64_t kLastSeedWithoutAnnouncements = 400;
 
-/// @param length_ms  All faults begin and end within this.
+/// @param length_ms  All faults begin and end within this time.
 std::vector<FaultStep> draw_plan (uint64_t seed, int length_ms);
 std::string describe (const FaultStep &fault_step);
 std::string describe (const std::vector<FaultStep> &plan);
--- a/test/soak/planted.c
+++ b/test/soak/planted.c
@@ -1,6 +1,6 @@
 /// @file planted.c
-/// A fault for the soak to find: linked into a daemon of its own by the
-/// linker's --wrap, it takes every route for one that may be repeated.
+/// A fault for the soak to find: linked into a separate daemon with the
+/// linker's --wrap, it treats every route as safe to repeat.
 #include "state/service.h"
 
 const svc_route_t *__real_svc_route_find (const svc_config_t *config,
--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -11,17 +11,18 @@
 {
 
 constexpr int kAdapters = 12;
-/// Pause of the caller whose requests end targets, and variant many such
-/// pauses a target stays down.
+/// Interval between the requests that crash targets, and the number of
+/// intervals that a target stays down.
 constexpr int kFatalIntervalMs = 200;
 constexpr int kDownIntervals = 4;
 constexpr int kFatalTimeoutMs = 1000;
-/// A key is taken away after this part of the faults.
+/// The key is revoked after 1/n of the time of the faults.
 constexpr int kKeyRevokedAfterFraction = 3;
 constexpr int kWorkspaceCallers = 3;
-/// Bound of the settings that the daemons run with.
+/// Bound in the settings of the daemons.
 constexpr int kLeaveBoundMs = 2000;
-/// Of a pause a gateway may miss this much, and send so many in the rest.
+/// A gateway may miss this much of a pause, and send this many requests in the
+/// rest.
 constexpr int kPauseEffectiveAfterMs = 500;
 constexpr int kMaxDuringPause = 2;
 
@@ -62,7 +63,7 @@
   return workspace ("free", { "k-free" });
 }
 
-/// Two callers without a pause send_with_kept_key for more than that.
+/// Two callers that send without delay exceed this quota.
 std::string
 limited_workspace ()
 {
@@ -85,7 +86,7 @@
 {
   if (!site_.wait_ready ())
     {
-      add_violation ("", "the site does not start");
+      add_violation ("", "the site did not start");
       return violations_;
     }
   bool has_workspaces = seed_ > kLastSeedWithoutWorkspaces;
@@ -131,7 +132,7 @@
   return violations_;
 }
 
-/// Carry the plan out; faults that last overlap with those that come later.
+/// Apply the plan; lasting faults overlap with later ones.
 void
 Soak::inject ()
 {
@@ -295,8 +296,8 @@
     }
 }
 
-/// Stop and start beside everything else. A process that is being stopped
-/// already gets the signal on top.
+/// Restart a daemon concurrently with the other faults. A process that is
+/// already stopping gets the signal as well.
 void
 Soak::restart (Daemon &daemon, int signal)
 {
@@ -323,7 +324,7 @@
     kill (daemon.pid, signal);
 }
 
-/// Each configuration adds a route of its own and keeps all earlier ones.
+/// Each configuration adds a route and keeps all earlier ones.
 void
 Soak::write_config ()
 {
@@ -364,7 +365,7 @@
 {
   size_t at = (size_t)(subject % size_.engines);
   site_.remove ("servers/" + site_.engines[at].target->id ());
-  // No id that a target which ended comes back under.
+  // A new id, not that of any target that crashed and restarts.
   site_.engines[at].target->restart ("i-new"
                                      + std::to_string (++incarnation_));
   site_.list_engine (at);
@@ -431,7 +432,7 @@
     restart.wait ();
 }
 
-/// A caller uses its connection for as long as it is kept open for it.
+/// A caller reuses its connection as long as the gateway keeps it open.
 void
 Soak::call_loop (int caller)
 {
@@ -467,9 +468,8 @@
     }
 }
 
-/// Two requests that end each target that begins to run them are sent again
-/// and again, through any gateway; the targets are back after a
-/// timeline_entry.
+/// Two requests that crash each target that begins to run them are sent
+/// repeatedly through any gateway; crashed targets restart after a short time.
 void
 Soak::fatal_request_loop ()
 {
@@ -496,7 +496,7 @@
   site_.begin_ended_again ();
 }
 
-/// One workspace has no limit, one is pressed, and one loses its only key.
+/// One workspace is unlimited, one reaches its quota, one loses its only key.
 void
 Soak::begin_workspaces ()
 {
@@ -520,7 +520,7 @@
   key_revoked_at_ = std::chrono::steady_clock::now ();
 }
 
-/// One caller whose key is taken away, the others press a quota.
+/// One caller's key is revoked; the others exceed a quota.
 void
 Soak::workspace_loop (int caller)
 {
@@ -543,7 +543,7 @@
     }
 }
 
-/// A process that served a route of some configuration never forgets it.
+/// A process that served a route of a configuration keeps serving it.
 void
 Soak::config_probe_loop ()
 {
--- a/test/soak/soak.h
+++ b/test/soak/soak.h
@@ -1,7 +1,7 @@
 /// @file soak.h
 /// One soak run: the real daemons as separate processes on loopback, a plan of
-/// faults from outside them, callers that never stop, and checks of what
-/// callers and targets saw.
+/// faults injected from outside, callers that send continuously, and checks of
+/// what callers and targets observed.
 #ifndef KB_TEST_SOAK_SOAK_H
 #define KB_TEST_SOAK_SOAK_H
 
@@ -13,25 +13,25 @@
 namespace relay
 {
 
-/// Quota of the workspace that is pressed.
+/// Quota of the limited workspace.
 constexpr int kSoakQuotaRate = 150;
 constexpr int kSoakQuotaBurst = 150;
 
-/// What a caller saw of one request.
+/// What a caller observed of one request.
 struct Record
 {
   std::string id;
-  std::string gateway; ///< Its name.
+  std::string gateway; ///< Name of the gateway.
   std::string adapter; ///< Empty: none.
   bool is_stream = false;
   bool is_repeatable = false;
   Message answer;
-  bool can_lose_key = false; ///< Its key is taken away.
+  bool can_lose_key = false; ///< Its key is revoked during the run.
 };
 
 struct Violation
 {
-  std::string attempt_id; ///< Empty: of no single request.
+  std::string attempt_id; ///< Empty: not about a single request.
   std::string text;
 };
 
@@ -47,9 +47,9 @@
 {
 public:
   Soak (uint64_t seed, int length_ms, const SoakSize &size = {});
-  /// @return  What was violated, in the order in which it was found.
+  /// @return  Violations, in the order in which they were found.
   const std::vector<Violation> &run ();
-  /// Seed, plan, first violation, and the log lines of its request.
+  /// @return  Seed, plan, first violation, and the log lines of its request.
   std::string report () const;
 
 private:
@@ -63,10 +63,10 @@
   void publish_adapter_version (int adapter);
   void inject_target_failures (const FaultStep &fault_step);
   void restart_engine (int subject);
-  /// List a target as it is, or as it was before.
+  /// List a target with its current or an earlier start time.
   void list_target (int subject, int64_t born_shift_ms);
   void write_invalid_entry (const FaultStep &fault_step);
-  /// What targets stated ends with their lives.
+  /// Restart targets with announcements, which end with the incarnation.
   void clear_announcements ();
   void heal ();
   void call_loop (int caller);
@@ -106,13 +106,14 @@
   Proxies proxies_;
   Site site_;
   std::atomic<bool> is_done_{ false };
-  std::mutex mutex_; ///< Of all below.
+  std::mutex mutex_; ///< Guards the members below.
   std::vector<Record> records_;
   std::vector<Violation> violations_;
   std::set<Daemon *> restarting_;
   std::vector<std::future<void>> restarts_;
   std::string probe_routes_;
-  std::string key_line_; ///< Of callers that keep their key; may be empty.
+  std::string
+      key_line_; ///< Header with a key that is never revoked; may be empty.
   std::chrono::steady_clock::time_point key_revoked_at_;
   int config_version_ = 10;
   int adapter_version_ = 1;
--- a/test/soak/soak_test.cc
+++ b/test/soak/soak_test.cc
@@ -1,9 +1,9 @@
-// A randomized soak: the real programs as separate processes, faults from
-// outside, and the promises checked from what callers and targets see.
+// Randomized soak: the real programs as separate processes, faults injected
+// from outside, and promises checked from what callers and targets observe.
 //
-// KB_SOAK_SEEDS ("7" or "1-50") and KB_SOAK_S (seconds of faults a seed)
-// choose the runs, KB_SOAK_ENGINES the size; without them a short run with
-// fixed seeds is played.
+// KB_SOAK_SEEDS ("7" or "1-50") and KB_SOAK_S (seconds of faults per seed)
+// select the runs, KB_SOAK_ENGINES the size; by default a short run with fixed
+// seeds is made.
 #include <gtest/gtest.h>
 
 #include "soak.h"
@@ -16,14 +16,15 @@
 std::vector<uint64_t>
 seeds ()
 {
-  // Seeds that failed once are played always. 1: a sidecar that gave orders
-  // before it knew its configuration held five adapters in four places.
-  // 212: a request that others send all the time under many adapters, and that
-  // is served between the ends of its engines, was held. 218: a store that was
-  // away hid the ends of plain targets from the gateways. 231: what broke off
-  // after the end of a plain target hid subject had been alone there.
-  // 301: the first with workspaces. 402: a request that ends plain targets was
-  // never alone at one, because others were always there.
+  // Seeds that once failed always run.
+  // 1: a sidecar that issued orders before it had its configuration loaded
+  // five adapters into four slots. 212: a request that callers send
+  // continuously under many adapters, and that succeeds between the crashes of
+  // its engines, was held in quarantine. 218: an unavailable store hid crashes
+  // of plain targets from the gateways. 231: attempts that broke off after the
+  // crash of a plain target hid which request had been alone there. 301: the
+  // first seed with workspaces. 402: a request that crashes plain targets was
+  // never alone at one, because others were always running there.
   std::vector<uint64_t> list = { 1, 2, 212, 218, 231, 301, 402 };
   const char *text = getenv ("KB_SOAK_SEEDS");
   if (text == nullptr)
@@ -66,9 +67,9 @@
   EXPECT_NE (describe (draw_plan (7, 6000)), describe (draw_plan (8, 6000)));
 }
 
-// A soak that finds nothing may be one that can find nothing. The daemon of
-// this test takes every request for one that may be repeated; what a target
-// ran and did not answer then runs again at another one.
+// Checks that the soak can find a fault. The daemon of this test treats every
+// request as repeatable, so a request that a target ran and did not answer
+// runs again at another target.
 TEST (Soak, APlantedFaultIsFound)
 {
   setenv ("KB_BIN_DIR", KB_PLANTED_BIN_DIR, 1);
