--- a/test/soak/soak.cc
+++ b/test/soak/soak.cc
@@ -17,7 +17,7 @@
 constexpr int kDownIntervals = 4;
 constexpr int kFatalTimeoutMs = 1000;
 /// The key is revoked after 1/n of the time of the faults.
-constexpr int kKeyRevokedAfterFraction = 3;
+constexpr int kKeyRevokedAfterDivisor = 3;
 constexpr int kWorkspaceCallers = 3;
 /// Bound in the settings of the daemons.
 constexpr int kLeaveBoundMs = 2000;
@@ -147,7 +147,7 @@
     }
   if (seed_ > kLastSeedWithoutWorkspaces)
     timeline.insert (
-        { length_ms_ / kKeyRevokedAfterFraction, { nullptr, true } });
+        { length_ms_ / kKeyRevokedAfterDivisor, { nullptr, true } });
   for (const auto &[at_ms, timeline_entry] : timeline)
     {
       sleep_until_offset (start, at_ms);
