--- a/test/model/quota_model_test.cc
+++ b/test/model/quota_model_test.cc
@@ -35,10 +35,10 @@
   o.gateways = 8;
   o.sidecars = 6;
   bool has_turns = seed % 2 == 0;
-  o.turns = has_turns ? 4 : 1;
+  o.rotation_size = has_turns ? 4 : 1;
   o.load = has_turns ? 0.5 : 4;
-  o.hot = has_turns ? 10 : 1;
-  o.end_ms = 24000;
+  o.surge_factor = has_turns ? 10 : 1;
+  o.simulated_ms = 24000;
   o.events = draw_quota_events (seed, o);
   return o;
 }
@@ -48,9 +48,9 @@
 {
   std::string text = "seed " + std::to_string (o.seed) + "\n";
   for (const QuotaEvent &e : o.events)
-    text += std::to_string (e.at_ms) + " " + name_of (e.fault) + " for "
-            + std::to_string (e.for_ms) + " at " + std::to_string (e.which)
-            + "\n";
+    text += std::to_string (e.at_ms) + " " + fault_name (e.fault) + " for "
+            + std::to_string (e.duration_ms) + " at "
+            + std::to_string (e.process_index) + "\n";
   return text;
 }
 
@@ -64,9 +64,9 @@
   for (uint64_t seed = 1; seed <= schedules; seed++)
     {
       QuotaOptions o = pressed (seed);
-      QuotaOutcome out = play_quota (o);
-      worst = std::max (worst, out.worst_window);
-      ASSERT_EQ (out.broken, "") << describe (o);
+      QuotaOutcome out = simulate_quota (o);
+      worst = std::max (worst, out.max_window_ratio);
+      ASSERT_EQ (out.violation, "") << describe (o);
       // A quota that admits next to nothing would pass the check above.
       ASSERT_GT (out.admitted, 0.3 * out.ideal) << describe (o);
     }
@@ -82,7 +82,7 @@
         QuotaOptions o;
         o.gateways = gateways;
         o.load = load;
-        QuotaOutcome out = play_quota (o);
+        QuotaOutcome out = simulate_quota (o);
         EXPECT_GE (out.admitted, 0.98 * out.ideal) << gateways << " " << load;
       }
 }
@@ -90,7 +90,7 @@
 /// Each kind of fault, active for half of the time.
 TEST (QuotaModel, MostDemandWithinTheQuotaIsAdmittedUnderFaults)
 {
-  for (int fault = 0; fault < (int)QuotaFault::FAULTS; fault++)
+  for (int fault = 0; fault < (int)QuotaFault::FAULT_COUNT; fault++)
     {
       double admitted = 0;
       double ideal = 0;
@@ -101,12 +101,12 @@
           for (uint64_t at_ms : { 4000u, 12000u, 20000u })
             o.events.push_back ({ at_ms, (QuotaFault)fault, 4000,
                                   (uint32_t)(seed + at_ms / 4000) });
-          QuotaOutcome out = play_quota (o);
+          QuotaOutcome out = simulate_quota (o);
           admitted += out.admitted;
           ideal += out.ideal;
-          EXPECT_EQ (out.broken, "") << describe (o);
+          EXPECT_EQ (out.violation, "") << describe (o);
         }
-      EXPECT_GE (admitted, 0.95 * ideal) << name_of ((QuotaFault)fault);
+      EXPECT_GE (admitted, 0.95 * ideal) << fault_name ((QuotaFault)fault);
     }
 }
 
@@ -116,9 +116,9 @@
   QuotaOptions o;
   o.limit = { 4200, 4200 };
   o.load = 0.5;
-  QuotaOutcome out = play_quota (o);
+  QuotaOutcome out = simulate_quota (o);
   EXPECT_GE (out.admitted, 0.98 * out.ideal);
-  EXPECT_EQ (out.broken, "");
+  EXPECT_EQ (out.violation, "");
 }
 
 /// A quota that counts requests instead of tokens.
@@ -127,13 +127,13 @@
   QuotaOptions o;
   o.limit = { 100, 50 };
   o.tolerance = { 8, 0.1, 20 };
-  o.mean_request = 1;
+  o.mean_request_cost = 1;
   // Requests count one to four here, 1.6 in the mean.
   o.load = 0.5;
-  QuotaOutcome out = play_quota (o);
+  QuotaOutcome out = simulate_quota (o);
   EXPECT_GE (out.admitted, 0.98 * out.ideal);
   o.load = 5;
-  EXPECT_EQ (play_quota (o).broken, "");
+  EXPECT_EQ (simulate_quota (o).violation, "");
 }
 
 /// A request limit of a plain target, with demand far beyond it.
@@ -145,7 +145,7 @@
   o.tolerance = bkp_limit_tolerance;
   o.is_capped_by_reach = true;
   // Each request counts one.
-  o.mean_request = 0.25;
+  o.mean_request_cost = 0.25;
   return o;
 }
 
@@ -156,9 +156,9 @@
       double worst = 0;
       for (uint64_t seed = 1; seed <= SCHEDULES / 3; seed++)
         {
-          QuotaOutcome out = play_quota (limited_target (per_s, seed));
-          worst = std::max (worst, out.worst_window);
-          ASSERT_EQ (out.broken, "")
+          QuotaOutcome out = simulate_quota (limited_target (per_s, seed));
+          worst = std::max (worst, out.max_window_ratio);
+          ASSERT_EQ (out.violation, "")
               << per_s << " " << describe (limited_target (per_s, seed));
         }
       printf ("%.1f a second: worst window %.3f of what is allowed\n", per_s,
@@ -174,27 +174,27 @@
       QuotaOptions o = limited_target (4, 1);
       o.gateways = gateways;
       o.events.clear ();
-      QuotaOutcome out = play_quota (o);
+      QuotaOutcome out = simulate_quota (o);
       printf ("%u gateways: %.0f of %.0f, %.0f bytes/s a pair\n", gateways,
-              out.admitted, 4.0 * (double)o.end_ms / 1000,
+              out.admitted, 4.0 * (double)o.simulated_ms / 1000,
               out.bytes / out.pair_seconds);
-      EXPECT_GE (out.admitted, part * 4 * (double)o.end_ms / 1000);
+      EXPECT_GE (out.admitted, part * 4 * (double)o.simulated_ms / 1000);
     }
 }
 
 void
-expect_found (QuotaPlanted planted, uint32_t turns = 0)
+expect_found (QuotaInjectedBug injected_bug, uint32_t rotation_size = 0)
 {
   for (uint64_t seed = 1; seed <= PLANTED_SCHEDULES; seed++)
     {
       QuotaOptions o = pressed (seed);
-      o.planted = planted;
-      if (turns > 0)
-        o.gateways = o.turns = turns;
-      QuotaOutcome out = play_quota (o);
-      if (out.broken.empty ())
+      o.injected_bug = injected_bug;
+      if (rotation_size > 0)
+        o.gateways = o.rotation_size = rotation_size;
+      QuotaOutcome out = simulate_quota (o);
+      if (out.violation.empty ())
         continue;
-      printf ("found by seed %d: %s\n", (int)seed, out.broken.c_str ());
+      printf ("found by seed %d: %s\n", (int)seed, out.violation.c_str ());
       return;
     }
   ADD_FAILURE () << "no schedule shows it";
@@ -203,31 +203,31 @@
 // A gateway that was suspended resumes and spends credit from before.
 TEST (QuotaModel, FindsCreditThatNeverExpires)
 {
-  expect_found (QuotaPlanted::CREDIT_NEVER_LAPSES, 24);
+  expect_found (QuotaInjectedBug::CREDIT_NEVER_EXPIRES, 24);
 }
 
 // A lender that restarts or replaces another one lends a whole burst again.
 TEST (QuotaModel, FindsALenderWithoutEarlierLedgers)
 {
-  expect_found (QuotaPlanted::NOTHING_IS_TOLD);
+  expect_found (QuotaInjectedBug::NO_LEDGER_REPORTS);
 }
 
 // Gateways that do not reach the lender get the whole quota from another one.
 TEST (QuotaModel, FindsASecondLenderThatLendsAll)
 {
-  expect_found (QuotaPlanted::SECOND_LENDS_ALL);
+  expect_found (QuotaInjectedBug::SECOND_LENDER_LENDS_ALL);
 }
 
 // A duplicated grant is spent twice.
 TEST (QuotaModel, FindsAGrantThatCountsTwice)
 {
-  expect_found (QuotaPlanted::GRANT_COUNTS_TWICE);
+  expect_found (QuotaInjectedBug::GRANT_APPLIED_TWICE);
 }
 
 // Gateways and lenders that restart together lend a whole burst again.
 TEST (QuotaModel, FindsAStartThatAssumesNothing)
 {
-  expect_found (QuotaPlanted::START_ASSUMES_NOTHING);
+  expect_found (QuotaInjectedBug::RESTART_IGNORES_LENT_CREDIT);
 }
 
 } // namespace
--- a/tools/lab/main.cc
+++ b/tools/lab/main.cc
@@ -17,20 +17,20 @@
 namespace
 {
 
-constexpr double kFactors[] = { 0.5, 0.8, 1.0, 1.5, 3.0 };
+constexpr double kLoadFactors[] = { 0.5, 0.8, 1.0, 1.5, 3.0 };
 
 struct Means
 {
   double goodput = 0;
   double late = 0;
   double refused = 0;
-  double left = 0;
-  double held_ms = 0;
+  double timed_out = 0;
+  double unserved_wait_ms = 0;
   double p50_ms = 0;
   double p99_ms = 0;
-  double worst_kind = 0;
-  double worst_domain = 0;
-  double rest = 0; ///< Rare adapters.
+  double min_kind_share = 0;
+  double min_domain_share = 0;
+  double rare_in_time = 0; ///< Rare adapters.
   double fetches = 0;
   int count = 0;
 };
@@ -38,31 +38,31 @@
 /// The smallest part in time of any group of callers.
 template <typename Key>
 double
-worst_of (const std::map<Key, lab::Share> &shares)
+worst_share_in_time (const std::map<Key, lab::GroupOutcome> &shares)
 {
   double worst = 1;
   for (auto &[name, s] : shares)
-    if (s.asked > 0)
-      worst = std::min (worst, (double)s.in_time / s.asked);
+    if (s.requests > 0)
+      worst = std::min (worst, (double)s.in_time / s.requests);
   return worst;
 }
 
 void
 add (Means *m, const lab::Outcome &o)
 {
-  double n = o.asked > 0 ? o.asked : 1;
+  double n = o.requests > 0 ? o.requests : 1;
   m->goodput += o.goodput ();
   m->late += o.late / n;
   m->refused += o.refused / n;
-  m->left += o.left / n;
-  m->held_ms += o.held_ms;
-  m->p50_ms += o.first_ms_at (0.5);
-  m->p99_ms += o.first_ms_at (0.99);
-  m->worst_kind += worst_of (o.kinds);
-  m->worst_domain += worst_of (o.domains);
-  auto rest = o.popularity.find ("rest");
-  if (rest != o.popularity.end () && rest->second.asked > 0)
-    m->rest += (double)rest->second.in_time / rest->second.asked;
+  m->timed_out += o.timed_out / n;
+  m->unserved_wait_ms += o.unserved_wait_ms;
+  m->p50_ms += o.first_ms_quantile (0.5);
+  m->p99_ms += o.first_ms_quantile (0.99);
+  m->min_kind_share += worst_share_in_time (o.kinds);
+  m->min_domain_share += worst_share_in_time (o.domains);
+  auto rare = o.popularity.find ("rest");
+  if (rare != o.popularity.end () && rare->second.requests > 0)
+    m->rare_in_time += (double)rare->second.in_time / rare->second.requests;
   m->fetches += o.fetches;
   m->count++;
 }
@@ -73,13 +73,14 @@
   double n = m.count;
   printf ("%-6s %4.1f  %7.3f %6.3f %8.3f %6.3f %8.0f %7.0f %7.0f %6.3f %7.3f "
           "%6.3f %8.0f\n",
-          policy, factor, m.goodput / n, m.late / n, m.refused / n, m.left / n,
-          m.held_ms / n, m.p50_ms / n, m.p99_ms / n, m.worst_kind / n,
-          m.worst_domain / n, m.rest / n, m.fetches / n);
+          policy, factor, m.goodput / n, m.late / n, m.refused / n,
+          m.timed_out / n, m.unserved_wait_ms / n, m.p50_ms / n, m.p99_ms / n,
+          m.min_kind_share / n, m.min_domain_share / n, m.rare_in_time / n,
+          m.fetches / n);
 }
 
 json_object *
-outcome_json (uint64_t seed, double factor, const char *bound,
+outcome_json (uint64_t seed, double factor, const char *bottleneck,
               const lab::Outcome &o)
 {
   json_object *row = json_object_new_object ();
@@ -88,24 +89,24 @@
   };
   put ("seed", (double)seed);
   put ("factor", factor);
-  json_object_object_add (row, "bound", json_object_new_string (bound));
-  put ("asked", o.asked);
+  json_object_object_add (row, "bound", json_object_new_string (bottleneck));
+  put ("asked", o.requests);
   put ("in_time", o.in_time);
   put ("late", o.late);
-  put ("paused", o.paused);
+  put ("paused", o.late_by_gap);
   put ("refused", o.refused);
-  put ("left", o.left);
+  put ("left", o.timed_out);
   put ("lost", o.lost);
   put ("fetches", o.fetches);
   put ("stall_s", o.stall_s);
-  put ("held_ms", o.held_ms);
-  put ("p50_ms", o.first_ms_at (0.5));
-  put ("p99_ms", o.first_ms_at (0.99));
+  put ("held_ms", o.unserved_wait_ms);
+  put ("p50_ms", o.first_ms_quantile (0.5));
+  put ("p99_ms", o.first_ms_quantile (0.99));
   put ("goodput", o.goodput ());
   return row;
 }
 
-/// Print how goodput differs from the rows of another build, by bound.
+/// Print how goodput differs from the rows of another build, by bottleneck.
 int
 compare (const char *path, json_object *rows)
 {
@@ -134,10 +135,10 @@
       double diff = number (b, "goodput") - number (a, "goodput");
       char factor[32];
       snprintf (factor, sizeof factor, " x %.1f", number (b, "factor"));
-      std::string bound
+      std::string bottleneck
           = json_object_get_string (json_object_object_get (b, "bound"));
       for (const std::string &name :
-           { bound + factor, "all" + std::string (factor),
+           { bottleneck + factor, "all" + std::string (factor),
              std::string ("all") })
         {
           sums[name].diff += diff;
@@ -185,24 +186,25 @@
   json_object *rows = json_object_new_array ();
   printf ("policy load  goodput   late  refused   left  held ms  p50 ms  "
           "p99 ms  kind   domain   rare  fetches\n");
-  for (lab::Policy policy : { lab::Policy::OURS, lab::Policy::PLAIN })
-    for (double factor : kFactors)
+  for (lab::Policy policy :
+       { lab::Policy::COORDINATED, lab::Policy::BASELINE })
+    for (double factor : kLoadFactors)
       {
-        if (policy == lab::Policy::PLAIN && plain->count == 0)
+        if (policy == lab::Policy::BASELINE && plain->count == 0)
           continue;
         Means means;
         for (int seed = from; seed < from + count; seed++)
           {
-            lab::Deployment d = lab::draw ((uint64_t)seed);
-            lab::Outcome o = lab::play (d, policy, factor);
+            lab::Deployment d = lab::draw_deployment ((uint64_t)seed);
+            lab::Outcome o = lab::simulate (d, policy, factor);
             add (&means, o);
-            if (policy == lab::Policy::OURS)
-              json_object_array_add (
-                  rows,
-                  outcome_json ((uint64_t)seed, factor, lab::bound_of (d), o));
+            if (policy == lab::Policy::COORDINATED)
+              json_object_array_add (rows,
+                                     outcome_json ((uint64_t)seed, factor,
+                                                   lab::bottleneck_of (d), o));
           }
-        print_row (policy == lab::Policy::OURS ? "ours" : "plain", factor,
-                   means);
+        print_row (policy == lab::Policy::COORDINATED ? "ours" : "plain",
+                   factor, means);
       }
   int code = 0;
   if (json->count > 0
--- a/tools/lab/model.cc
+++ b/tools/lab/model.cc
@@ -17,15 +17,18 @@
 {
 
 constexpr uint64_t kStepMs = 2;
-constexpr uint64_t kPumpMs = 10; ///< Sidecars look again while requests wait.
-constexpr uint64_t kReportMs = 25; ///< Between two reports of an engine.
-constexpr uint64_t kTellMs = 100;  ///< Between two words to the gateways.
-constexpr uint64_t kOrderMs = 2;   ///< An order and its answer.
+constexpr uint64_t kSchedulingMs
+    = 10; ///< Sidecars look again while requests wait.
+constexpr uint64_t kEngineReportMs = 25; ///< Between two reports of an engine.
+constexpr uint64_t kGatewayReportMs
+    = 100;                       ///< Between two words to the gateways.
+constexpr uint64_t kOrderMs = 2; ///< An order and its answer.
 constexpr uint64_t kLostOrderMs = 30;
 constexpr int kMaxTries = 8;
-constexpr double kChunkTokens = 4096; ///< Most of prompts in one step.
-constexpr double kSquareTokens = 22000;
-constexpr double kPatienceObjectives = 4;
+constexpr double kMaxPromptTokensPerStep
+    = 4096; ///< Most of prompts in one step.
+constexpr double kQuadraticTokens = 22000;
+constexpr double kTimeoutObjectives = 4;
 
 struct Request
 {
@@ -34,14 +37,14 @@
   int rank = 0;
   const Kind *kind = nullptr;
   int domain = 0;
-  uint64_t asked_ms = 0;   ///< First attempt.
-  uint64_t arrived_ms = 0; ///< This attempt.
-  uint64_t due_ms = 0;
-  bool is_second = false;
+  uint64_t first_attempt_ms = 0; ///< First attempt.
+  uint64_t arrived_ms = 0;       ///< This attempt.
+  uint64_t timeout_at_ms = 0;
+  bool is_retry = false;
   double prompt = 0;
-  double prompt_left = 0;
+  double prompt_tokens_left = 0;
   int output = 0;
-  int made = 0;
+  int generated = 0;
   uint64_t first_ms = 0;
   uint64_t event_ms = 0;
   uint64_t longest_gap_ms = 0;
@@ -49,8 +52,8 @@
   std::set<int> tried;
   bool is_late = false;
   int engine = -1;
-  bool runs = false;
-  adm_request_t *ask = nullptr;
+  bool is_running = false;
+  adm_request_t *admission = nullptr;
 };
 
 struct Fetch
@@ -63,28 +66,29 @@
 struct Engine
 {
   adm_table_t table = {};
-  std::map<int, uint64_t> held; ///< Adapter and when it was last used.
-  std::map<int, uint64_t> copies;
+  std::map<int, uint64_t> resident; ///< Adapter and when it was last used.
+  std::map<int, uint64_t> host_cache;
   std::vector<Fetch> fetches;
   std::vector<uint64_t> running;
   std::vector<uint64_t> queue; ///< Of the plain version.
   uint64_t step_end_ms = 0;
-  std::vector<std::pair<uint64_t, double>> pieces; ///< Read in this step.
-  uint64_t busy_until_ms = 0;                      ///< An order is under way.
-  uint64_t up_ms = 0;                              ///< Down before that.
-  uint64_t report_ms = 0;
-  // As told to the gateways.
-  plc_candidate_t told = {};
-  std::map<int, plc_holding_t> told_adapters;
-  uint32_t asked_since = 0;
-  double asked_tokens = 0;
+  std::vector<std::pair<uint64_t, double>>
+      prompt_chunks;           ///< Read in this step.
+  uint64_t order_until_ms = 0; ///< An order is under way.
+  uint64_t up_from_ms = 0;     ///< Down before that.
+  uint64_t last_report_ms = 0;
+  // As reported to the gateways.
+  plc_candidate_t reported = {};
+  std::map<int, plc_holding_t> reported_adapters;
+  uint32_t sent_since_report = 0;
+  double tokens_since_report = 0;
 };
 
-class Site
+class Simulation
 {
 public:
-  Site (const Deployment &d, Policy policy, double factor)
-      : d_ (d), is_plain_ (policy == Policy::PLAIN), factor_ (factor),
+  Simulation (const Deployment &d, Policy policy, double factor)
+      : d_ (d), is_baseline_ (policy == Policy::BASELINE), factor_ (factor),
         random_ (d.seed), engines_ ((size_t)d.engines)
   {
     double sum = 0;
@@ -94,47 +98,51 @@
     adm_options_t options = {};
     options.slots = d.slots;
     options.kv_tokens = d.kv_tokens;
-    options.adapter_slots = d.adapter_places;
+    options.adapter_slots = d.engine_adapter_slots;
     options.max_cold_loads = 3;
     options.max_loads_in_progress = 4;
     for (auto &e : engines_)
       {
         adm_table_init (&e.table, &options);
-        pce_set_max_gap (&e.table.reading.pace, d.gap_ms);
+        pce_set_max_gap (&e.table.reading.pace, d.max_event_gap_ms);
         e.table.is_engine_ready = true;
       }
   }
-  ~Site ()
+  ~Simulation ()
   {
     for (auto &e : engines_)
       adm_table_finish (&e.table);
   }
-  Site (const Site &) = delete;
-  Site &operator= (const Site &) = delete;
+  Simulation (const Simulation &) = delete;
+  Simulation &operator= (const Simulation &) = delete;
 
   Outcome
-  play ()
+  simulate ()
   {
-    double due = 0;
-    for (now_ = 1000; now_ < 1000 + d_.day_ms; now_ += kStepMs)
+    double due_arrivals = 0;
+    for (now_ = 1000; now_ < 1000 + d_.simulated_ms; now_ += kStepMs)
       {
         begin_events ();
-        due += d_.requests_per_s * factor_ * burst () * kStepMs / 1000.0;
-        for (; due >= d_.clump; due -= d_.clump)
-          for (int i = 0; i < d_.clump; i++)
+        due_arrivals += d_.requests_per_s * factor_ * burst_factor () * kStepMs
+                        / 1000.0;
+        for (; due_arrivals >= d_.arrival_group_size;
+             due_arrivals -= d_.arrival_group_size)
+          for (int i = 0; i < d_.arrival_group_size; i++)
             arrive ();
-        come_back ();
-        bring ();
+        start_retries ();
+        advance_fetches ();
         for (size_t i = 0; i < engines_.size (); i++)
-          turn (engines_[i], (int)i);
+          advance_engine (engines_[i], (int)i);
         if (now_ % 10 == 0)
-          leave ();
+          remove_timed_out ();
       }
-    // Whoever is still served at the end of the day counts as asked never.
-    outcome_.asked -= (int)requests_.size () + (int)returning_.size ();
+    // Whoever is unfinished served at the end of the day counts as requests
+    // never.
+    outcome_.requests -= (int)requests_.size () + (int)retries_.size ();
     std::sort (outcome_.first_ms.begin (), outcome_.first_ms.end ());
-    int nothing = outcome_.refused + outcome_.left;
-    outcome_.held_ms = nothing > 0 ? held_ms_ / nothing : 0;
+    int unserved = outcome_.refused + outcome_.timed_out;
+    outcome_.unserved_wait_ms
+        = unserved > 0 ? unserved_wait_ms_ / unserved : 0;
     return std::move (outcome_);
   }
 
@@ -151,25 +159,25 @@
     return kb_hash (name.data (), name.size (), 0) | 1;
   }
   bool
-  is_on (const Event &e) const
+  is_active (const Event &e) const
   {
     uint64_t at = now_ - 1000;
-    return at >= e.at_ms && at < e.at_ms + e.for_ms;
+    return at >= e.at_ms && at < e.at_ms + e.duration_ms;
   }
   double
-  burst () const
+  burst_factor () const
   {
     double x = 1;
     for (const Event &e : d_.events)
-      if (e.trouble == Trouble::BURST && is_on (e))
+      if (e.type == EventType::BURST && is_active (e))
         x *= e.amount;
     return x;
   }
   double
-  lost_orders () const
+  order_loss_probability () const
   {
     for (const Event &e : d_.events)
-      if (e.trouble == Trouble::LOST_ORDERS && is_on (e))
+      if (e.type == EventType::LOST_ORDERS && is_active (e))
         return e.amount;
     return 0;
   }
@@ -180,20 +188,20 @@
       {
         if (now_ - 1000 != e.at_ms)
           continue;
-        if (e.trouble == Trouble::SHIFT)
-          moved_ += (int)e.amount;
-        size_t gone = 0;
-        if (e.trouble == Trouble::POWER_LOSS)
-          gone = engines_.size ();
-        if (e.trouble == Trouble::ENGINE_LOSS)
-          gone = (size_t)std::ceil (e.amount * (double)engines_.size ());
-        for (size_t i = 0; i < gone; i++)
-          lose (engines_[i], e.for_ms + d_.model_ms);
+        if (e.type == EventType::POPULARITY_SHIFT)
+          popularity_offset_ += (int)e.amount;
+        size_t stopped = 0;
+        if (e.type == EventType::POWER_LOSS)
+          stopped = engines_.size ();
+        if (e.type == EventType::ENGINE_LOSS)
+          stopped = (size_t)std::ceil (e.amount * (double)engines_.size ());
+        for (size_t i = 0; i < stopped; i++)
+          stop_engine (engines_[i], e.duration_ms + d_.model_load_ms);
       }
   }
-  /// An engine is down and comes back with its model and nothing else.
+  /// An engine is down and comes back with its model and unserved else.
   void
-  lose (Engine &e, uint64_t for_ms)
+  stop_engine (Engine &e, uint64_t duration_ms)
   {
     std::vector<uint64_t> open;
     for (auto &[id, r] : requests_)
@@ -201,21 +209,21 @@
         open.push_back (id);
     for (uint64_t id : open)
       {
-        drop_ask (requests_[id]);
+        remove_admission (requests_[id]);
         outcome_.lost++;
         requests_.erase (id);
       }
-    e.held.clear ();
-    e.copies.clear ();
+    e.resident.clear ();
+    e.host_cache.clear ();
     e.fetches.clear ();
     e.running.clear ();
     e.queue.clear ();
-    e.pieces.clear ();
+    e.prompt_chunks.clear ();
     e.step_end_ms = 0;
-    e.up_ms = now_ + for_ms;
+    e.up_from_ms = now_ + duration_ms;
     adm_handle_engine_restart (&e.table);
     e.table.is_engine_ready = false;
-    e.told.is_usable = false;
+    e.reported.is_usable = false;
   }
   int
   draw_rank ()
@@ -240,22 +248,22 @@
     Request r;
     r.id = ++last_id_;
     r.rank = draw_rank ();
-    r.adapter = (r.rank + moved_) % d_.adapters;
+    r.adapter = (r.rank + popularity_offset_) % d_.adapters;
     r.kind = &draw_kind ();
     r.domain = std::uniform_int_distribution<> (0, d_.domains - 1) (random_);
-    r.asked_ms = now_;
+    r.first_attempt_ms = now_;
     std::lognormal_distribution<> prompt (std::log (r.kind->prompt),
                                           r.kind->spread);
     r.prompt = std::min (prompt (random_), 6000.0) + 50;
     std::exponential_distribution<> output (1 / r.kind->output);
     r.output = 1 + (int)std::min (output (random_), 600.0);
-    outcome_.asked++;
-    share_of (r, [] (Share &s) { s.asked++; });
-    enter (r);
+    outcome_.requests++;
+    update_groups (r, [] (GroupOutcome &s) { s.requests++; });
+    start_attempt (r);
   }
   template <typename F>
   void
-  share_of (const Request &r, F change)
+  update_groups (const Request &r, F change)
   {
     change (outcome_.kinds[r.kind->name]);
     change (outcome_.domains[r.domain]);
@@ -266,27 +274,29 @@
   }
   /// An attempt of a caller, the first or the one after a refusal.
   void
-  enter (Request r)
+  start_attempt (Request r)
   {
     r.arrived_ms = now_;
-    r.prompt_left = r.prompt;
+    r.prompt_tokens_left = r.prompt;
     r.tried.clear ();
-    double patience = kPatienceObjectives * (double)r.kind->aim_ms;
-    r.due_ms
-        = std::min (now_ + (uint64_t)patience, r.asked_ms + r.kind->end_ms);
+    double timeout_ms
+        = kTimeoutObjectives * (double)r.kind->first_event_objective_ms;
+    r.timeout_at_ms
+        = std::min (now_ + (uint64_t)timeout_ms,
+                    r.first_attempt_ms + r.kind->caller_timeout_ms);
     requests_[r.id] = r;
-    Request &kept = requests_[r.id];
-    if (is_plain_)
-      enter_plain (kept);
+    Request &attempt = requests_[r.id];
+    if (is_baseline_)
+      start_baseline_attempt (attempt);
     else
-      ask (kept);
+      place_request (attempt);
   }
   void
-  enter_plain (Request &r)
+  start_baseline_attempt (Request &r)
   {
     std::vector<int> up;
     for (int i = 0; i < d_.engines; i++)
-      if (engines_[(size_t)i].up_ms <= now_)
+      if (engines_[(size_t)i].up_from_ms <= now_)
         up.push_back (i);
     if (up.empty ())
       {
@@ -299,54 +309,55 @@
     engines_[(size_t)r.engine].queue.push_back (r.id);
   }
   plc_candidate_t
-  view_of (const Request &r, int at)
+  candidate_for (const Request &r, int at)
   {
     Engine &e = engines_[(size_t)at];
-    plc_candidate_t v = e.told;
+    plc_candidate_t v = e.reported;
     v.key = (uint64_t)at + 1;
-    v.is_usable = e.told.is_usable && r.tried.count (at) == 0;
+    v.is_usable = e.reported.is_usable && r.tried.count (at) == 0;
     v.is_same_domain = at % d_.domains == r.domain;
-    v.busy_slots += e.asked_since;
+    v.busy_slots += e.sent_since_report;
     double rate = v.tokens_per_ms > 0 ? v.tokens_per_ms : 1;
-    v.backlog_ms += e.asked_tokens / rate;
-    auto it = e.told_adapters.find (r.adapter);
-    v.holding = it != e.told_adapters.end ()     ? it->second
-                : e.copies.count (r.adapter) > 0 ? PLC_WARM
-                                                 : PLC_ABSENT;
+    v.backlog_ms += e.tokens_since_report / rate;
+    auto it = e.reported_adapters.find (r.adapter);
+    v.holding = it != e.reported_adapters.end ()     ? it->second
+                : e.host_cache.count (r.adapter) > 0 ? PLC_WARM
+                                                     : PLC_ABSENT;
     if (r.is_late && v.holding == PLC_ABSENT)
       v.is_usable = false;
     return v;
   }
   void
-  ask (Request &r)
+  place_request (Request &r)
   {
     uint64_t retry_ms = 0;
     for (int tries = 0; tries < kMaxTries; tries++)
       {
-        std::vector<plc_candidate_t> views;
+        std::vector<plc_candidate_t> candidates;
         for (int i = 0; i < d_.engines; i++)
-          views.push_back (view_of (r, i));
+          candidates.push_back (candidate_for (r, i));
         plc_request_t request = {};
         request.adapter = key_of (r.adapter);
         request.prompt_tokens = (uint32_t)r.prompt;
-        int32_t at = plc_choose (&costs_, views.data (),
-                                 (uint32_t)views.size (), &request);
+        int32_t at = plc_choose (&costs_, candidates.data (),
+                                 (uint32_t)candidates.size (), &request);
         if (at == PLC_NONE)
           break;
-        if (ask_at (r, at, &retry_ms))
+        if (request_place (r, at, &retry_ms))
           return;
         r.tried.insert (at);
-        r.is_late = r.is_late || now_ > r.arrived_ms + r.kind->aim_ms;
+        r.is_late = r.is_late
+                    || now_ > r.arrived_ms + r.kind->first_event_objective_ms;
       }
     refuse (r, retry_ms);
   }
   /// As a sidecar takes a question.
   bool
-  ask_at (Request &r, int at, uint64_t *retry_ms)
+  request_place (Request &r, int at, uint64_t *retry_ms)
   {
     Engine &e = engines_[(size_t)at];
-    e.asked_since++;
-    e.asked_tokens += r.prompt;
+    e.sent_since_report++;
+    e.tokens_since_report += r.prompt;
     if (!e.table.is_engine_ready)
       return false;
     std::string name = name_of (r.adapter);
@@ -360,8 +371,8 @@
     given.kv_tokens_needed = (uint32_t)(r.prompt + r.output);
     given.prompt_tokens = (uint32_t)r.prompt;
     given.arrived_ms = now_;
-    given.deadline_ms = r.due_ms;
-    given.objective_ms = r.arrived_ms + r.kind->aim_ms;
+    given.deadline_ms = r.timeout_at_ms;
+    given.objective_ms = r.arrived_ms + r.kind->first_event_objective_ms;
     adm_forecast_t forecast = adm_forecast (&e.table, &given, now_);
     adm_adapter_record_request (given.adapter, now_);
     if (adm_refusal_reason (&e.table, &given, &forecast, now_) != nullptr)
@@ -371,51 +382,52 @@
       }
     r.engine = at;
     r.load_from_ms = adm_adapter_is_servable (given.adapter) ? 0 : now_;
-    r.ask = adm_request_add (&e.table, &given);
+    r.admission = adm_request_add (&e.table, &given);
     return true;
   }
   /// Callers come back once, as late as they accept.
   void
   refuse (Request &r, uint64_t retry_ms)
   {
-    uint64_t end_ms = r.asked_ms + r.kind->end_ms;
-    uint64_t most_ms = end_ms > now_ ? (end_ms - now_) / 3 : 0;
-    if (!is_plain_)
-      retry_ms = most_ms;
-    held_ms_ += (double)(now_ - r.arrived_ms);
-    if (r.is_second || most_ms == 0)
+    uint64_t timeout_at = r.first_attempt_ms + r.kind->caller_timeout_ms;
+    uint64_t max_wait_ms = timeout_at > now_ ? (timeout_at - now_) / 3 : 0;
+    if (!is_baseline_)
+      retry_ms = max_wait_ms;
+    unserved_wait_ms_ += (double)(now_ - r.arrived_ms);
+    if (r.is_retry || max_wait_ms == 0)
       outcome_.refused++;
     else
       {
         Request again = r;
-        again.is_second = true;
+        again.is_retry = true;
         again.engine = -1;
-        again.ask = nullptr;
+        again.admission = nullptr;
         uint64_t wait_ms
-            = std::min (std::max<uint64_t> (retry_ms, 300), most_ms);
-        returning_.emplace (now_ + wait_ms, again);
+            = std::min (std::max<uint64_t> (retry_ms, 300), max_wait_ms);
+        retries_.emplace (now_ + wait_ms, again);
       }
     requests_.erase (r.id);
   }
   void
-  come_back ()
+  start_retries ()
   {
-    while (!returning_.empty () && returning_.begin ()->first <= now_)
+    while (!retries_.empty () && retries_.begin ()->first <= now_)
       {
-        Request r = returning_.begin ()->second;
-        returning_.erase (returning_.begin ());
-        enter (r);
+        Request r = retries_.begin ()->second;
+        retries_.erase (retries_.begin ());
+        start_attempt (r);
       }
   }
-  /// The weight store serves all fetches at once, slower beyond its lanes.
+  /// The weight store serves all fetches at once, slowdown beyond its lanes.
   void
-  bring ()
+  advance_fetches ()
   {
     double cold = 0;
     for (auto &e : engines_)
       for (auto &f : e.fetches)
         cold += f.is_cold;
-    double pace = cold > d_.store_lanes ? d_.store_lanes / cold : 1;
+    double pace
+        = cold > d_.store_concurrency ? d_.store_concurrency / cold : 1;
     for (auto &e : engines_)
       {
         for (auto &f : e.fetches)
@@ -423,8 +435,8 @@
         for (auto &f : e.fetches)
           if (f.left_ms <= 0)
             {
-              e.held[f.adapter] = now_;
-              keep_copy (e, f.adapter);
+              e.resident[f.adapter] = now_;
+              cache_adapter (e, f.adapter);
             }
         e.fetches.erase (
             std::remove_if (e.fetches.begin (), e.fetches.end (),
@@ -433,57 +445,57 @@
       }
   }
   void
-  keep_copy (Engine &e, int adapter)
+  cache_adapter (Engine &e, int adapter)
   {
-    e.copies[adapter] = now_;
-    if (e.copies.size () <= d_.copies)
+    e.host_cache[adapter] = now_;
+    if (e.host_cache.size () <= d_.host_cache_slots)
       return;
-    auto oldest = e.copies.begin ();
-    for (auto it = e.copies.begin (); it != e.copies.end (); ++it)
+    auto oldest = e.host_cache.begin ();
+    for (auto it = e.host_cache.begin (); it != e.host_cache.end (); ++it)
       if (it->second < oldest->second)
         oldest = it;
-    e.copies.erase (oldest);
+    e.host_cache.erase (oldest);
   }
   void
-  turn (Engine &e, int at)
+  advance_engine (Engine &e, int at)
   {
-    if (e.up_ms > now_)
+    if (e.up_from_ms > now_)
       return;
     e.table.is_engine_ready = true;
-    if (now_ >= e.report_ms + kReportMs)
-      report (e);
-    if (now_ % kPumpMs == 0)
-      is_plain_ ? pump_plain (e) : pump (e, at);
-    if (now_ % kTellMs == 2 * (uint64_t)at % kTellMs)
-      tell (e);
-    run (e);
+    if (now_ >= e.last_report_ms + kEngineReportMs)
+      report_to_sidecar (e);
+    if (now_ % kSchedulingMs == 0)
+      is_baseline_ ? start_baseline_requests (e) : apply_actions (e, at);
+    if (now_ % kGatewayReportMs == 2 * (uint64_t)at % kGatewayReportMs)
+      report_to_gateways (e);
+    advance_batch (e);
   }
   void
-  tell (Engine &e)
-  {
-    e.told.is_usable = e.table.is_engine_ready;
-    e.told.slots = e.table.options.slots;
-    e.told.busy_slots = e.table.granted;
-    e.told.waiting = e.table.waiting;
-    e.told.tokens_per_ms = e.table.reading.tokens_per_ms;
-    e.told.backlog_ms = (double)adm_backlog_us (&e.table, now_) / 1000;
-    e.told.load_wait_ms
+  report_to_gateways (Engine &e)
+  {
+    e.reported.is_usable = e.table.is_engine_ready;
+    e.reported.slots = e.table.options.slots;
+    e.reported.busy_slots = e.table.granted;
+    e.reported.waiting = e.table.waiting;
+    e.reported.tokens_per_ms = e.table.reading.tokens_per_ms;
+    e.reported.backlog_ms = (double)adm_backlog_us (&e.table, now_) / 1000;
+    e.reported.load_wait_ms
         = (double)adm_new_adapter_load_wait_ms (&e.table, now_);
-    e.told_adapters.clear ();
+    e.reported_adapters.clear ();
     uint32_t at = 0;
     for (auto *a = (adm_adapter_t *)kb_map_next (&e.table.adapters, &at);
          a != nullptr;
          a = (adm_adapter_t *)kb_map_next (&e.table.adapters, &at))
       if (a->state != ADM_ABSENT || a->waiting > 0)
-        e.told_adapters[atoi (a->name + 3)] = a->state == ADM_HELD ? PLC_HELD
-                                              : a->state == ADM_LOADING
-                                                  ? PLC_LOADING
-                                                  : PLC_PENDING;
-    e.asked_since = 0;
-    e.asked_tokens = 0;
+        e.reported_adapters[atoi (a->name + 3)]
+            = a->state == ADM_HELD      ? PLC_HELD
+              : a->state == ADM_LOADING ? PLC_LOADING
+                                        : PLC_PENDING;
+    e.sent_since_report = 0;
+    e.tokens_since_report = 0;
   }
   void
-  report_one (Engine &e, int adapter, bool is_coming)
+  report_adapter (Engine &e, int adapter, bool is_coming)
   {
     std::string name = name_of (adapter);
     adm_report_adapter (&e.table, key_of (adapter),
@@ -491,24 +503,24 @@
                         is_coming, now_);
   }
   void
-  report (Engine &e)
+  report_to_sidecar (Engine &e)
   {
-    e.report_ms = now_;
+    e.last_report_ms = now_;
     adm_report_begin (&e.table);
-    for (auto &[adapter, used] : e.held)
-      report_one (e, adapter, false);
+    for (auto &[adapter, used] : e.resident)
+      report_adapter (e, adapter, false);
     for (auto &f : e.fetches)
-      report_one (e, f.adapter, true);
+      report_adapter (e, f.adapter, true);
     adm_report_end (&e.table);
   }
   void
-  pump (Engine &e, int at)
+  apply_actions (Engine &e, int at)
   {
     if (e.table.waiting == 0)
       return;
     for (;;)
       {
-        bool may_order = e.busy_until_ms <= now_;
+        bool may_order = e.order_until_ms <= now_;
         adm_action_t action = adm_next_action (&e.table, may_order, now_);
         if (action.kind == ADM_ACTION_NONE)
           return;
@@ -524,32 +536,34 @@
   decline (uint64_t id, int at)
   {
     Request &r = requests_[id];
-    drop_ask (r);
+    remove_admission (r);
     r.engine = -1;
     r.tried.insert (at);
-    r.is_late = r.is_late || now_ > r.arrived_ms + r.kind->aim_ms;
-    ask (r);
+    r.is_late
+        = r.is_late || now_ > r.arrived_ms + r.kind->first_event_objective_ms;
+    place_request (r);
   }
   void
-  drop_ask (Request &r)
+  remove_admission (Request &r)
   {
-    if (r.ask != nullptr)
-      adm_request_remove (&engines_[(size_t)r.engine].table, r.ask);
-    r.ask = nullptr;
+    if (r.admission != nullptr)
+      adm_request_remove (&engines_[(size_t)r.engine].table, r.admission);
+    r.admission = nullptr;
   }
   void
   order (Engine &e, const adm_action_t &action)
   {
-    e.busy_until_ms = now_ + kOrderMs;
-    if (std::uniform_real_distribution<> (0, 1) (random_) < lost_orders ())
+    e.order_until_ms = now_ + kOrderMs;
+    if (std::uniform_real_distribution<> (0, 1) (random_)
+        < order_loss_probability ())
       {
-        e.busy_until_ms = now_ + kLostOrderMs;
+        e.order_until_ms = now_ + kLostOrderMs;
         return;
       }
     int adapter = atoi (action.adapter->name + 3);
     if (action.kind == ADM_ACTION_UNLOAD)
       {
-        e.held.erase (adapter);
+        e.resident.erase (adapter);
         adm_record_unloaded (&e.table, action.adapter);
         return;
       }
@@ -559,7 +573,7 @@
   void
   fetch (Engine &e, int adapter)
   {
-    bool is_cold = e.copies.count (adapter) == 0;
+    bool is_cold = e.host_cache.count (adapter) == 0;
     e.fetches.push_back (
         { adapter, is_cold, is_cold ? d_.fetch_ms : d_.fetch_ms / 10 });
     outcome_.fetches += is_cold;
@@ -570,53 +584,53 @@
     Request &r = requests_[id];
     if (r.load_from_ms > 0)
       outcome_.stall_s += (double)(now_ - r.load_from_ms) / 1000;
-    r.runs = true;
-    e.held[r.adapter] = now_;
+    r.is_running = true;
+    e.resident[r.adapter] = now_;
     e.running.push_back (id);
   }
   /// First come first served; any adapter not in use makes room.
   void
-  pump_plain (Engine &e)
+  start_baseline_requests (Engine &e)
   {
-    std::vector<uint64_t> left;
+    std::vector<uint64_t> waiting;
     for (uint64_t id : e.queue)
       {
         auto it = requests_.find (id);
         if (it == requests_.end ())
           continue;
         Request &r = it->second;
-        if (e.held.count (r.adapter) > 0 && e.running.size () < d_.slots)
+        if (e.resident.count (r.adapter) > 0 && e.running.size () < d_.slots)
           {
             start (e, id);
             continue;
           }
-        left.push_back (id);
-        if (e.held.count (r.adapter) > 0)
+        waiting.push_back (id);
+        if (e.resident.count (r.adapter) > 0)
           continue;
         if (r.load_from_ms == 0)
           r.load_from_ms = now_;
-        fetch_plain (e, r.adapter);
+        fetch_for_baseline (e, r.adapter);
       }
-    e.queue = left;
+    e.queue = waiting;
   }
   void
-  fetch_plain (Engine &e, int adapter)
+  fetch_for_baseline (Engine &e, int adapter)
   {
     for (auto &f : e.fetches)
       if (f.adapter == adapter)
         return;
     if (e.fetches.size () >= 4)
       return;
-    if (e.held.size () + e.fetches.size () >= d_.adapter_places)
+    if (e.resident.size () + e.fetches.size () >= d_.engine_adapter_slots)
       {
-        auto oldest = e.held.end ();
-        for (auto it = e.held.begin (); it != e.held.end (); ++it)
+        auto oldest = e.resident.end ();
+        for (auto it = e.resident.begin (); it != e.resident.end (); ++it)
           if (!is_in_use (e, it->first)
-              && (oldest == e.held.end () || it->second < oldest->second))
+              && (oldest == e.resident.end () || it->second < oldest->second))
             oldest = it;
-        if (oldest == e.held.end ())
+        if (oldest == e.resident.end ())
           return;
-        e.held.erase (oldest);
+        e.resident.erase (oldest);
       }
     fetch (e, adapter);
   }
@@ -628,10 +642,10 @@
         return true;
     return false;
   }
-  /// Steps of a batch: each reads pieces of prompts, oldest first, and makes
-  /// one token of every stream whose prompt is read.
+  /// Steps of a batch: each reads prompt_chunks of prompts, oldest first, and
+  /// makes one token of every stream whose prompt is read.
   void
-  run (Engine &e)
+  advance_batch (Engine &e)
   {
     if (e.step_end_ms > now_)
       return;
@@ -642,62 +656,62 @@
   void
   begin_step (Engine &e)
   {
-    e.pieces.clear ();
+    e.prompt_chunks.clear ();
     e.step_end_ms = 0;
     if (e.running.empty ())
       return;
-    double left = kChunkTokens;
+    double tokens_left = kMaxPromptTokensPerStep;
     double reading_ms = 0;
     for (uint64_t id : e.running)
       {
         Request &r = requests_[id];
-        if (r.prompt_left <= 0 || left <= 0)
+        if (r.prompt_tokens_left <= 0 || tokens_left <= 0)
           continue;
-        double take = std::min (r.prompt_left, left);
-        left -= take;
-        double slower = 1 + r.prompt / kSquareTokens;
-        reading_ms += take * slower / d_.tokens_per_ms;
-        e.pieces.emplace_back (id, take);
+        double chunk_tokens = std::min (r.prompt_tokens_left, tokens_left);
+        tokens_left -= chunk_tokens;
+        double slowdown = 1 + r.prompt / kQuadraticTokens;
+        reading_ms += chunk_tokens * slowdown / d_.prompt_tokens_per_ms;
+        e.prompt_chunks.emplace_back (id, chunk_tokens);
       }
     double step_ms = d_.step_ms
-                     + d_.step_ms_per_run * (double)e.running.size ()
+                     + d_.step_ms_per_request * (double)e.running.size ()
                      + reading_ms;
     e.step_end_ms = now_ + std::max<uint64_t> (1, (uint64_t)step_ms);
   }
   void
   end_step (Engine &e)
   {
-    for (auto &[id, take] : e.pieces)
+    for (auto &[id, chunk_tokens] : e.prompt_chunks)
       if (requests_.count (id) > 0)
-        requests_[id].prompt_left -= take;
-    std::vector<uint64_t> still;
+        requests_[id].prompt_tokens_left -= chunk_tokens;
+    std::vector<uint64_t> unfinished;
     for (uint64_t id : e.running)
       {
         auto it = requests_.find (id);
         if (it == requests_.end ())
           continue;
         Request &r = it->second;
-        if (r.prompt_left > 0.5 || !make_token (e, r))
-          still.push_back (id);
+        if (r.prompt_tokens_left > 0.5 || !make_token (e, r))
+          unfinished.push_back (id);
         else
           finish (e, r);
       }
-    e.running = still;
+    e.running = unfinished;
   }
   /// @return  Whether it was the last.
   bool
   make_token (Engine &e, Request &r)
   {
-    r.made++;
-    bool is_last = r.made >= r.output;
-    bool is_event = r.made % d_.stride == 0 || is_last;
+    r.generated++;
+    bool is_last = r.generated >= r.output;
+    bool is_event = r.generated % d_.tokens_per_event == 0 || is_last;
     if (!is_event)
       return false;
     if (r.first_ms == 0)
       {
         r.first_ms = now_;
-        if (r.ask != nullptr)
-          adm_request_record_first_event (&e.table, r.ask, now_);
+        if (r.admission != nullptr)
+          adm_request_record_first_event (&e.table, r.admission, now_);
       }
     else
       r.longest_gap_ms = std::max (r.longest_gap_ms, now_ - r.event_ms);
@@ -707,42 +721,42 @@
   void
   finish (Engine &e, Request &r)
   {
-    double first_ms = (double)(r.first_ms - r.asked_ms);
-    bool is_prompt = first_ms <= (double)r.kind->aim_ms;
-    bool is_smooth = r.longest_gap_ms <= d_.gap_ms;
+    double first_ms = (double)(r.first_ms - r.first_attempt_ms);
+    bool is_prompt = first_ms <= (double)r.kind->first_event_objective_ms;
+    bool is_smooth = r.longest_gap_ms <= d_.max_event_gap_ms;
     outcome_.first_ms.push_back (first_ms);
-    share_of (r, [=] (Share &s) {
+    update_groups (r, [=] (GroupOutcome &s) {
       s.served++;
       s.in_time += is_prompt && is_smooth;
     });
     (is_prompt && is_smooth ? outcome_.in_time : outcome_.late)++;
-    outcome_.paused += is_prompt && !is_smooth;
-    if (r.ask != nullptr)
+    outcome_.late_by_gap += is_prompt && !is_smooth;
+    if (r.admission != nullptr)
       {
-        uint32_t gaps = (uint32_t)((r.output - 1) / d_.stride);
+        uint32_t gaps = (uint32_t)((r.output - 1) / d_.tokens_per_event);
         pce_record_stream (&e.table.reading.pace, gaps,
                            r.event_ms - r.first_ms, now_);
-        adm_request_record_hold_time (&e.table, r.ask, now_);
+        adm_request_record_hold_time (&e.table, r.admission, now_);
       }
-    drop_ask (r);
+    remove_admission (r);
     requests_.erase (r.id);
   }
-  /// Callers leave when nothing came for too long.
+  /// Callers remove_timed_out when unserved came for too long.
   void
-  leave ()
+  remove_timed_out ()
   {
-    std::vector<uint64_t> gone;
+    std::vector<uint64_t> expired;
     for (auto &[id, r] : requests_)
-      if (r.first_ms == 0 && now_ >= r.due_ms)
-        gone.push_back (id);
-    for (uint64_t id : gone)
+      if (r.first_ms == 0 && now_ >= r.timeout_at_ms)
+        expired.push_back (id);
+    for (uint64_t id : expired)
       {
         Request &r = requests_[id];
-        outcome_.left++;
-        held_ms_ += (double)(now_ - r.arrived_ms);
-        if (r.load_from_ms > 0 && !r.runs)
+        outcome_.timed_out++;
+        unserved_wait_ms_ += (double)(now_ - r.arrived_ms);
+        if (r.load_from_ms > 0 && !r.is_running)
           outcome_.stall_s += (double)(now_ - r.load_from_ms) / 1000;
-        drop_ask (r);
+        remove_admission (r);
         if (r.engine >= 0)
           {
             auto &running = engines_[(size_t)r.engine].running;
@@ -754,17 +768,17 @@
   }
 
   Deployment d_;
-  bool is_plain_;
+  bool is_baseline_;
   double factor_;
   std::mt19937_64 random_;
   std::vector<double> cumulative_;
   plc_costs_t costs_;
   std::vector<Engine> engines_;
   std::map<uint64_t, Request> requests_;
-  std::multimap<uint64_t, Request> returning_;
+  std::multimap<uint64_t, Request> retries_;
   Outcome outcome_;
-  double held_ms_ = 0;
-  int moved_ = 0;
+  double unserved_wait_ms_ = 0;
+  int popularity_offset_ = 0;
   uint64_t now_ = 0;
   uint64_t last_id_ = 0;
 };
@@ -772,18 +786,18 @@
 } // namespace
 
 double
-Outcome::first_ms_at (double part) const
+Outcome::first_ms_quantile (double quantile) const
 {
   if (first_ms.empty ())
     return 0;
-  size_t at = (size_t)(part * (double)(first_ms.size () - 1));
+  size_t at = (size_t)(quantile * (double)(first_ms.size () - 1));
   return first_ms[at];
 }
 
 Outcome
-play (const Deployment &deployment, Policy policy, double factor)
+simulate (const Deployment &deployment, Policy policy, double factor)
 {
-  return Site (deployment, policy, factor).play ();
+  return Simulation (deployment, policy, factor).simulate ();
 }
 
 } // namespace lab
--- a/tools/lab/model.h
+++ b/tools/lab/model.h
@@ -17,47 +17,50 @@
 
 enum class Policy
 {
-  OURS,
+  COORDINATED,
   /// First come first served at a random engine, the least recently used
   /// adapter dropped, nothing declined early, prompts read as they come.
-  PLAIN,
+  BASELINE,
 };
 
 /// What some of the callers got.
-struct Share
+struct GroupOutcome
 {
-  int asked = 0;
+  int requests = 0;
   int in_time = 0; ///< Whole, with its first event and all pauses in time.
   int served = 0;
 };
 
 struct Outcome
 {
-  int asked = 0;
+  int requests = 0;
   int in_time = 0;
-  int late = 0;       ///< Served, not in time.
-  int paused = 0;     ///< Of these, only because a stream paused too long.
-  int refused = 0;    ///< For good, after one return.
-  int left = 0;       ///< The caller's patience ended while it waited.
-  int lost = 0;       ///< Broken off with an engine.
-  int fetches = 0;    ///< From the weight store.
-  double stall_s = 0; ///< Waiting for an adapter, all requests.
-  double held_ms = 0; ///< Mean wait of those that got nothing.
+  int late = 0; ///< Served, not in time.
+  int late_by_gap
+      = 0;           ///< Of these, only because a stream late_by_gap too long.
+  int refused = 0;   ///< For good, after one return.
+  int timed_out = 0; ///< The caller's patience ended while it waited.
+  int lost = 0;      ///< Broken off with an engine.
+  int fetches = 0;   ///< From the weight store.
+  double stall_s = 0;           ///< Waiting for an adapter, all requests.
+  double unserved_wait_ms = 0;  ///< Mean wait of those that got nothing.
   std::vector<double> first_ms; ///< Of all served, sorted.
-  std::map<std::string, Share> kinds;
-  std::map<std::string, Share> popularity; ///< "top 10", "to 100", "rest".
-  std::map<int, Share> domains;
+  std::map<std::string, GroupOutcome> kinds;
+  std::map<std::string, GroupOutcome>
+      popularity; ///< "top 10", "to 100", "rest".
+  std::map<int, GroupOutcome> domains;
   double
   goodput () const
   {
-    return asked > 0 ? (double)in_time / asked : 0;
+    return requests > 0 ? (double)in_time / requests : 0;
   }
   /// @return  Time to a first event that a part of the served stays below.
-  double first_ms_at (double part) const;
+  double first_ms_quantile (double quantile) const;
 };
 
 /// @param factor  Times the deployment's load.
-Outcome play (const Deployment &deployment, Policy policy, double factor = 1);
+Outcome simulate (const Deployment &deployment, Policy policy,
+                  double factor = 1);
 
 } // namespace lab
 
--- a/tools/lab/quota_faults.cc
+++ b/tools/lab/quota_faults.cc
@@ -1,4 +1,4 @@
-#include "quota_play.h"
+#include "quota_simulation.h"
 
 #include <algorithm>
 
@@ -9,38 +9,38 @@
 World::restart_sidecar (uint32_t si)
 {
   Sidecar &s = *sidecars[si];
-  s.process.life++;
+  s.process.incarnation++;
   qln_finish (&s.lender);
-  qgw_finish (&s.office);
-  qln_init (&s.lender, &o.tolerance, s.process.life, now);
+  qgw_finish (&s.gateway_table);
+  qln_init (&s.lender, &o.tolerance, s.process.incarnation, now_ms);
   s.lender.is_capped_by_reach = o.is_capped_by_reach;
-  qgw_init (&s.office, now);
-  s.heard.assign (o.gateways, 0);
-  s.used.assign (o.gateways, 0);
-  on (s.process, now + 200, [this, si] { heartbeat (si); });
+  qgw_init (&s.gateway_table, now_ms);
+  s.last_contact_ms.assign (o.gateways, 0);
+  s.usage.assign (o.gateways, 0);
+  schedule_on (s.process, now_ms + 200, [this, si] { send_heartbeats (si); });
 }
 
 void
-World::begin (const QuotaEvent &event)
+World::begin_fault (const QuotaEvent &event)
 {
-  uint64_t end = now + event.for_ms;
-  Gateway &g = *gateways[event.which % o.gateways];
+  uint64_t end = now_ms + event.duration_ms;
+  Gateway &g = *gateways[event.process_index % o.gateways];
   // The first few sidecars matter most.
-  uint32_t si = rank[event.which % std::min<uint32_t> (3, o.sidecars)];
+  uint32_t si = rank[event.process_index % std::min<uint32_t> (3, o.sidecars)];
   Sidecar &s = *sidecars[si];
   switch (event.fault)
     {
     case QuotaFault::GATEWAY_FROZEN:
-      g.process.frozen_until = end;
+      g.process.frozen_until_ms = end;
       break;
     case QuotaFault::GATEWAY_RESTARTS:
       start_gateway (g);
       break;
-    case QuotaFault::GATEWAY_CUT:
-      g.process.cut_until = end;
+    case QuotaFault::GATEWAY_DISCONNECTED:
+      g.process.disconnected_until_ms = end;
       break;
     case QuotaFault::SIDECAR_FROZEN:
-      s.process.frozen_until = end;
+      s.process.frozen_until_ms = end;
       break;
     case QuotaFault::SIDECAR_RESTARTS:
       restart_sidecar (si);
@@ -53,30 +53,31 @@
       for (auto &gateway : gateways)
         start_gateway (*gateway);
       break;
-    case QuotaFault::SIDECAR_CUT:
-      s.process.cut_until = end;
+    case QuotaFault::SIDECAR_DISCONNECTED:
+      s.process.disconnected_until_ms = end;
       break;
-    case QuotaFault::PAIR_CUT:
+    case QuotaFault::PAIR_DISCONNECTED:
     case QuotaFault::PAIR_ONE_WAY:
-      pair_cuts.push_back (
+      pair_faults.push_back (
           { g.number, si, event.fault == QuotaFault::PAIR_ONE_WAY, end });
       break;
-    case QuotaFault::HALVES_CUT:
-      halves_until = end;
+    case QuotaFault::HALVES_PARTITIONED:
+      partition_until_ms = end;
       break;
     case QuotaFault::LOSSY:
-      lossy_until = end;
+      lossy_until_ms = end;
       break;
-    case QuotaFault::LIMIT_FALLS:
+    case QuotaFault::LIMIT_LOWERED:
       limit.rate_per_s *= 0.5;
       limit.burst *= 0.5;
-      limits.emplace_back (now, limit);
+      limits.emplace_back (now_ms, limit);
       revision++;
       for (auto &gateway : gateways)
-        on (gateway->process, now + (uint64_t)(draw () * 1500),
-            [this, &gateway] {
-              qsp_set_limit (&gateway->purse, &limit, revision);
-            });
+        schedule_on (gateway->process,
+                     now_ms + (uint64_t)(random_unit () * 1500),
+                     [this, &gateway] {
+                       qsp_set_limit (&gateway->spender, &limit, revision);
+                     });
       break;
     default:
       break;
@@ -84,7 +85,7 @@
 }
 
 const char *
-name_of (QuotaFault fault)
+fault_name (QuotaFault fault)
 {
   static const char *const names[]
       = { "gateway frozen",  "gateway restart", "gateways restart",
@@ -107,11 +108,11 @@
   uint64_t count = number (2, 14);
   for (uint64_t i = 0; i < count; i++)
     {
-      at_ms = number (0, 1) == 0 ? number (3000, options.end_ms - 4000)
+      at_ms = number (0, 1) == 0 ? number (3000, options.simulated_ms - 4000)
                                  : at_ms + number (0, 1000);
-      events.push_back ({ at_ms,
-                          (QuotaFault)number (0, (int)QuotaFault::FAULTS - 1),
-                          number (200, 7000), (uint32_t)random () });
+      events.push_back (
+          { at_ms, (QuotaFault)number (0, (int)QuotaFault::FAULT_COUNT - 1),
+            number (200, 7000), (uint32_t)random () });
     }
   return events;
 }
--- a/tools/lab/quota_main.cc
+++ b/tools/lab/quota_main.cc
@@ -1,5 +1,5 @@
-// kbquota: plays the ways to share a quota on the same callers, calm and under
-// faults, and prints what each lets in and what it costs.
+// kbquota: plays the ways to share a quota schedule_on the same callers, calm
+// and under faults, and prints what each lets in and what it costs.
 #include <cstdio>
 #include <cstring>
 
@@ -17,7 +17,7 @@
 {
   const char *name;
   double load;
-  double hot;
+  double surge_factor;
   bool has_faults;
 };
 
@@ -27,53 +27,55 @@
                             { "faults", 0.55, 1, true },
                             { "hot+faults", 0.55, 7.5, true } };
 
-struct Way
+struct Policy
 {
   const char *name;
-  lab::QuotaWay way;
+  lab::QuotaPolicy policy;
 };
 
-constexpr Way kWays[] = { { "loans", lab::QuotaWay::LOANS },
-                          { "fixed", lab::QuotaWay::FIXED },
-                          { "counts", lab::QuotaWay::COUNTS } };
+constexpr Policy kPolicies[]
+    = { { "loans", lab::QuotaPolicy::LENDER },
+        { "fixed", lab::QuotaPolicy::EQUAL_PARTS },
+        { "counts", lab::QuotaPolicy::SHARED_COUNTS } };
 
 void
-print_row (const Way &way, const Case &c, uint32_t gateways, int seeds)
+print_row (const Policy &policy, const Case &c, uint32_t gateways, int seeds)
 {
   lab::QuotaOutcome sum;
   double worst = 0;
-  int broken = 0;
-  double asked = 0;
+  int violations = 0;
+  double requested = 0;
   for (int seed = 1; seed <= seeds; seed++)
     {
       lab::QuotaOptions o;
-      o.way = way.way;
+      o.policy = policy.policy;
       o.seed = (uint64_t)seed;
       o.gateways = gateways;
       o.load = c.load;
-      o.hot = c.hot;
+      o.surge_factor = c.surge_factor;
       if (c.has_faults)
         o.events = lab::draw_quota_events ((uint64_t)seed, o);
-      lab::QuotaOutcome one = lab::play_quota (o);
+      lab::QuotaOutcome one = lab::simulate_quota (o);
       sum.admitted += one.admitted;
       sum.ideal += one.ideal;
       sum.requests += one.requests;
       sum.refused += one.refused;
-      sum.unknown += one.unknown;
-      sum.words += one.words;
+      sum.undecided += one.undecided;
+      sum.messages += one.messages;
       sum.bytes += one.bytes;
       sum.pair_seconds += one.pair_seconds;
       sum.waited_ms += one.waited_ms;
-      asked += one.asked;
-      broken += !one.broken.empty ();
-      worst = std::max (worst, one.worst_window);
+      requested += one.requested;
+      violations += !one.violation.empty ();
+      worst = std::max (worst, one.max_window_ratio);
     }
   double requests = sum.requests > 0 ? (double)sum.requests : 1;
   printf ("%-7s %-10s %4u  %6.3f  %6.3f  %6.3f  %7.3f %7.4f  %5d  %6.1f  "
           "%8.0f\n",
-          way.name, c.name, gateways, sum.ideal / asked, sum.admitted / asked,
-          sum.admitted / sum.ideal, worst, (double)sum.unknown / requests,
-          broken, sum.waited_ms / requests,
+          policy.name, c.name, gateways, sum.ideal / requested,
+          sum.admitted / requested, sum.admitted / sum.ideal, worst,
+          (double)sum.undecided / requests, violations,
+          sum.waited_ms / requests,
           sum.pair_seconds > 0 ? sum.bytes / sum.pair_seconds : 0);
 }
 
@@ -104,8 +106,8 @@
           "broken  wait ms  bytes/s a pair\n");
   for (uint32_t size : sizes)
     for (const Case &c : kCases)
-      for (const Way &way : kWays)
-        print_row (way, c, size, count);
+      for (const Policy &policy : kPolicies)
+        print_row (policy, c, size, count);
   arg_freetable (table, sizeof table / sizeof table[0]);
   return 0;
 }
