--- a/tools/lab/deployment.cc
+++ b/tools/lab/deployment.cc
@@ -9,6 +9,7 @@
 namespace
 {
 
+/// @return  A factor from 1 / max_factor to max_factor, log-uniform.
 double
 draw_factor (std::mt19937_64 &random, double max_factor)
 {
@@ -56,7 +57,8 @@
   return d.engines * d.slots * 1000 / step / mean_output (d);
 }
 
-/// An ideal cache keeps the max_factor popular adapters, each at one engine.
+/// Assumes an ideal cache that holds the most popular adapters, each at one
+/// engine.
 double
 fetch_capacity_per_s (const Deployment &d)
 {
--- a/tools/lab/main.cc
+++ b/tools/lab/main.cc
@@ -1,5 +1,5 @@
-// kblab: plays drawn deployments through the decisions and says what callers
-// get, as a table, as JSON, and against the JSON of another build.
+// kblab: simulates random deployments and reports the outcome for callers as a
+// table, as JSON, and as a comparison with the JSON of another build.
 #include <cmath>
 #include <cstdio>
 #include <cstring>
@@ -19,6 +19,7 @@
 
 constexpr double kLoadFactors[] = { 0.5, 0.8, 1.0, 1.5, 3.0 };
 
+/// Sums over the deployments; print_row divides them by `count`.
 struct Means
 {
   double goodput = 0;
@@ -30,12 +31,12 @@
   double p99_ms = 0;
   double min_kind_share = 0;
   double min_domain_share = 0;
-  double rare_in_time = 0; ///< Rare adapters.
+  double rare_in_time = 0; ///< In-time share for requests of rare adapters.
   double fetches = 0;
   int count = 0;
 };
 
-/// The smallest part in time of any group of callers.
+/// @return  The smallest in-time share of any group of requests.
 template <typename Key>
 double
 worst_share_in_time (const std::map<Key, lab::GroupOutcome> &shares)
@@ -106,14 +107,17 @@
   return row;
 }
 
-/// Print how goodput differs from the rows of another build, by bottleneck.
+/// Print the difference in goodput from the rows of another build, by
+/// bottleneck and load factor.
+/// @return  0, or 1 when the file cannot be read.
 int
 compare (const char *path, json_object *rows)
 {
   json_object *old = json_object_from_file (path);
   if (old == nullptr)
     {
-      fprintf (stderr, "kblab: %s: %s\n", path, json_util_get_last_err ());
+      fprintf (stderr, "kblab: cannot read %s: %s\n", path,
+               json_util_get_last_err ());
       return 1;
     }
   struct Sum
@@ -162,15 +166,17 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_int *first = arg_int0 (nullptr, "first", "N", "first seed (1)");
-  struct arg_int *seeds = arg_int0 (nullptr, "seeds", "N", "deployments (8)");
+  struct arg_int *first
+      = arg_int0 (nullptr, "first", "N", "first seed (default 1)");
+  struct arg_int *seeds
+      = arg_int0 (nullptr, "seeds", "N", "number of deployments (default 8)");
   struct arg_lit *plain
-      = arg_lit0 (nullptr, "plain", "the plain version as well");
-  struct arg_str *json
-      = arg_str0 (nullptr, "json", "FILE", "write every outcome");
-  struct arg_str *against
-      = arg_str0 (nullptr, "against", "FILE", "compare with another build's");
-  struct arg_lit *help = arg_lit0 ("h", "help", "print this");
+      = arg_lit0 (nullptr, "plain", "also simulate the baseline policy");
+  struct arg_str *json = arg_str0 (nullptr, "json", "FILE",
+                                   "write the outcomes to a JSON file");
+  struct arg_str *against = arg_str0 (
+      nullptr, "against", "FILE", "compare with the JSON of another build");
+  struct arg_lit *help = arg_lit0 ("h", "help", "print this help and exit");
   struct arg_end *end = arg_end (8);
   void *table[] = { first, seeds, plain, json, against, help, end };
   int errors = arg_parse (argc, argv, table);
@@ -211,7 +217,7 @@
       && json_object_to_file_ext (json->sval[0], rows, JSON_C_TO_STRING_PRETTY)
              != 0)
     {
-      fprintf (stderr, "kblab: %s can not be written\n", json->sval[0]);
+      fprintf (stderr, "kblab: cannot write %s\n", json->sval[0]);
       code = 1;
     }
   if (against->count > 0)
--- a/tools/lab/model.cc
+++ b/tools/lab/model.cc
@@ -17,17 +17,20 @@
 {
 
 constexpr uint64_t kStepMs = 2;
-constexpr uint64_t kSchedulingMs
-    = 10; ///< Sidecars look again while requests wait.
-constexpr uint64_t kEngineReportMs = 25; ///< Between two reports of an engine.
-constexpr uint64_t kGatewayReportMs
-    = 100;                       ///< Between two words to the gateways.
-constexpr uint64_t kOrderMs = 2; ///< An order and its answer.
-constexpr uint64_t kLostOrderMs = 30;
+/// Interval at which a sidecar schedules waiting requests.
+constexpr uint64_t kSchedulingMs = 10;
+/// Interval between the reports of an engine to its sidecar.
+constexpr uint64_t kEngineReportMs = 25;
+/// Interval between the reports of a sidecar to the gateways.
+constexpr uint64_t kGatewayReportMs = 100;
+constexpr uint64_t kOrderMs = 2; ///< Round trip of an order to the engine.
+constexpr uint64_t kLostOrderMs = 30; ///< Until a lost order times out.
 constexpr int kMaxTries = 8;
-constexpr double kMaxPromptTokensPerStep
-    = 4096; ///< Most of prompts in one step.
+constexpr double kMaxPromptTokensPerStep = 4096;
+/// A prompt of this length takes twice the prefill time per token, since the
+/// cost of attention grows with the length.
 constexpr double kQuadraticTokens = 22000;
+/// Time-out of an attempt, in multiples of the first-event objective.
 constexpr double kTimeoutObjectives = 4;
 
 struct Request
@@ -37,8 +40,8 @@
   int rank = 0;
   const Kind *kind = nullptr;
   int domain = 0;
-  uint64_t first_attempt_ms = 0; ///< First attempt.
-  uint64_t arrived_ms = 0;       ///< This attempt.
+  uint64_t first_attempt_ms = 0;
+  uint64_t arrived_ms = 0; ///< Arrival of this attempt.
   uint64_t timeout_at_ms = 0;
   bool is_retry = false;
   double prompt = 0;
@@ -48,8 +51,8 @@
   uint64_t first_ms = 0;
   uint64_t event_ms = 0;
   uint64_t longest_gap_ms = 0;
-  uint64_t load_from_ms = 0;
-  std::set<int> tried;
+  uint64_t load_from_ms = 0; ///< When it began to wait for an adapter load.
+  std::set<int> tried;       ///< Engines that refused this attempt.
   bool is_late = false;
   int engine = -1;
   bool is_running = false;
@@ -60,30 +63,31 @@
 {
   int adapter;
   bool is_cold;
-  double left_ms;
+  double left_ms; ///< At full speed.
 };
 
 struct Engine
 {
   adm_table_t table = {};
-  std::map<int, uint64_t> resident; ///< Adapter and when it was last used.
-  std::map<int, uint64_t> host_cache;
+  std::map<int, uint64_t> resident;   ///< Last use in ms, by adapter.
+  std::map<int, uint64_t> host_cache; ///< Time of insertion, by adapter.
   std::vector<Fetch> fetches;
   std::vector<uint64_t> running;
-  std::vector<uint64_t> queue; ///< Of the plain version.
+  std::vector<uint64_t> queue; ///< Used by the baseline policy.
   uint64_t step_end_ms = 0;
-  std::vector<std::pair<uint64_t, double>>
-      prompt_chunks;           ///< Read in this step.
-  uint64_t order_until_ms = 0; ///< An order is under way.
-  uint64_t up_from_ms = 0;     ///< Down before that.
+  /// Request and prompt tokens that the current step reads.
+  std::vector<std::pair<uint64_t, double>> prompt_chunks;
+  uint64_t order_until_ms = 0; ///< End of the order in progress.
+  uint64_t up_from_ms = 0;     ///< The engine is down before this time.
   uint64_t last_report_ms = 0;
-  // As reported to the gateways.
+  // The last report to the gateways, and what was sent since.
   plc_candidate_t reported = {};
   std::map<int, plc_holding_t> reported_adapters;
   uint32_t sent_since_report = 0;
   double tokens_since_report = 0;
 };
 
+/// State of one simulation run.
 class Simulation
 {
 public:
@@ -136,8 +140,7 @@
         if (now_ % 10 == 0)
           remove_timed_out ();
       }
-    // Whoever is unfinished served at the end of the day counts as requests
-    // never.
+    // Requests still in progress at the end are not counted.
     outcome_.requests -= (int)requests_.size () + (int)retries_.size ();
     std::sort (outcome_.first_ms.begin (), outcome_.first_ms.end ());
     int unserved = outcome_.refused + outcome_.timed_out;
@@ -199,7 +202,7 @@
           stop_engine (engines_[i], e.duration_ms + d_.model_load_ms);
       }
   }
-  /// An engine is down and comes back with its model and unserved else.
+  /// Stop an engine, which restarts without adapters or requests.
   void
   stop_engine (Engine &e, uint64_t duration_ms)
   {
@@ -258,9 +261,10 @@
     std::exponential_distribution<> output (1 / r.kind->output);
     r.output = 1 + (int)std::min (output (random_), 600.0);
     outcome_.requests++;
-    update_groups (r, [] (GroupOutcome &s) { s.requests++; });
+    update_groups (r, [] (GroupOutcome &group) { group.requests++; });
     start_attempt (r);
   }
+  /// Apply `change` to each group that the request belongs to.
   template <typename F>
   void
   update_groups (const Request &r, F change)
@@ -272,7 +276,7 @@
                                       : "rest";
     change (outcome_.popularity[name]);
   }
-  /// An attempt of a caller, the first or the one after a refusal.
+  /// Start the first attempt of a request, or its retry after a refusal.
   void
   start_attempt (Request r)
   {
@@ -291,6 +295,7 @@
     else
       place_request (attempt);
   }
+  /// Queue a request at a random engine that is up.
   void
   start_baseline_attempt (Request &r)
   {
@@ -308,6 +313,7 @@
     r.engine = up[at];
     engines_[(size_t)r.engine].queue.push_back (r.id);
   }
+  /// @return  The last reported state of an engine, plus what was sent since.
   plc_candidate_t
   candidate_for (const Request &r, int at)
   {
@@ -327,6 +333,7 @@
       v.is_usable = false;
     return v;
   }
+  /// Request a place at the best engines in turn, as a gateway does.
   void
   place_request (Request &r)
   {
@@ -351,7 +358,9 @@
       }
     refuse (r, retry_ms);
   }
-  /// As a sidecar takes a question.
+  /// Queue a request at an engine or refuse it, as a sidecar does.
+  /// @param retry_ms  Raised to the forecast when refused.
+  /// @return  Whether it was queued.
   bool
   request_place (Request &r, int at, uint64_t *retry_ms)
   {
@@ -385,7 +394,9 @@
     r.admission = adm_request_add (&e.table, &given);
     return true;
   }
-  /// Callers come back once, as late as they accept.
+  /// Refuse a request. Callers retry once: with the coordinated policy after a
+  /// third of the time that is left to them, with the baseline after
+  /// `retry_ms`, at least 300 ms but no more than that third.
   void
   refuse (Request &r, uint64_t retry_ms)
   {
@@ -418,7 +429,8 @@
         start_attempt (r);
       }
   }
-  /// The weight store serves all fetches at once, slowdown beyond its lanes.
+  /// Advance the fetches by one time step. The weight store serves all of them
+  /// concurrently, at reduced speed above its full-speed concurrency.
   void
   advance_fetches ()
   {
@@ -444,6 +456,7 @@
             e.fetches.end ());
       }
   }
+  /// Add an adapter to the host cache, evicting the oldest when it is full.
   void
   cache_adapter (Engine &e, int adapter)
   {
@@ -513,6 +526,7 @@
       report_adapter (e, f.adapter, true);
     adm_report_end (&e.table);
   }
+  /// Carry out the decisions of the sidecar until none is left.
   void
   apply_actions (Engine &e, int at)
   {
@@ -588,7 +602,7 @@
     e.resident[r.adapter] = now_;
     e.running.push_back (id);
   }
-  /// First come first served; any adapter not in use makes room.
+  /// Start requests in order of arrival, fetching the adapters they need.
   void
   start_baseline_requests (Engine &e)
   {
@@ -613,6 +627,9 @@
       }
     e.queue = waiting;
   }
+  /// Fetch an adapter, evicting the least recently used one not in use. At
+  /// most
+  /// four fetches run at a time.
   void
   fetch_for_baseline (Engine &e, int adapter)
   {
@@ -642,8 +659,8 @@
         return true;
     return false;
   }
-  /// Steps of a batch: each reads prompt_chunks of prompts, oldest first, and
-  /// makes one token of every stream whose prompt is read.
+  /// Run batch steps. Each step reads chunks of prompts, oldest request first,
+  /// and decodes one token of each request whose prompt is complete.
   void
   advance_batch (Engine &e)
   {
@@ -698,7 +715,8 @@
       }
     e.running = unfinished;
   }
-  /// @return  Whether it was the last.
+  /// Decode one token, which may complete a stream event.
+  /// @return  Whether it was the last token.
   bool
   make_token (Engine &e, Request &r)
   {
@@ -725,9 +743,9 @@
     bool is_prompt = first_ms <= (double)r.kind->first_event_objective_ms;
     bool is_smooth = r.longest_gap_ms <= d_.max_event_gap_ms;
     outcome_.first_ms.push_back (first_ms);
-    update_groups (r, [=] (GroupOutcome &s) {
-      s.served++;
-      s.in_time += is_prompt && is_smooth;
+    update_groups (r, [=] (GroupOutcome &group) {
+      group.served++;
+      group.in_time += is_prompt && is_smooth;
     });
     (is_prompt && is_smooth ? outcome_.in_time : outcome_.late)++;
     outcome_.late_by_gap += is_prompt && !is_smooth;
@@ -741,7 +759,7 @@
     remove_admission (r);
     requests_.erase (r.id);
   }
-  /// Callers remove_timed_out when unserved came for too long.
+  /// Remove requests whose callers gave up before the first event.
   void
   remove_timed_out ()
   {
--- a/tools/lab/quota_callers.cc
+++ b/tools/lab/quota_callers.cc
@@ -6,7 +6,8 @@
 namespace lab
 {
 
-/// Counts: tell the first sidecar what was usage, and hear the sum.
+/// SHARED_COUNTS: report the own usage to the first sidecar, which returns the
+/// usage of the others.
 void
 World::exchange_counts (Gateway &g)
 {
@@ -45,7 +46,7 @@
   return true;
 }
 
-/// One account for all, ledger_lines at once.
+/// A single account that all gateways see without delay.
 double
 World::admit_ideal (double amount)
 {
@@ -123,9 +124,9 @@
   delete r;
 }
 
-/// Use of each window that begins with a run, against what the limit of the
-/// time allows. A lower limit holds a window after all have had time to learn
-/// it.
+/// Compare the use of each window that ends with an admission with what the
+/// limit allows. A lowered limit applies after the time that all gateways need
+/// to learn it and two windows.
 void
 World::check_windows (QuotaOutcome *result) const
 {
--- a/tools/lab/quota_faults.cc
+++ b/tools/lab/quota_faults.cc
@@ -25,7 +25,7 @@
 {
   uint64_t end = now_ms + event.duration_ms;
   Gateway &g = *gateways[event.process_index % o.gateways];
-  // The first few sidecars matter most.
+  // Only the first sidecars in rank become lenders.
   uint32_t si = rank[event.process_index % std::min<uint32_t> (3, o.sidecars)];
   Sidecar &s = *sidecars[si];
   switch (event.fault)
@@ -88,11 +88,11 @@
 fault_name (QuotaFault fault)
 {
   static const char *const names[]
-      = { "gateway frozen",  "gateway restart", "gateways restart",
-          "all restart",     "gateway cut",     "sidecar frozen",
-          "sidecar restart", "sidecar cut",     "pair cut",
-          "pair one way",    "halves cut",      "lossy",
-          "limit falls" };
+      = { "gateway frozen",  "gateway restart",      "gateways restart",
+          "all restart",     "gateway disconnected", "sidecar frozen",
+          "sidecar restart", "sidecar disconnected", "pair disconnected",
+          "pair one way",    "halves partitioned",   "lossy",
+          "limit lowered" };
   return names[(int)fault];
 }
 
--- a/tools/lab/quota_main.cc
+++ b/tools/lab/quota_main.cc
@@ -1,5 +1,5 @@
-// kbquota: plays the ways to share a quota schedule_on the same callers, calm
-// and under faults, and prints what each lets in and what it costs.
+// kbquota: simulates the policies for sharing a quota with the same callers,
+// with and without faults, and prints what each admits and what it costs.
 #include <cstdio>
 #include <cstring>
 
@@ -84,10 +84,12 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_int *seeds = arg_int0 (nullptr, "seeds", "N", "each (8)");
-  struct arg_int *gateways = arg_intn (nullptr, "gateways", "N", 0, 8,
-                                       "how many share it (20, 70, 400)");
-  struct arg_lit *help = arg_lit0 ("h", "help", "print this");
+  struct arg_int *seeds
+      = arg_int0 (nullptr, "seeds", "N", "number of seeds (default 8)");
+  struct arg_int *gateways
+      = arg_intn (nullptr, "gateways", "N", 0, 8,
+                  "number of gateways, repeatable (default 20, 70, 400)");
+  struct arg_lit *help = arg_lit0 ("h", "help", "print this help and exit");
   struct arg_end *end = arg_end (4);
   void *table[] = { seeds, gateways, help, end };
   int errors = arg_parse (argc, argv, table);
--- a/tools/lab/quota_world.cc
+++ b/tools/lab/quota_world.cc
@@ -15,7 +15,7 @@
       sidecars.push_back (std::make_unique<Sidecar> ());
       Sidecar &s = *sidecars.back ();
       s.process.incarnation = FIRST_INCARNATION * (i + 1);
-      // The system is older than what is played.
+      // The sidecars started before the simulation.
       qln_init (&s.lender, &o.tolerance, s.process.incarnation, 0);
       s.lender.is_capped_by_reach = o.is_capped_by_reach;
       qgw_init (&s.gateway_table, 0);
@@ -102,7 +102,7 @@
         return;
       if (random_unit () < kDelayProbability)
         delay += 200 + (uint64_t)(random_unit () * 200);
-      // A word that comes again over a link that was made anew.
+      // A reconnected link delivers the message again.
       if (random_unit () < kDuplicateProbability)
         schedule_on (to_sidecar ? s.process : g.process, now_ms + delay + 30,
                      fn);
@@ -129,8 +129,8 @@
 World::count_reachable (const Gateway &g) const
 {
   uint32_t count = 0;
-  for (uint64_t heard_ms : g.last_contact_ms)
-    count += heard_ms > 0 && now_ms - heard_ms < SIDECAR_SILENCE_MS;
+  for (uint64_t contact_ms : g.last_contact_ms)
+    count += contact_ms > 0 && now_ms - contact_ms < SIDECAR_SILENCE_MS;
   return count;
 }
 
@@ -146,7 +146,7 @@
     lender = { first + 1, g.incarnations[first] };
   qsp_set_reach (&g.spender, (double)count_reachable (g) / o.sidecars);
   qsp_set_lender (&g.spender, &lender, now_ms, g.peak.count, now_ms);
-  // Those that are not usage any more learn it at once.
+  // Report a change of lender to the sidecars at once.
   if (g.spender.lender.id != before)
     send_state (g);
 }
@@ -175,9 +175,8 @@
                [this, si] { send_heartbeats (si); });
 }
 
-/// As a gateway's send_heartbeats: to each sidecar, with the workspaces that
-/// another one lends, for the one that would be next and for those that are
-/// not last_contact_ms.
+/// Send the gateway state to each sidecar. The second in rank and unreachable
+/// sidecars also get the workspaces that are served by another lender.
 void
 World::send_state (Gateway &g)
 {
@@ -295,7 +294,7 @@
       delete (Request *)waiter;
     }
   g.process.incarnation++;
-  // The system itself is new before the first requests come.
+  // The initial start precedes all requests, so no credit was lent before it.
   g.started_ms = now_ms == start_ms ? 0 : now_ms;
   uint64_t window_ms = quo_window_ms (&o.tolerance);
   bool is_lost
