--- a/tools/bench.c
+++ b/tools/bench.c
@@ -24,7 +24,7 @@
 static bool has_row;
 
 static void
-row (const char *name, double value, const char *unit)
+write_row (const char *name, double value, const char *unit)
 {
   printf ("%-44s %14.1f %s\n", name, value, unit);
   if (json != NULL)
@@ -52,7 +52,7 @@
 {
   size_t before = heap_bytes ();
   rt_table_t *table = kb_alloc (sizeof *table);
-  size_t fixed = heap_bytes () - before;
+  size_t table_bytes = heap_bytes () - before;
   rt_options_t options;
   rt_options_default (&options);
   rt_table_init (table, &options);
@@ -63,30 +63,30 @@
       rt_target_set_state (table, t, RT_UP);
     }
   before = heap_bytes ();
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   for (uint64_t a = 1; a <= adapters; a++)
     rt_choose (table, 1, a * 7919, NULL, 0, 1, a);
-  double first_ns = (double)(tmr_now_us () - start) * 1000 / adapters;
+  double rank_ns = (double)(tmr_now_us () - start_us) * 1000 / adapters;
   double bytes = (double)(heap_bytes () - before) / adapters;
   enum
   {
     ROUNDS = 2000000
   };
-  start = tmr_now_us ();
+  start_us = tmr_now_us ();
   uint64_t sum = 0;
   for (uint64_t i = 0; i < ROUNDS; i++)
     sum += rt_choose (table, 1, (i * 2654435761u % adapters + 1) * 7919, NULL,
                       0, 1 + i / 1000, i);
-  double ns = (double)(tmr_now_us () - start) * 1000 / ROUNDS;
+  double ns = (double)(tmr_now_us () - start_us) * 1000 / ROUNDS;
   char name[64];
   snprintf (name, sizeof name, "route_choose_ns_%ut_%ua", targets, adapters);
-  row (name, ns, sum == 1 ? "ns." : "ns");
+  write_row (name, ns, sum == 1 ? "ns." : "ns");
   snprintf (name, sizeof name, "route_rank_ns_%ut", targets);
-  row (name, first_ns, "ns");
+  write_row (name, rank_ns, "ns");
   if (targets == 600)
     {
-      row ("route_adapter_bytes", bytes, "B");
-      row ("route_fixed_bytes", (double)fixed, "B");
+      write_row ("route_adapter_bytes", bytes, "B");
+      write_row ("route_fixed_bytes", (double)table_bytes, "B");
     }
   rt_table_finish (table);
   free (table);
@@ -123,7 +123,7 @@
   {
     ROUNDS = 200000
   };
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   for (uint32_t i = 0; i < ROUNDS; i++)
     {
       sch_action_t action = sch_next_action (queue, 1000 + i, false);
@@ -133,10 +133,10 @@
       sch_end_run (queue, action.item, i);
       sch_add (queue, action.item);
     }
-  double ns = (double)(tmr_now_us () - start) * 1000 / ROUNDS;
+  double ns = (double)(tmr_now_us () - start_us) * 1000 / ROUNDS;
   char name[64];
   snprintf (name, sizeof name, "sched_cycle_ns_%uw", waiting);
-  row (name, ns, "ns");
+  write_row (name, ns, "ns");
   free (items);
   sch_queue_finish (queue);
   slt_table_finish (&slots);
@@ -153,25 +153,25 @@
   {
     ROUNDS = 500000
   };
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   for (int i = 0; i < ROUNDS; i++)
     {
       kb_buf_clear (&out);
       msg_encode (msg, &out);
     }
-  double encode = (double)(tmr_now_us () - start) * 1000 / ROUNDS;
-  msg_t back;
-  start = tmr_now_us ();
+  double encode = (double)(tmr_now_us () - start_us) * 1000 / ROUNDS;
+  msg_t decoded;
+  start_us = tmr_now_us ();
   for (int i = 0; i < ROUNDS; i++)
-    msg_decode (kb_buf_slice (&out), &back);
-  double decode = (double)(tmr_now_us () - start) * 1000 / ROUNDS;
+    msg_decode (kb_buf_slice (&out), &decoded);
+  double decode = (double)(tmr_now_us () - start_us) * 1000 / ROUNDS;
   char text[64];
   snprintf (text, sizeof text, "msg_%s_encode_ns", name);
-  row (text, encode, "ns");
+  write_row (text, encode, "ns");
   snprintf (text, sizeof text, "msg_%s_decode_ns", name);
-  row (text, decode, "ns");
+  write_row (text, decode, "ns");
   snprintf (text, sizeof text, "msg_%s_bytes", name);
-  row (text, (double)size, "B");
+  write_row (text, (double)size, "B");
   kb_buf_finish (&out);
 }
 
@@ -226,11 +226,11 @@
   {
     ROUNDS = 200000
   };
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   for (int i = 0; i < ROUNDS; i++)
     oai_answer_check (kb_slice_str (event), "adapter-1234@1");
-  row ("event_check_ns", (double)(tmr_now_us () - start) * 1000 / ROUNDS,
-       "ns");
+  write_row ("event_check_ns",
+             (double)(tmr_now_us () - start_us) * 1000 / ROUNDS, "ns");
 }
 
 static void
@@ -248,7 +248,7 @@
       clm_owner_begin_rebuild (&owner, s, 1);
       clm_owner_end_rebuild (&owner, s, true, 0);
     }
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   for (uint64_t i = 1; i <= KEYS; i++)
     {
       clm_claim_t claim = { .key = i * 0x9E3779B97F4A7C15ULL | 1,
@@ -257,56 +257,60 @@
                             .runner = 123 };
       clm_owner_claim (&owner, &claim, 1);
     }
-  row ("claim_owner_ns", (double)(tmr_now_us () - start) * 1000 / KEYS, "ns");
-  row ("claim_owner_bytes", (double)(heap_bytes () - before) / KEYS, "B");
+  write_row ("claim_owner_ns",
+             (double)(tmr_now_us () - start_us) * 1000 / KEYS, "ns");
+  write_row ("claim_owner_bytes", (double)(heap_bytes () - before) / KEYS,
+             "B");
   clm_owner_finish (&owner);
   before = heap_bytes ();
   clm_runner_t runner;
   clm_runner_init (&runner, KEYS * 2, 600000, 0);
-  start = tmr_now_us ();
+  start_us = tmr_now_us ();
   for (uint64_t i = 1; i <= KEYS; i++)
     clm_runner_admit (&runner, i, i * 0x9E3779B97F4A7C15ULL | 1, i, 1, 1);
-  row ("claim_runner_ns", (double)(tmr_now_us () - start) * 1000 / KEYS, "ns");
-  row ("claim_runner_bytes", (double)(heap_bytes () - before) / KEYS, "B");
+  write_row ("claim_runner_ns",
+             (double)(tmr_now_us () - start_us) * 1000 / KEYS, "ns");
+  write_row ("claim_runner_bytes", (double)(heap_bytes () - before) / KEYS,
+             "B");
   uint64_t epochs[CLM_SHARDS];
   for (int i = 0; i < CLM_SHARDS; i++)
     epochs[i] = 2;
   kb_buf_t records = { 0 };
-  start = tmr_now_us ();
+  start_us = tmr_now_us ();
   clm_runner_recover (&runner, epochs, 123, 1, &records);
-  row ("claim_recover_ns", (double)(tmr_now_us () - start) * 1000 / KEYS,
-       "ns");
-  row ("claim_record_wire_bytes", (double)records.len_bytes / KEYS, "B");
+  write_row ("claim_recover_ns",
+             (double)(tmr_now_us () - start_us) * 1000 / KEYS, "ns");
+  write_row ("claim_record_wire_bytes", (double)records.len_bytes / KEYS, "B");
   kb_buf_finish (&records);
   clm_runner_finish (&runner);
 }
 
 static void
-bench_gate (uint32_t wishes)
+bench_gate (uint32_t requests)
 {
   gat_gate_t *gate = kb_alloc (sizeof *gate);
   gat_options_t options = { 1e9, 1, 1000000 };
   gat_gate_init (gate, &options, 0);
-  for (uint32_t i = 0; i < wishes; i++)
+  for (uint32_t i = 0; i < requests; i++)
     gat_request_load (gate, i + 1, 1, (uint8_t)(i % 4), i, 1);
   enum
   {
     ROUNDS = 20000
   };
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   for (uint64_t i = 0; i < ROUNDS; i++)
     {
-      const gat_request_t *wish = gat_grant_next (gate, 1000 + i);
-      if (wish == NULL)
+      const gat_request_t *request = gat_grant_next (gate, 1000 + i);
+      if (request == NULL)
         break;
-      uint64_t agent = wish->agent;
+      uint64_t agent = request->agent;
       gat_end_load (gate, agent, 1);
       gat_request_load (gate, agent, 1, 2, 1, 1000 + i);
     }
   char name[64];
-  snprintf (name, sizeof name, "gate_cycle_ns_%uw", wishes);
-  row (name, (double)(tmr_now_us () - start) * 1000 / ROUNDS, "ns");
-  row ("gate_fixed_bytes", sizeof *gate, "B");
+  snprintf (name, sizeof name, "gate_cycle_ns_%uw", requests);
+  write_row (name, (double)(tmr_now_us () - start_us) * 1000 / ROUNDS, "ns");
+  write_row ("gate_fixed_bytes", sizeof *gate, "B");
   free (gate);
 }
 
@@ -327,41 +331,41 @@
   size_t before = heap_bytes ();
   cfg_config_t config;
   kb_error_t error;
-  uint64_t start = tmr_now_us ();
+  uint64_t start_us = tmr_now_us ();
   if (doc_build_config (&folder, 1, NULL, NULL, &config, &error) != KB_OK)
     abort ();
   char name[64];
   snprintf (name, sizeof name, "config_build_ms_%ua", adapters);
-  row (name, (double)(tmr_now_us () - start) / 1000, "ms");
+  write_row (name, (double)(tmr_now_us () - start_us) / 1000, "ms");
   snprintf (name, sizeof name, "config_adapter_bytes_%ua", adapters);
-  row (name, (double)(heap_bytes () - before) / adapters, "B");
+  write_row (name, (double)(heap_bytes () - before) / adapters, "B");
   doc_head_t head = { .revision = 1, .folder = folder };
   kb_buf_t out = { 0 };
   doc_head_write (&head, &out);
   snprintf (name, sizeof name, "config_head_bytes_%ua", adapters);
-  row (name, (double)out.len_bytes, "B");
+  write_row (name, (double)out.len_bytes, "B");
   snprintf (name, sizeof name, "config_text_bytes_%ua", adapters);
-  row (name, (double)text.len_bytes, "B");
+  write_row (name, (double)text.len_bytes, "B");
   // One adapter changes: what a digest comparison by chunk has to move.
-  char *place = strstr (text.ptr, "ws://adapter-57/2");
-  place[strlen ("ws://adapter-57/")] = '3';
+  char *version = strstr (text.ptr, "ws://adapter-57/2");
+  version[strlen ("ws://adapter-57/")] = '3';
   doc_folder_t next = { 0 };
   doc_folder_put (&next, "10-a.json", kb_buf_slice (&text));
   kb_slice_t rest = kb_buf_slice (&text);
-  size_t moved = 0;
+  size_t changed_bytes = 0;
   for (uint32_t k = 0; k < next.files[0].chunk_count; k++)
     {
       size_t len = doc_chunk_len (rest);
-      bool is_known = false;
+      bool is_unchanged = false;
       for (uint32_t j = 0; j < folder.files[0].chunk_count; j++)
-        is_known |= doc_digest_equal (folder.files[0].chunks[j],
-                                      next.files[0].chunks[k]);
-      moved += is_known ? 0 : len;
+        is_unchanged |= doc_digest_equal (folder.files[0].chunks[j],
+                                          next.files[0].chunks[k]);
+      changed_bytes += is_unchanged ? 0 : len;
       rest.ptr += len;
       rest.len_bytes -= (uint32_t)len;
     }
   snprintf (name, sizeof name, "config_change_bytes_%ua", adapters);
-  row (name, (double)moved, "B");
+  write_row (name, (double)changed_bytes, "B");
   kb_buf_finish (&out);
   kb_buf_finish (&text);
   cfg_config_finish (&config);
@@ -376,13 +380,13 @@
   ++*(uint64_t *)link->owner;
 }
 
-static const lnk_events_t link_events = { on_message, NULL };
+static const lnk_events_t bench_link_events = { on_message, NULL };
 
 static void
-turn_until (uv_loop_t *loop, const uint64_t *count, uint64_t wanted)
+run_loop_until (uv_loop_t *loop, const uint64_t *count, uint64_t target_count)
 {
   uint64_t end = tmr_now_ms () + 20000;
-  while (*count < wanted && tmr_now_ms () < end)
+  while (*count < target_count && tmr_now_ms () < end)
     {
       uv_run (loop, UV_RUN_NOWAIT);
       usleep (200);
@@ -408,21 +412,21 @@
   lnk_options_t options = { .public_key = public_key,
                             .secret_key = secret_key,
                             .allowed_keys = { public_key, "" } };
-  size_t start = rss_bytes ();
+  size_t initial_bytes = rss_bytes ();
   for (uint32_t i = 0; i < count; i++)
     {
       snprintf (names[i], sizeof names[i], "p%u", i);
       options.name = names[i];
       uint16_t port = 0;
-      lnk_link_init (&peers[i], &loop, &link_events, &received, &options,
+      lnk_link_init (&peers[i], &loop, &bench_link_events, &received, &options,
                      NULL);
       lnk_link_bind (&peers[i], "127.0.0.1", &port, NULL);
       snprintf (addresses[i], sizeof addresses[i], "tcp://127.0.0.1:%u", port);
     }
-  size_t bound = rss_bytes ();
+  size_t bound_bytes = rss_bytes ();
   lnk_link_t entry;
   options.name = "entry";
-  lnk_link_init (&entry, &loop, &link_events, &received, &options, NULL);
+  lnk_link_init (&entry, &loop, &bench_link_events, &received, &options, NULL);
   for (uint32_t i = 0; i < count; i++)
     lnk_link_connect (&entry, addresses[i], public_key);
   msg_t msg = { .type = MSG_PING };
@@ -436,15 +440,15 @@
           uv_run (&loop, UV_RUN_NOWAIT);
           usleep (500);
         }
-      turn_until (&loop, &received, before + 1);
+      run_loop_until (&loop, &received, before + 1);
     }
-  size_t connected = rss_bytes ();
+  size_t connected_bytes = rss_bytes ();
   char name[64];
   snprintf (name, sizeof name, "connection_both_ends_bytes_%u", count);
-  row (name, (double)(connected - bound) / count, "B");
+  write_row (name, (double)(connected_bytes - bound_bytes) / count, "B");
   snprintf (name, sizeof name, "link_bound_bytes_%u", count);
-  row (name, (double)(bound - start) / count, "B");
-  row ("connections_answered", (double)received, "");
+  write_row (name, (double)(bound_bytes - initial_bytes) / count, "B");
+  write_row ("connections_answered", (double)received, "");
 }
 
 int
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -22,7 +22,7 @@
 constexpr int kWorkers = 24;
 
 /// Figures of one kind of request.
-struct Tally
+struct KindStats
 {
   int sent = 0;
   int done = 0;
@@ -38,9 +38,9 @@
   std::string model;
   std::string prompt;
   int tokens;
-  bool stream;
-  bool keyed;
-  bool plain;
+  bool is_streamed;
+  bool is_keyed;
+  bool is_plain;
 };
 
 Job
@@ -56,13 +56,13 @@
   job.prompt = "demo-" + std::to_string (i);
   job.tokens = 4 + (int)(rng () % 24);
   int kind = (int)(rng () % 10);
-  job.plain = kind == 0;
-  job.stream = kind >= 1 && kind <= 4;
-  job.keyed = kind == 5 || kind == 6;
-  job.kind = job.plain    ? "plain"
-             : job.stream ? "streamed"
-             : job.keyed  ? "keyed, sent twice"
-                          : "unary";
+  job.is_plain = kind == 0;
+  job.is_streamed = kind >= 1 && kind <= 4;
+  job.is_keyed = kind == 5 || kind == 6;
+  job.kind = job.is_plain      ? "plain"
+             : job.is_streamed ? "streamed"
+             : job.is_keyed    ? "keyed, sent twice"
+                               : "unary";
   return job;
 }
 
@@ -77,7 +77,7 @@
 run_job (kb::Cluster &c, const Job &job, int entry)
 {
   std::string key = job.workspace + "-key";
-  if (job.plain)
+  if (job.is_plain)
     {
       kb::Answer answer
           = kb::http_call ("POST", c.entries[(size_t)entry].process.http_port,
@@ -88,20 +88,20 @@
       return is_refused (answer) ? 1 : 2;
     }
   kb::Headers headers;
-  if (job.keyed)
+  if (job.is_keyed)
     headers.push_back ("Idempotency-Key: " + job.prompt);
   kb::Answer answer = c.complete (entry, job.model, job.prompt, headers,
-                                  job.tokens, job.stream, key);
+                                  job.tokens, job.is_streamed, key);
   if (answer.status != 200)
     return is_refused (answer) ? 1 : 2;
-  std::string text = job.stream ? kb::Cluster::text_of_stream (answer)
-                                : kb::Cluster::text_of (answer);
+  std::string text = job.is_streamed ? kb::Cluster::text_of_stream (answer)
+                                     : kb::Cluster::text_of (answer);
   bool is_right = answer.is_complete
                   && text
                          == kb::Cluster::expected_text (job.model, job.prompt,
                                                         job.tokens)
                   && answer.headers["x-knapweedbay-model"] == job.model;
-  if (is_right && job.keyed)
+  if (is_right && job.is_keyed)
     {
       kb::Answer again = c.complete (1 - entry, job.model, job.prompt, headers,
                                      job.tokens, false, key);
@@ -113,7 +113,7 @@
 int
 run_load (kb::Cluster &c)
 {
-  std::map<std::string, Tally> tallies;
+  std::map<std::string, KindStats> stats_by_kind;
   std::mutex mutex;
   std::mt19937 rng (7);
   std::vector<Job> jobs;
@@ -129,17 +129,17 @@
         {
           auto begin = std::chrono::steady_clock::now ();
           int result = run_job (c, jobs[i], w % 2);
-          double took = std::chrono::duration<double> (
-                            std::chrono::steady_clock::now () - begin)
-                            .count ();
+          double elapsed_s = std::chrono::duration<double> (
+                                 std::chrono::steady_clock::now () - begin)
+                                 .count ();
           std::lock_guard<std::mutex> lock (mutex);
-          Tally &t = tallies[jobs[i].kind];
+          KindStats &t = stats_by_kind[jobs[i].kind];
           results[i] = result;
           t.sent++;
           t.done += result == 0;
           t.refused += result == 1;
           t.differences += result == 2;
-          t.seconds.push_back (took);
+          t.seconds.push_back (elapsed_s);
         }
     });
   for (auto &worker : workers)
@@ -156,7 +156,7 @@
     }
   printf ("%-18s %6s %6s %8s %12s %9s %9s\n", "kind", "sent", "done",
           "refused", "differences", "p50 ms", "p99 ms");
-  for (auto &[kind, t] : tallies)
+  for (auto &[kind, t] : stats_by_kind)
     {
       std::sort (t.seconds.begin (), t.seconds.end ());
       printf ("%-18s %6d %6d %8d %12d %9.1f %9.1f\n", kind.c_str (), t.sent,
@@ -172,7 +172,7 @@
 }
 
 void
-stay (kb::Cluster &c)
+serve_until_signal (kb::Cluster &c)
 {
   for (auto &e : c.entries)
     printf ("%s http://127.0.0.1:%d\n", e.name.c_str (), e.process.http_port);
@@ -196,8 +196,8 @@
 int
 main (int argc, char **argv)
 {
-  bool is_staying = argc > 1 && strcmp (argv[1], "--stay") == 0;
-  if (is_staying)
+  bool stays_up = argc > 1 && strcmp (argv[1], "--stay") == 0;
+  if (stays_up)
     {
       sigset_t set;
       sigemptyset (&set);
@@ -210,9 +210,9 @@
   c.start ();
   printf (
       "2 entries, 4 engines, 1 plain service, 40 adapters, 3 workspaces\n");
-  if (is_staying)
+  if (stays_up)
     {
-      stay (c);
+      serve_until_signal (c);
       return 0;
     }
   int differences = run_load (c);
--- a/tools/fleet.cc
+++ b/tools/fleet.cc
@@ -1,6 +1,7 @@
 /// @file fleet.cc
 /// kbfleet: slopes that need real processes: memory, control bytes, processor
-/// time and key-value calls by fleet size, and the latency the path adds.
+/// time and key-value calls by fleet size, and the latency the via_gateway
+/// adds.
 #include <unistd.h>
 
 #include <algorithm>
@@ -21,7 +22,7 @@
 bool has_row;
 
 void
-row (const std::string &name, double value)
+write_row (const std::string &name, double value)
 {
   printf ("%-48s %14.2f\n", name.c_str (), value);
   fflush (stdout);
@@ -38,9 +39,9 @@
   std::string text ((std::istreambuf_iterator<char> (in)),
                     std::istreambuf_iterator<char> ());
   std::istringstream fields (text.substr (text.rfind (')') + 2));
-  std::string skip;
+  std::string ignored;
   for (int i = 0; i < 11; i++)
-    fields >> skip;
+    fields >> ignored;
   double user;
   double system;
   fields >> user >> system;
@@ -62,7 +63,7 @@
 }
 
 double
-kv_stat (kb::Cluster &c, const char *name)
+kv_counter (kb::Cluster &c, const char *name)
 {
   json_object *doc = c.stats (c.kv);
   json_object *value = nullptr;
@@ -105,34 +106,36 @@
   double a_bytes = inner_bytes (c, a);
   double e_cpu = cpu_seconds (e);
   double a_cpu = cpu_seconds (a);
-  double reads = kv_stat (c, "reads");
-  double writes = kv_stat (c, "writes");
+  double reads = kv_counter (c, "reads");
+  double writes = kv_counter (c, "writes");
   sleep_s (kSeconds);
-  std::string at = "_" + std::to_string (entries) + "e_"
-                   + std::to_string (engines) + "a"
-                   + (adapters > 1000 ? "_" + std::to_string (adapters) : "");
-  row ("idle_entry_rss_mb" + at, rss_mb (c, e));
-  row ("idle_agent_rss_mb" + at, rss_mb (c, a));
-  row ("idle_entry_bytes_per_s" + at,
-       (inner_bytes (c, e) - e_bytes) / kSeconds);
-  row ("idle_agent_bytes_per_s" + at,
-       (inner_bytes (c, a) - a_bytes) / kSeconds);
-  row ("idle_entry_cpu_percent" + at,
-       (cpu_seconds (e) - e_cpu) / kSeconds * 100);
-  row ("idle_agent_cpu_percent" + at,
-       (cpu_seconds (a) - a_cpu) / kSeconds * 100);
-  row ("idle_kv_reads_per_s" + at, (kv_stat (c, "reads") - reads) / kSeconds);
-  row ("idle_kv_writes_per_s" + at,
-       (kv_stat (c, "writes") - writes) / kSeconds);
-  row ("idle_kv_watches" + at, kv_stat (c, "open_watches"));
+  std::string name_suffix
+      = "_" + std::to_string (entries) + "e_" + std::to_string (engines) + "a"
+        + (adapters > 1000 ? "_" + std::to_string (adapters) : "");
+  write_row ("idle_entry_rss_mb" + name_suffix, rss_mb (c, e));
+  write_row ("idle_agent_rss_mb" + name_suffix, rss_mb (c, a));
+  write_row ("idle_entry_bytes_per_s" + name_suffix,
+             (inner_bytes (c, e) - e_bytes) / kSeconds);
+  write_row ("idle_agent_bytes_per_s" + name_suffix,
+             (inner_bytes (c, a) - a_bytes) / kSeconds);
+  write_row ("idle_entry_cpu_percent" + name_suffix,
+             (cpu_seconds (e) - e_cpu) / kSeconds * 100);
+  write_row ("idle_agent_cpu_percent" + name_suffix,
+             (cpu_seconds (a) - a_cpu) / kSeconds * 100);
+  write_row ("idle_kv_reads_per_s" + name_suffix,
+             (kv_counter (c, "reads") - reads) / kSeconds);
+  write_row ("idle_kv_writes_per_s" + name_suffix,
+             (kv_counter (c, "writes") - writes) / kSeconds);
+  write_row ("idle_kv_watches" + name_suffix, kv_counter (c, "open_watches"));
 }
 
-/// Latency added by the path to a plain service, side by side in one run.
+/// Latency added by the via_gateway to a plain service, side by side in one
+/// run.
 void
 measure_latency (kb::Cluster &c)
 {
   std::vector<double> direct;
-  std::vector<double> path;
+  std::vector<double> via_gateway;
   kb::Headers auth = { "Authorization: Bearer kavango-key" };
   for (int i = 0; i < 1500; i++)
     {
@@ -140,44 +143,45 @@
       direct.push_back (
           kb::http_call ("POST", c.targets.back ().fake.http_port, "/x", body)
               .seconds);
-      path.push_back (kb::http_call ("POST", c.entries[0].process.http_port,
-                                     "/v1/services/map-query/x", body + "p",
-                                     auth)
-                          .seconds);
+      via_gateway.push_back (
+          kb::http_call ("POST", c.entries[0].process.http_port,
+                         "/v1/services/map-query/x", body + "p", auth)
+              .seconds);
     }
-  row ("latency_direct_p50_ms", percentile (direct, 0.5) * 1000);
-  row ("latency_direct_p99_ms", percentile (direct, 0.99) * 1000);
-  row ("latency_path_p50_ms", percentile (path, 0.5) * 1000);
-  row ("latency_path_p99_ms", percentile (path, 0.99) * 1000);
+  write_row ("latency_direct_p50_ms", percentile (direct, 0.5) * 1000);
+  write_row ("latency_direct_p99_ms", percentile (direct, 0.99) * 1000);
+  write_row ("latency_path_p50_ms", percentile (via_gateway, 0.5) * 1000);
+  write_row ("latency_path_p99_ms", percentile (via_gateway, 0.99) * 1000);
 }
 
-/// Processor time of entry and agent for each request at full speed.
+/// Processor time of entry and agent for each request name_suffix full speed.
 void
 measure_throughput (kb::Cluster &c)
 {
-  std::atomic<int> done{ 0 };
-  std::atomic<bool> is_over{ false };
+  std::atomic<int> completed{ 0 };
+  std::atomic<bool> is_stopped{ false };
   double e_cpu = cpu_seconds (c.entries[0].process);
   double a_cpu = cpu_seconds (c.targets.back ().agent);
   std::vector<std::thread> threads;
   for (int w = 0; w < 32; w++)
     threads.emplace_back ([&] {
       kb::Headers auth = { "Authorization: Bearer kavango-key" };
-      while (!is_over)
-        done += kb::http_call ("POST", c.entries[0].process.http_port,
-                               "/v1/services/map-query/x", "t", auth)
-                    .status
-                == 200;
+      while (!is_stopped)
+        completed += kb::http_call ("POST", c.entries[0].process.http_port,
+                                    "/v1/services/map-query/x", "t", auth)
+                         .status
+                     == 200;
     });
   sleep_s (3);
-  is_over = true;
+  is_stopped = true;
   for (auto &t : threads)
     t.join ();
-  row ("throughput_requests_per_s", done / 3.0);
-  row ("entry_cpu_us_per_request",
-       (cpu_seconds (c.entries[0].process) - e_cpu) / done * 1e6);
-  row ("agent_cpu_us_per_request",
-       (cpu_seconds (c.targets.back ().agent) - a_cpu) / done * 1e6);
+  write_row ("throughput_requests_per_s", completed / 3.0);
+  write_row ("entry_cpu_us_per_request",
+             (cpu_seconds (c.entries[0].process) - e_cpu) / completed * 1e6);
+  write_row ("agent_cpu_us_per_request",
+             (cpu_seconds (c.targets.back ().agent) - a_cpu) / completed
+                 * 1e6);
 }
 
 /// Processor time for each streamed token.
@@ -206,10 +210,10 @@
     t.join ();
   for (auto &t : c.targets)
     a_cpu += cpu_seconds (t.agent);
-  row ("stream_tokens", tokens);
-  row ("entry_cpu_us_per_token",
-       (cpu_seconds (c.entries[0].process) - e_cpu) / tokens * 1e6);
-  row ("agent_cpu_us_per_token", a_cpu / tokens * 1e6);
+  write_row ("stream_tokens", tokens);
+  write_row ("entry_cpu_us_per_token",
+             (cpu_seconds (c.entries[0].process) - e_cpu) / tokens * 1e6);
+  write_row ("agent_cpu_us_per_token", a_cpu / tokens * 1e6);
 }
 
 /// Resident growth of an entry and its engines' agents over many requests.
@@ -228,14 +232,16 @@
     });
   for (auto &t : threads)
     t.join ();
-  row ("soak_requests", 16000);
-  row ("soak_entry_growth_mb", rss_mb (c, c.entries[0].process) - e_before);
-  row ("soak_agent_growth_mb", rss_mb (c, c.targets.back ().agent) - a_before);
+  write_row ("soak_requests", 16000);
+  write_row ("soak_entry_growth_mb",
+             rss_mb (c, c.entries[0].process) - e_before);
+  write_row ("soak_agent_growth_mb",
+             rss_mb (c, c.targets.back ().agent) - a_before);
 }
 
 /// One change of one adapter, spread over many entries.
 void
-measure_spread (int entries)
+measure_propagation (int entries)
 {
   kb::ClusterOptions o;
   o.entries = entries;
@@ -252,15 +258,15 @@
     return total;
   };
   double bytes = config_bytes ();
-  double reads = kv_stat (c, "reads");
-  double writes = kv_stat (c, "writes");
+  double reads = kv_counter (c, "reads");
+  double writes = kv_counter (c, "writes");
   std::ofstream (c.config_dir + "/30-x.json")
       << "{\"adapters\":{\"x\":{\"service\":\"report\",\"versions\":{"
          "\"1\":\"ws://x\"}}}}";
   if (c.apply () != 0)
     return;
   auto begin = std::chrono::steady_clock::now ();
-  bool is_everywhere = kb::Cluster::wait_until (
+  bool is_applied = kb::Cluster::wait_until (
       [&c] {
         for (auto &e : c.entries)
           if (c.metric (e.process, "knapweedbay_config_revision") != 2)
@@ -268,15 +274,18 @@
         return true;
       },
       10000);
-  double took = std::chrono::duration<double> (
-                    std::chrono::steady_clock::now () - begin)
-                    .count ();
-  std::string at = "_" + std::to_string (entries);
-  row ("spread_ms" + at, is_everywhere ? took * 1000 : -1);
-  row ("spread_bytes_per_entry" + at, (config_bytes () - bytes) / entries);
-  row ("spread_kv_reads" + at, kv_stat (c, "reads") - reads);
-  row ("spread_kv_writes" + at, kv_stat (c, "writes") - writes);
-  row ("spread_kv_watches" + at, kv_stat (c, "open_watches"));
+  double elapsed_s = std::chrono::duration<double> (
+                         std::chrono::steady_clock::now () - begin)
+                         .count ();
+  std::string name_suffix = "_" + std::to_string (entries);
+  write_row ("spread_ms" + name_suffix, is_applied ? elapsed_s * 1000 : -1);
+  write_row ("spread_bytes_per_entry" + name_suffix,
+             (config_bytes () - bytes) / entries);
+  write_row ("spread_kv_reads" + name_suffix, kv_counter (c, "reads") - reads);
+  write_row ("spread_kv_writes" + name_suffix,
+             kv_counter (c, "writes") - writes);
+  write_row ("spread_kv_watches" + name_suffix,
+             kv_counter (c, "open_watches"));
 }
 
 } // namespace
@@ -300,7 +309,7 @@
   if (argc > 1 && strcmp (argv[1], "--spread") == 0)
     {
       for (int entries : { 10, 50, 200 })
-        measure_spread (entries);
+        measure_propagation (entries);
       return 0;
     }
   {
@@ -319,7 +328,7 @@
   measure_idle (8, 10, 40);
   measure_idle (1, 10, 13000);
   for (int entries : { 10, 50, 200 })
-    measure_spread (entries);
+    measure_propagation (entries);
   if (json != nullptr)
     {
       fprintf (json, "\n}\n");
--- a/tools/lab/model.cc
+++ b/tools/lab/model.cc
@@ -627,9 +627,8 @@
       }
     e.queue = waiting;
   }
-  /// Fetch an adapter, evicting the least recently used one not in use. At
-  /// most
-  /// four fetches run at a time.
+  /// Fetch an adapter, evicting the least recently used one not in use.
+  /// At most four fetches run at a time.
   void
   fetch_for_baseline (Engine &e, int adapter)
   {
--- a/tools/lab/model.h
+++ b/tools/lab/model.h
@@ -18,9 +18,8 @@
 {
   COORDINATED, ///< The decisions of the daemon.
 
-  /// First come, first served at a random engine, with LRU eviction of
-  /// adapters
-  /// and no early refusal.
+  /// First come, first served at a random engine, with LRU eviction
+  /// of adapters and no early refusal.
   BASELINE,
 };
 
--- a/tools/lab/quota_simulation.h
+++ b/tools/lab/quota_simulation.h
@@ -156,7 +156,7 @@
   std::vector<std::pair<uint64_t, double>> admissions;  ///< Time and amount.
   qlv_level_t ideal = {};
   QuotaOutcome out;
-  /// Requests by gateway and sidecar.
+  /// Quota messages by gateway and sidecar.
   std::map<std::pair<uint32_t, uint32_t>, uint64_t> pair_messages;
 };
 
--- a/tools/replay/main.c
+++ b/tools/replay/main.c
@@ -41,24 +41,24 @@
 
 /// @return  How many stated outcomes do not hold.
 static int
-check (const rpl_trace_t *trace, const rpl_result_t *r)
+check_outcomes (const rpl_trace_t *trace, const rpl_result_t *r)
 {
-  int broken = 0;
+  int failures = 0;
   const struct
   {
     const char *name;
     uint32_t value;
-  } zero[] = { { "wrong", r->wrong },
-               { "doubled", r->doubled },
-               { "lost", r->lost },
-               { "evicted_in_use", r->evicted_in_use },
-               { "class_inversions", r->class_inversions } };
-  for (size_t i = 0; i < sizeof zero / sizeof zero[0]; i++)
-    if (zero[i].value != 0)
+  } expected_zero[] = { { "wrong", r->wrong },
+                        { "doubled", r->doubled },
+                        { "lost", r->lost },
+                        { "evicted_in_use", r->evicted_in_use },
+                        { "class_inversions", r->class_inversions } };
+  for (size_t i = 0; i < sizeof expected_zero / sizeof expected_zero[0]; i++)
+    if (expected_zero[i].value != 0)
       {
-        printf ("FAILED: %s: %s is %u\n", trace->site.name, zero[i].name,
-                zero[i].value);
-        broken++;
+        printf ("FAILED: %s: %s is %u\n", trace->site.name,
+                expected_zero[i].name, expected_zero[i].value);
+        failures++;
       }
   for (int c = 0; c < RPL_CLASSES; c++)
     {
@@ -69,29 +69,29 @@
         continue;
       printf ("FAILED: %s: class %d: %.4f late, stated %.4f\n",
               trace->site.name, c, share, trace->site.late_share[c]);
-      broken++;
+      failures++;
     }
-  return broken;
+  return failures;
 }
 
 static int
-run_trace (const rpl_trace_t *trace, const rpl_knobs_t *knobs, bool with_bound,
-           FILE *json, bool *is_first)
+run_trace (const rpl_trace_t *trace, const rpl_overrides_t *overrides,
+           bool with_bound, FILE *json, bool *is_first)
 {
-  int broken = 0;
-  for (int p = RPL_OURS; p <= (with_bound ? RPL_BOUND : RPL_NAIVE); p++)
+  int failures = 0;
+  for (int p = RPL_COORDINATED; p <= (with_bound ? RPL_BOUND : RPL_NAIVE); p++)
     {
       rpl_result_t result;
-      rpl_run (trace, (rpl_policy_t)p, knobs, &result);
+      rpl_run (trace, (rpl_policy_t)p, overrides, &result);
       print_row (trace->site.name, policy_names[p], &result);
       if (json != NULL)
         write_json (json, trace->site.name, policy_names[p], &result,
                     *is_first);
       *is_first = false;
-      if (p == RPL_OURS)
-        broken += check (trace, &result);
+      if (p == RPL_COORDINATED)
+        failures += check_outcomes (trace, &result);
     }
-  return broken;
+  return failures;
 }
 
 /// The trade-off of the two weights, for the plot.
@@ -104,12 +104,12 @@
   rpl_trace_generate (name, seed, &trace, &error);
   for (size_t i = 0; i < sizeof shares / sizeof shares[0]; i++)
     {
-      rpl_knobs_t knobs;
-      rpl_knobs_default (&knobs);
-      knobs.stall_weight = 2 * shares[i];
-      knobs.efficiency_weight = 2 * (1 - shares[i]);
+      rpl_overrides_t overrides;
+      rpl_overrides_default (&overrides);
+      overrides.stall_weight = 2 * shares[i];
+      overrides.efficiency_weight = 2 * (1 - shares[i]);
       rpl_result_t r;
-      rpl_run (&trace, RPL_OURS, &knobs, &r);
+      rpl_run (&trace, RPL_COORDINATED, &overrides, &r);
       printf ("%s %.2f %.1f %.4f %u\n", name, shares[i],
               r.stall_ms_total / 1000, r.step_fill, r.late);
     }
@@ -117,7 +117,7 @@
 }
 
 static int
-run_named (const char *name, const rpl_knobs_t *knobs, FILE *json,
+run_named (const char *name, const rpl_overrides_t *overrides, FILE *json,
            bool *is_first)
 {
   kb_error_t error = { 0 };
@@ -132,24 +132,24 @@
       return 1;
     }
   bool with_bound = strchr (name, '-') == NULL || is_file;
-  int broken = run_trace (&trace, knobs, with_bound, json, is_first);
+  int failures = run_trace (&trace, overrides, with_bound, json, is_first);
   rpl_trace_finish (&trace);
-  return broken;
+  return failures;
 }
 
 static int
-run_all (const rpl_knobs_t *knobs, FILE *json)
+run_all (const rpl_overrides_t *overrides, FILE *json)
 {
   static const char *const names[]
       = { "kavango",        "skjamynd",          "kavango-burst",
           "skjamynd-burst", "kavango-flip",      "skjamynd-flip",
           "kavango-domain", "skjamynd-domain",   "kavango-cold",
           "skjamynd-cold",  "kavango-halfstore", "skjamynd-halfstore" };
-  int broken = 0;
+  int failures = 0;
   bool is_first = true;
   for (size_t i = 0; i < sizeof names / sizeof names[0]; i++)
-    broken += run_named (names[i], knobs, json, &is_first);
-  return broken;
+    failures += run_named (names[i], overrides, json, &is_first);
+  return failures;
 }
 
 int
@@ -182,22 +182,22 @@
       arg_print_errors (stderr, end, "kbreplay");
       return 2;
     }
-  rpl_knobs_t knobs;
-  rpl_knobs_default (&knobs);
-  knobs.no_gate = no_gate->count > 0;
-  knobs.fixed_width = fixed->count > 0;
-  knobs.lru = lru->count > 0;
-  knobs.spread = spread->count > 0;
+  rpl_overrides_t overrides;
+  rpl_overrides_default (&overrides);
+  overrides.is_gate_disabled = no_gate->count > 0;
+  overrides.is_width_fixed = fixed->count > 0;
+  overrides.is_lru_eviction = lru->count > 0;
+  overrides.is_rank_ignored = spread->count > 0;
   if (seeded->count > 0)
     seed = (uint64_t)seeded->ival[0];
   if (grow->count > 0)
-    knobs.grow_permille = (uint32_t)grow->ival[0];
+    overrides.grow_permille = (uint32_t)grow->ival[0];
   if (margin->count > 0)
-    knobs.load_margin = margin->dval[0];
+    overrides.load_margin = margin->dval[0];
   if (stall->count > 0)
-    knobs.stall_weight = stall->dval[0];
+    overrides.stall_weight = stall->dval[0];
   if (efficiency->count > 0)
-    knobs.efficiency_weight = efficiency->dval[0];
+    overrides.efficiency_weight = efficiency->dval[0];
   if (generate->count > 0)
     {
       kb_error_t error;
@@ -220,18 +220,18 @@
   printf ("%-19s %-6s %12s %10s %10s %6s %6s %7s %6s %8s | late by class\n",
           "trace", "policy", "stall s", "p95 ms", "wait p95", "fill", "late",
           "refused", "loads", "end s");
-  int broken = 0;
+  int failures = 0;
   bool is_first = true;
   if (traces->count == 0)
-    broken = run_all (&knobs, out);
+    failures = run_all (&overrides, out);
   for (int i = 0; i < traces->count; i++)
-    broken += run_named (traces->sval[i], &knobs, out, &is_first);
+    failures += run_named (traces->sval[i], &overrides, out, &is_first);
   if (out != NULL)
     {
       fprintf (out, "\n]\n");
       fclose (out);
     }
-  printf ("%d stated outcomes failed\n", broken);
+  printf ("%d stated outcomes failed\n", failures);
   arg_freetable (table, sizeof table / sizeof table[0]);
-  return broken == 0 ? 0 : 1;
+  return failures == 0 ? 0 : 1;
 }
--- a/tools/replay/replay.h
+++ b/tools/replay/replay.h
@@ -71,7 +71,7 @@
 
 typedef enum
 {
-  RPL_OURS,
+  RPL_COORDINATED,
   RPL_NAIVE, ///< Random target, LRU, first come.
   RPL_BOUND, ///< One pooled engine that knows the future.
 } rpl_policy_t;
@@ -103,15 +103,15 @@
 {
   double stall_weight;      ///< Negative: the site's.
   double efficiency_weight; ///< Negative: the site's.
-  bool no_gate;
-  bool fixed_width;
-  bool lru;
-  bool spread; ///< Ignore rendezvous ranks: two random choices.
+  bool is_gate_disabled;
+  bool is_width_fixed;
+  bool is_lru_eviction;
+  bool is_rank_ignored; ///< Ignore rendezvous ranks: two random choices.
   double load_margin;
   uint32_t grow_permille; ///< Zero: the default.
-} rpl_knobs_t;
+} rpl_overrides_t;
 
-void rpl_knobs_default (rpl_knobs_t *knobs);
+void rpl_overrides_default (rpl_overrides_t *overrides);
 /// Read a trace in the JSON-lines form of docs/design/replay.md.
 kb_status_t rpl_trace_read (const char *path, rpl_trace_t *out,
                             kb_error_t *error);
@@ -122,6 +122,6 @@
                                 rpl_trace_t *out, kb_error_t *error);
 void rpl_trace_finish (rpl_trace_t *trace);
 void rpl_run (const rpl_trace_t *trace, rpl_policy_t policy,
-              const rpl_knobs_t *knobs, rpl_result_t *out);
+              const rpl_overrides_t *overrides, rpl_result_t *out);
 
 #endif
--- a/tools/replay/sim.c
+++ b/tools/replay/sim.c
@@ -21,18 +21,18 @@
 
 typedef enum
 {
-  EV_ARRIVE,  ///< A request reaches its entry.
-  EV_ENQUEUE, ///< A request reaches its agent.
-  EV_STEP,    ///< An engine's step ends.
-  EV_STORE,   ///< The weight store's next completion may be due.
-  EV_PUMP,    ///< An agent looks again.
+  EV_ARRIVE,   ///< A request reaches its entry.
+  EV_ENQUEUE,  ///< A request reaches its agent.
+  EV_STEP,     ///< An engine's step outcome_count.
+  EV_STORE,    ///< The weight store's next completion may be due.
+  EV_SCHEDULE, ///< An agent looks retried.
   EV_FAULT,
 } event_kind_t;
 
 typedef struct
 {
   uint64_t at_us;
-  uint64_t order;
+  uint64_t sequence;
   event_kind_t kind;
   uint32_t index;
   uint32_t extra;
@@ -45,13 +45,13 @@
   const rpl_request_t *request;
   uint32_t engine;
   uint32_t entry;
-  uint32_t left; ///< Tokens.
+  uint32_t tokens_left; ///< Tokens.
   uint32_t tries;
   uint16_t excluded[MAX_TRIES];
   uint64_t stall_since_us;
   uint64_t stall_us;
   uint64_t started_us;
-  uint32_t ends; ///< Outcomes it got; must become one.
+  uint32_t outcome_count; ///< Outcomes it got; must become one.
   bool is_done;
   uint32_t epoch; ///< Of the engine's incarnation.
 } job_t;
@@ -67,12 +67,12 @@
   uint32_t epoch;
   bool is_loading;
   bool has_grant;
-  bool is_asking;
+  bool has_gate_request;
   uint64_t loading_key;
   double load_left_ms; ///< At full speed.
   bool is_store_queued;
-  uint64_t ask_us;
-  uint64_t pump_at_us;
+  uint64_t gate_request_us;
+  uint64_t schedule_at_us;
   uint32_t domain;
   double service_ms;
 } engine_t;
@@ -82,12 +82,12 @@
   const rpl_trace_t *trace;
   const rpl_site_t *site;
   rpl_policy_t policy;
-  const rpl_knobs_t *knobs;
+  const rpl_overrides_t *overrides;
   rpl_result_t *out;
   event_t *heap;
   uint32_t heap_len;
   uint32_t heap_cap;
-  uint64_t order;
+  uint64_t sequence;
   uint64_t now_us;
   job_t *jobs;
   engine_t *engines;
@@ -109,25 +109,26 @@
   double *waits;
   double step_capacity;
   double step_used;
-  uint64_t random;
+  uint64_t random_state;
   uint32_t arrived; ///< Requests of the trace that have arrived.
 } sim_t;
 
 static void
-push (sim_t *s, uint64_t at_us, event_kind_t kind, uint32_t index,
-      uint32_t extra)
+push_event (sim_t *s, uint64_t at_us, event_kind_t kind, uint32_t index,
+            uint32_t extra)
 {
   if (s->heap_len == s->heap_cap)
     {
       s->heap_cap = s->heap_cap == 0 ? 1024 : s->heap_cap * 2;
       s->heap = kb_realloc (s->heap, s->heap_cap * sizeof *s->heap);
     }
-  event_t e = { at_us, s->order++, kind, index, extra };
+  event_t e = { at_us, s->sequence++, kind, index, extra };
   uint32_t at = s->heap_len++;
   while (at > 0)
     {
       event_t *up = &s->heap[(at - 1) / 2];
-      if (up->at_us < e.at_us || (up->at_us == e.at_us && up->order < e.order))
+      if (up->at_us < e.at_us
+          || (up->at_us == e.at_us && up->sequence < e.sequence))
         break;
       s->heap[at] = *up;
       at = (at - 1) / 2;
@@ -136,13 +137,14 @@
 }
 
 static bool
-before (const event_t *a, const event_t *b)
+event_precedes (const event_t *a, const event_t *b)
 {
-  return a->at_us < b->at_us || (a->at_us == b->at_us && a->order < b->order);
+  return a->at_us < b->at_us
+         || (a->at_us == b->at_us && a->sequence < b->sequence);
 }
 
 static event_t
-pop (sim_t *s)
+pop_event (sim_t *s)
 {
   event_t top = s->heap[0];
   event_t last = s->heap[--s->heap_len];
@@ -153,9 +155,9 @@
       if (child >= s->heap_len)
         break;
       if (child + 1 < s->heap_len
-          && before (&s->heap[child + 1], &s->heap[child]))
+          && event_precedes (&s->heap[child + 1], &s->heap[child]))
         child++;
-      if (!before (&s->heap[child], &last))
+      if (!event_precedes (&s->heap[child], &last))
         break;
       s->heap[at] = s->heap[child];
       at = child;
@@ -164,21 +166,21 @@
   return top;
 }
 
-/// Look at the store at a time, unless it is looked at before.
+/// Look at the store at a time, unless it is looked at event_precedes.
 static void
-push_store (sim_t *s, uint64_t at_us)
+schedule_store_event (sim_t *s, uint64_t at_us)
 {
   if (s->store_event_us != 0 && s->store_event_us <= at_us)
     return;
   s->store_event_us = at_us;
-  push (s, at_us, EV_STORE, 0, 0);
+  push_event (s, at_us, EV_STORE, 0, 0);
 }
 
 static uint64_t
 next_random (sim_t *s)
 {
-  s->random += 0x9E3779B97F4A7C15ULL;
-  uint64_t x = s->random;
+  s->random_state += 0x9E3779B97F4A7C15ULL;
+  uint64_t x = s->random_state;
   x = (x ^ (x >> 30)) * 0xBF58476D1CE4E5B9ULL;
   x = (x ^ (x >> 27)) * 0x94D049BB133111EBULL;
   return x ^ (x >> 31);
@@ -190,12 +192,12 @@
   return ((uint64_t)r->adapter << 8 | r->version) * 0x9E3779B97F4A7C15ULL | 1;
 }
 
-static void engine_pump (sim_t *s, uint32_t e);
+static void engine_schedule (sim_t *s, uint32_t e);
 
 static void
 job_end (sim_t *s, job_t *job, bool is_done)
 {
-  job->ends++;
+  job->outcome_count++;
   job->is_done = is_done;
   const rpl_request_t *r = job->request;
   rpl_result_t *out = s->out;
@@ -230,7 +232,7 @@
 }
 
 static void
-note_load (sim_t *s, uint32_t entry, uint32_t e)
+record_load_report (sim_t *s, uint32_t entry, uint32_t e)
 {
   engine_t *engine = &s->engines[e];
   rt_record_load_report (&s->routes[entry], (uint16_t)e, engine->queue.waiting,
@@ -241,12 +243,13 @@
 
 /// Place a request at a target, or end it when none can take it.
 static void
-job_place (sim_t *s, job_t *job)
+job_dispatch (sim_t *s, job_t *job)
 {
   rt_table_t *routes = &s->routes[job->entry];
   uint64_t key = job->item.adapter;
-  uint16_t e = rt_choose (routes, 1, s->knobs->spread ? 0 : key, job->excluded,
-                          job->tries, s->now_us / 1000, next_random (s));
+  uint16_t e = rt_choose (routes, 1, s->overrides->is_rank_ignored ? 0 : key,
+                          job->excluded, job->tries, s->now_us / 1000,
+                          next_random (s));
   if (e == RT_NONE || job->tries == MAX_TRIES)
     {
       job_end (s, job, false);
@@ -255,7 +258,7 @@
   job->engine = e;
   job->excluded[job->tries++] = e;
   rt_record_sent (routes, e, key);
-  push (s, s->now_us + HOP_US, EV_ENQUEUE, job->request->id - 1, 0);
+  push_event (s, s->now_us + HOP_US, EV_ENQUEUE, job->request->id - 1, 0);
 }
 
 static bool
@@ -271,23 +274,23 @@
   engine_t *engine = &s->engines[job->engine];
   const rpl_request_t *r = job->request;
   uint64_t wait_us = expected_wait_ms (engine, r->priority_class) * 1000;
-  bool is_hopeless = s->now_us + wait_us > r->at_us + r->deadline_us;
+  bool is_deadline_missed = s->now_us + wait_us > r->at_us + r->deadline_us;
   bool is_refused = !engine->is_up || engine->queue.waiting >= QUEUE_LIMIT
-                    || (s->policy == RPL_OURS && is_hopeless);
+                    || (s->policy == RPL_COORDINATED && is_deadline_missed);
   if (is_refused)
     {
-      note_load (s, job->entry, job->engine);
-      job_place (s, job);
+      record_load_report (s, job->entry, job->engine);
+      job_dispatch (s, job);
       return;
     }
-  job->left = r->tokens;
+  job->tokens_left = r->tokens;
   job->epoch = engine->epoch;
   job->item.enqueued_us = s->now_us;
   job->item.deadline_us = r->at_us + r->deadline_us;
   job->stall_since_us
       = is_resident (engine, job->item.adapter) ? 0 : s->now_us;
   sch_add (&engine->queue, &job->item);
-  engine_pump (s, job->engine);
+  engine_schedule (s, job->engine);
 }
 
 static void
@@ -305,7 +308,7 @@
   double ms = s->site->step_ms + s->site->step_seq_ms * (per_engine - 1);
   s->step_used += batch;
   s->step_capacity += (double)engines_needed * s->site->batch;
-  push (s, s->now_us + (uint64_t)(ms * 1000), EV_STEP, e, engine->epoch);
+  push_event (s, s->now_us + (uint64_t)(ms * 1000), EV_STEP, e, engine->epoch);
 }
 
 /// Stated outcome: a request never starts while one of a better class that
@@ -369,11 +372,12 @@
 }
 
 static void
-store_fill (sim_t *s)
+store_refill_tokens (sim_t *s)
 {
-  double add = (double)(s->now_us - s->store_filled_us) / 1e6 * s->store_rate;
-  double most = s->site->load_concurrency;
-  s->store_tokens = fmin (most, s->store_tokens + add);
+  double refill
+      = (double)(s->now_us - s->store_filled_us) / 1e6 * s->store_rate;
+  double max_tokens = s->site->load_concurrency;
+  s->store_tokens = fmin (max_tokens, s->store_tokens + refill);
   s->store_filled_us = s->now_us;
 }
 
@@ -399,21 +403,21 @@
       = s->store_active == 0
             ? 1
             : fmin (1, (double)s->site->load_concurrency / s->store_active);
-  double least = 1e18;
+  double next_ms = 1e18;
   for (uint32_t e = 0; e < s->engine_count; e++)
     if (s->engines[e].is_loading && !s->engines[e].is_store_queued)
-      least = fmin (least, s->engines[e].load_left_ms / speed);
+      next_ms = fmin (next_ms, s->engines[e].load_left_ms / speed);
   if (s->store_queue_len > 0)
-    least
-        = fmin (least, fmax (0, (1 - s->store_tokens) / s->store_rate * 1000));
-  if (least < 1e17)
-    push_store (s, s->now_us + (uint64_t)(least * 1000) + 1);
+    next_ms = fmin (next_ms,
+                    fmax (0, (1 - s->store_tokens) / s->store_rate * 1000));
+  if (next_ms < 1e17)
+    schedule_store_event (s, s->now_us + (uint64_t)(next_ms * 1000) + 1);
 }
 
 static void
 store_start_queued (sim_t *s)
 {
-  store_fill (s);
+  store_refill_tokens (s);
   while (s->store_queue_len > 0 && s->store_tokens >= 1)
     {
       uint32_t e = s->store_queue[0];
@@ -425,7 +429,7 @@
     }
 }
 
-static void gate_pump (sim_t *s);
+static void gate_grant_loads (sim_t *s);
 
 static void
 load_finish (sim_t *s, uint32_t e)
@@ -449,21 +453,21 @@
 store_tick (sim_t *s)
 {
   store_advance (s);
-  bool has_ended[512] = { false };
+  bool is_load_finished[512] = { false };
   for (uint32_t e = 0; e < s->engine_count; e++)
     if (s->engines[e].is_loading && !s->engines[e].is_store_queued
         && s->engines[e].load_left_ms <= 0.001)
       {
         load_finish (s, e);
-        has_ended[e] = true;
+        is_load_finished[e] = true;
       }
   store_start_queued (s);
   store_schedule (s);
   for (uint32_t e = 0; e < s->engine_count; e++)
-    if (has_ended[e])
-      engine_pump (s, e);
-  if (s->policy == RPL_OURS && !s->knobs->no_gate)
-    gate_pump (s);
+    if (is_load_finished[e])
+      engine_schedule (s, e);
+  if (s->policy == RPL_COORDINATED && !s->overrides->is_gate_disabled)
+    gate_grant_loads (s);
 }
 
 static void
@@ -486,48 +490,48 @@
 }
 
 static void
-gate_pump (sim_t *s)
+gate_grant_loads (sim_t *s)
 {
-  const gat_request_t *wish;
-  while ((wish = gat_grant_next (s->gate, s->now_us)) != NULL)
+  const gat_request_t *granted;
+  while ((granted = gat_grant_next (s->gate, s->now_us)) != NULL)
     {
-      uint32_t e = (uint32_t)wish->agent - 1;
+      uint32_t e = (uint32_t)granted->agent - 1;
       s->engines[e].has_grant = true;
-      s->engines[e].is_asking = false;
-      push (s, s->now_us + HOP_US, EV_PUMP, e, 0);
+      s->engines[e].has_gate_request = false;
+      push_event (s, s->now_us + HOP_US, EV_SCHEDULE, e, 0);
     }
   uint64_t wait = gat_wait_us (s->gate, s->now_us);
   if (wait > 0)
-    push_store (s, s->now_us + wait);
+    schedule_store_event (s, s->now_us + wait);
 }
 
-/// Keep the engine's wish at the gate in step, as the agent does.
+/// Keep the engine's granted at the gate in step, as the agent does.
 static void
 gate_update (sim_t *s, uint32_t e)
 {
   engine_t *engine = &s->engines[e];
   if (engine->is_loading)
     return;
-  sch_action_t wanted = sch_wanted_load (&engine->queue, s->now_us);
-  if (wanted.kind == SCH_IDLE)
+  sch_action_t wanted_load = sch_wanted_load (&engine->queue, s->now_us);
+  if (wanted_load.kind == SCH_IDLE)
     {
-      if (engine->has_grant || engine->is_asking)
+      if (engine->has_grant || engine->has_gate_request)
         gat_end_load (s->gate, e + 1, 1);
       engine->has_grant = false;
-      engine->is_asking = false;
+      engine->has_gate_request = false;
       return;
     }
   if (engine->has_grant)
     return;
-  engine->is_asking = true;
-  gat_request_load (s->gate, e + 1, 1, wanted.priority_class, wanted.waiting,
-                    s->now_us);
-  gate_pump (s);
+  engine->has_gate_request = true;
+  gat_request_load (s->gate, e + 1, 1, wanted_load.priority_class,
+                    wanted_load.waiting, s->now_us);
+  gate_grant_loads (s);
 }
 
-/// Bound only: order evictions by the next use, which it knows.
+/// Bound only: sequence evictions by the next use, which it knows.
 static void
-bound_set_credits (sim_t *s, engine_t *engine)
+bound_set_keep_scores (sim_t *s, engine_t *engine)
 {
   uint32_t first = s->arrived;
   uint32_t count = s->trace->request_count;
@@ -545,13 +549,13 @@
 static void
 engine_expire (sim_t *s, engine_t *engine)
 {
-  if (s->policy != RPL_OURS)
+  if (s->policy != RPL_COORDINATED)
     return;
-  sch_item_t *late;
-  while ((late = sch_first_expired (&engine->queue, s->now_us)) != NULL)
+  sch_item_t *expired;
+  while ((expired = sch_first_expired (&engine->queue, s->now_us)) != NULL)
     {
-      job_t *job = (job_t *)late;
-      sch_remove (&engine->queue, late);
+      job_t *job = (job_t *)expired;
+      sch_remove (&engine->queue, expired);
       if (job->stall_since_us != 0)
         job->stall_us += s->now_us - job->stall_since_us;
       job_end (s, job, false);
@@ -559,17 +563,18 @@
 }
 
 static void
-engine_pump (sim_t *s, uint32_t e)
+engine_schedule (sim_t *s, uint32_t e)
 {
   engine_t *engine = &s->engines[e];
-  bool has_gate = s->policy == RPL_OURS && !s->knobs->no_gate;
+  bool has_gate
+      = s->policy == RPL_COORDINATED && !s->overrides->is_gate_disabled;
   engine_expire (s, engine);
   while (engine->is_up)
     {
       bool may_load = !has_gate || engine->has_grant;
       if (s->policy == RPL_BOUND && !slt_has_free (&engine->slots)
           && sch_wanted_load (&engine->queue, s->now_us).kind != SCH_IDLE)
-        bound_set_credits (s, engine);
+        bound_set_keep_scores (s, engine);
       sch_action_t action = sch_next_action (&engine->queue, s->now_us,
                                              may_load && !engine->is_loading);
       if (action.kind == SCH_IDLE)
@@ -590,10 +595,10 @@
     gate_update (s, e);
   step_begin (s, e);
   // A drain, a backoff or a deadline may be due without any other event.
-  if (engine->queue.waiting > 0 && engine->pump_at_us <= s->now_us)
+  if (engine->queue.waiting > 0 && engine->schedule_at_us <= s->now_us)
     {
-      engine->pump_at_us = s->now_us + 100000;
-      push (s, engine->pump_at_us, EV_PUMP, e, 0);
+      engine->schedule_at_us = s->now_us + 100000;
+      push_event (s, engine->schedule_at_us, EV_SCHEDULE, e, 0);
     }
 }
 
@@ -602,45 +607,45 @@
 {
   engine_t *engine = &s->engines[e];
   engine->is_stepping = false;
-  uint32_t kept = 0;
+  uint32_t running_kept = 0;
   for (uint32_t i = 0; i < engine->running_count; i++)
     {
       job_t *job = engine->running[i];
-      if (--job->left > 0)
+      if (--job->tokens_left > 0)
         {
-          engine->running[kept++] = job;
+          engine->running[running_kept++] = job;
           continue;
         }
       uint64_t key = job->item.adapter;
       sch_end_run (&engine->queue, &job->item, s->now_us);
       engine->service_ms = engine->service_ms * 0.9
                            + (double)(s->now_us - job->started_us) / 10000;
-      note_load (s, job->entry, e);
+      record_load_report (s, job->entry, e);
       rt_record_end (&s->routes[job->entry], (uint16_t)e, key,
                      is_resident (engine, key),
                      sch_demand (&engine->queue, key) * 1000 / s->batch,
                      s->now_us / 1000);
       job_end (s, job, true);
     }
-  engine->running_count = kept;
-  engine_pump (s, e);
+  engine->running_count = running_kept;
+  engine_schedule (s, e);
 }
 
 /// Everything at an engine is gone; its requests are tried elsewhere. Only
 /// work that may be repeated is in these traces.
 static void
-engine_lose_work (sim_t *s, uint32_t e)
+engine_drop_work (sim_t *s, uint32_t e)
 {
   engine_t *engine = &s->engines[e];
   engine->epoch++;
   engine->is_stepping = false;
-  job_t **again = kb_alloc ((engine->running_count + engine->queue.waiting + 1)
-                            * sizeof *again);
+  job_t **retried = kb_alloc (
+      (engine->running_count + engine->queue.waiting + 1) * sizeof *retried);
   uint32_t count = 0;
   for (uint32_t i = 0; i < engine->running_count; i++)
     {
       sch_end_run (&engine->queue, &engine->running[i]->item, s->now_us);
-      again[count++] = engine->running[i];
+      retried[count++] = engine->running[i];
     }
   engine->running_count = 0;
   while (engine->queue.active != NULL)
@@ -649,7 +654,7 @@
       for (int c = 0; c < SCH_CLASSES && item == NULL; c++)
         item = engine->queue.active->heads[c];
       sch_remove (&engine->queue, item);
-      again[count++] = (job_t *)item;
+      retried[count++] = (job_t *)item;
     }
   for (uint32_t i = 0; i < engine->slots.cap; i++)
     if (engine->slots.slots[i].key != 0
@@ -657,15 +662,15 @@
       slt_forget (&engine->slots, engine->slots.slots[i].key);
   for (uint32_t i = 0; i < count; i++)
     {
-      job_t *job = again[i];
+      job_t *job = retried[i];
       if (job->stall_since_us != 0)
         job->stall_us += s->now_us - job->stall_since_us;
       job->stall_since_us = 0;
       job->tries = engine->is_up ? 0 : 1;
       job->excluded[0] = (uint16_t)e;
-      job_place (s, job);
+      job_dispatch (s, job);
     }
-  free (again);
+  free (retried);
 }
 
 static void
@@ -687,17 +692,17 @@
     return;
   if (strcmp (fault->kind, "store_rate") == 0)
     {
-      store_fill (s);
+      store_refill_tokens (s);
       s->store_rate = s->site->loads_per_s * fault->value;
       s->gate->options.rate_per_s = s->store_rate;
       return;
     }
   for (uint32_t e = 0; e < s->engine_count; e++)
     {
-      bool is_hit = strcmp (fault->kind, "cold") == 0
-                        ? e == fault->which
-                        : s->engines[e].domain == fault->which;
-      if (!is_hit)
+      bool is_affected = strcmp (fault->kind, "cold") == 0
+                             ? e == fault->which
+                             : s->engines[e].domain == fault->which;
+      if (!is_affected)
         continue;
       if (strcmp (fault->kind, "domain_back") == 0)
         engine_set_up (s, e, true);
@@ -705,7 +710,7 @@
         {
           bool is_cold = strcmp (fault->kind, "cold") == 0;
           engine_set_up (s, e, is_cold);
-          engine_lose_work (s, e);
+          engine_drop_work (s, e);
         }
     }
 }
@@ -722,10 +727,11 @@
   sch_options_t options;
   sch_options_default (&options);
   options.max_batch = s->batch;
-  options.stall_weight = s->knobs->stall_weight >= 0 ? s->knobs->stall_weight
-                                                     : site->stall_weight;
-  options.efficiency_weight = s->knobs->efficiency_weight >= 0
-                                  ? s->knobs->efficiency_weight
+  options.stall_weight = s->overrides->stall_weight >= 0
+                             ? s->overrides->stall_weight
+                             : site->stall_weight;
+  options.efficiency_weight = s->overrides->efficiency_weight >= 0
+                                  ? s->overrides->efficiency_weight
                                   : site->efficiency_weight;
   options.is_naive = s->policy == RPL_NAIVE;
   for (uint32_t e = 0; e < s->engine_count; e++)
@@ -733,7 +739,8 @@
       engine_t *engine = &s->engines[e];
       slt_table_init (&engine->slots,
                       is_bound ? site->slots * site->engines : site->slots);
-      engine->slots.is_lru = s->policy == RPL_NAIVE || s->knobs->lru;
+      engine->slots.is_lru
+          = s->policy == RPL_NAIVE || s->overrides->is_lru_eviction;
       sch_queue_init (&engine->queue, &engine->slots, &options);
       engine->running = kb_alloc (s->batch * sizeof *engine->running);
       engine->is_up = true;
@@ -748,10 +755,10 @@
   rt_options_t options;
   rt_options_default (&options);
   options.is_naive = s->policy == RPL_NAIVE;
-  options.load_ms = (uint32_t)(s->site->load_ms * s->knobs->load_margin);
-  if (s->knobs->grow_permille > 0)
-    options.grow_permille = s->knobs->grow_permille;
-  if (s->knobs->fixed_width)
+  options.load_ms = (uint32_t)(s->site->load_ms * s->overrides->load_margin);
+  if (s->overrides->grow_permille > 0)
+    options.grow_permille = s->overrides->grow_permille;
+  if (s->overrides->is_width_fixed)
     options.width_hold_ms = UINT32_MAX;
   s->routes = kb_alloc (s->site->entries * sizeof *s->routes);
   for (uint32_t i = 0; i < s->site->entries; i++)
@@ -785,7 +792,7 @@
 }
 
 static void
-sim_conclude (sim_t *s)
+sim_summarize (sim_t *s)
 {
   rpl_result_t *out = s->out;
   uint32_t count = s->trace->request_count;
@@ -793,8 +800,8 @@
   for (uint32_t i = 0; i < count; i++)
     {
       out->stall_ms_total += s->stalls[i];
-      out->lost += s->jobs[i].ends == 0;
-      out->doubled += s->jobs[i].ends > 1;
+      out->lost += s->jobs[i].outcome_count == 0;
+      out->doubled += s->jobs[i].outcome_count > 1;
       out->count_class[s->trace->requests[i].priority_class]++;
     }
   for (uint8_t c = 0; c < RPL_CLASSES; c++)
@@ -841,7 +848,7 @@
     {
     case EV_ARRIVE:
       s->arrived++;
-      job_place (s, &s->jobs[e->index]);
+      job_dispatch (s, &s->jobs[e->index]);
       break;
     case EV_ENQUEUE:
       job_enqueue (s, &s->jobs[e->index]);
@@ -856,8 +863,8 @@
       s->store_event_us = 0;
       store_tick (s);
       break;
-    case EV_PUMP:
-      engine_pump (s, e->index);
+    case EV_SCHEDULE:
+      engine_schedule (s, e->index);
       break;
     case EV_FAULT:
       apply_fault (s, &s->trace->faults[e->index]);
@@ -865,24 +872,24 @@
 }
 
 void
-rpl_knobs_default (rpl_knobs_t *knobs)
+rpl_overrides_default (rpl_overrides_t *overrides)
 {
-  *knobs = (rpl_knobs_t){ .stall_weight = -1,
-                          .efficiency_weight = -1,
-                          .load_margin = 8 };
+  *overrides = (rpl_overrides_t){ .stall_weight = -1,
+                                  .efficiency_weight = -1,
+                                  .load_margin = 8 };
 }
 
 void
 rpl_run (const rpl_trace_t *trace, rpl_policy_t policy,
-         const rpl_knobs_t *knobs, rpl_result_t *out)
+         const rpl_overrides_t *overrides, rpl_result_t *out)
 {
   *out = (rpl_result_t){ 0 };
   sim_t s = { .trace = trace,
               .site = &trace->site,
               .policy = policy,
-              .knobs = knobs,
+              .overrides = overrides,
               .out = out,
-              .random = 42,
+              .random_state = 42,
               .store_rate = trace->site.loads_per_s };
   sim_init_engines (&s);
   sim_init_routes (&s);
@@ -904,16 +911,16 @@
                                      .priority_class = r->priority_class,
                                      .weight = r->weight,
                                      .cost = r->tokens };
-      push (&s, r->at_us, EV_ARRIVE, i, 0);
+      push_event (&s, r->at_us, EV_ARRIVE, i, 0);
     }
   for (uint32_t i = 0; i < trace->fault_count; i++)
-    push (&s, trace->faults[i].at_us, EV_FAULT, i, 0);
+    push_event (&s, trace->faults[i].at_us, EV_FAULT, i, 0);
   while (s.heap_len > 0)
     {
-      event_t e = pop (&s);
+      event_t e = pop_event (&s);
       s.now_us = e.at_us;
       sim_handle (&s, &e);
     }
-  sim_conclude (&s);
+  sim_summarize (&s);
   sim_finish (&s);
 }
--- a/tools/replay/trace.c
+++ b/tools/replay/trace.c
@@ -64,12 +64,12 @@
     trace->requests[i].id = i + 1;
 }
 
-/// Popularity: a Zipf law over a shuffled order, so that a shift is another
-/// shuffle.
+/// Popularity: a Zipf distribution over a shuffled order, so that a shift is
+/// another shuffle.
 typedef struct
 {
   gsl_rng *rng;
-  gsl_ran_discrete_t *law;
+  gsl_ran_discrete_t *distribution;
   uint32_t *order;
   uint32_t count;
 } popularity_t;
@@ -92,7 +92,7 @@
       weights[i] = 1 / pow (i + 1, skew);
       p->order[i] = i + 1;
     }
-  p->law = gsl_ran_discrete_preproc (count, weights);
+  p->distribution = gsl_ran_discrete_preproc (count, weights);
   free (weights);
   popularity_shuffle (p);
 }
@@ -100,14 +100,14 @@
 static void
 popularity_finish (popularity_t *p)
 {
-  gsl_ran_discrete_free (p->law);
+  gsl_ran_discrete_free (p->distribution);
   free (p->order);
 }
 
 static uint32_t
 popularity_pick (popularity_t *p)
 {
-  return p->order[gsl_ran_discrete (p->rng, p->law)];
+  return p->order[gsl_ran_discrete (p->rng, p->distribution)];
 }
 
 static uint32_t
@@ -132,16 +132,16 @@
 
 static void
 add_stream (rpl_trace_t *trace, gsl_rng *rng, popularity_t *popularity,
-            const stream_t *s, double flip_at_s)
+            const stream_t *s, double shuffle_at_s)
 {
-  bool is_flipped = false;
+  bool is_shuffled = false;
   for (double t = s->from_s; t < s->to_s;
        t += gsl_ran_exponential (rng, 1 / s->rate_per_s))
     {
-      if (!is_flipped && t >= flip_at_s)
+      if (!is_shuffled && t >= shuffle_at_s)
         {
           popularity_shuffle (popularity);
-          is_flipped = true;
+          is_shuffled = true;
         }
       rpl_request_t r = { .adapter = popularity_pick (popularity),
                           .version = 1,
@@ -179,7 +179,7 @@
 /// Overnight uploads of crews in batches, planners and officers in the
 /// morning, a reseller's lookups throughout.
 static void
-generate_kavango (rpl_trace_t *trace, gsl_rng *rng, double flip_at_s,
+generate_kavango (rpl_trace_t *trace, gsl_rng *rng, double shuffle_at_s,
                   double burst)
 {
   trace->site = (rpl_site_t){ .name = "kavango",
@@ -212,7 +212,7 @@
       add_batch (trace, rng, 1 + (uint32_t)gsl_rng_uniform_int (rng, 3000),
                  &uploads, 300 + i * 0.05, 40, 2);
   stream_t planners = { 200, 600, 4, WORKSPACE_PLANNER, 4, 2, 90, 30 };
-  add_stream (trace, rng, &popular, &planners, flip_at_s);
+  add_stream (trace, rng, &popular, &planners, shuffle_at_s);
   stream_t officers = { 0, 600, 0.8, WORKSPACE_OFFICER, 8, 0, 80, 15 };
   add_stream (trace, rng, &popular, &officers, 1e9);
   stream_t reseller = { 0, 600, 3, WORKSPACE_RESELLER, 1, 5, 40, 60 };
@@ -223,7 +223,7 @@
 /// Release eve: developers call in short bursts that touch many rarely used
 /// adapters; schools work steadily; a few adapters are very popular.
 static void
-generate_skjamynd (rpl_trace_t *trace, gsl_rng *rng, double flip_at_s,
+generate_skjamynd (rpl_trace_t *trace, gsl_rng *rng, double shuffle_at_s,
                    double burst)
 {
   trace->site = (rpl_site_t){ .name = "skjamynd",
@@ -245,7 +245,7 @@
   popularity_t popular;
   popularity_init (&popular, rng, trace->site.adapters, 1.4);
   stream_t schools = { 0, 600, 18, WORKSPACE_SCHOOLS, 2, 3, 60, 60 };
-  add_stream (trace, rng, &popular, &schools, flip_at_s);
+  add_stream (trace, rng, &popular, &schools, shuffle_at_s);
   stream_t studio = { 0, 600, 5, WORKSPACE_STUDIO, 4, 1, 50, 30 };
   add_stream (trace, rng, &popular, &studio, 1e9);
   stream_t captions = { 0, 600, 0, WORKSPACE_STUDIO, 4, 2, 50, 60 };
@@ -269,19 +269,20 @@
   *out = (rpl_trace_t){ 0 };
   const char *dash = strchr (name, '-');
   const char *fault = dash == NULL ? "" : dash + 1;
-  size_t base = dash == NULL ? strlen (name) : (size_t)(dash - name);
-  bool is_kavango = strncmp (name, "kavango", base) == 0 && base == 7;
-  bool is_skjamynd = strncmp (name, "skjamynd", base) == 0 && base == 8;
+  size_t base_len = dash == NULL ? strlen (name) : (size_t)(dash - name);
+  bool is_kavango = strncmp (name, "kavango", base_len) == 0 && base_len == 7;
+  bool is_skjamynd
+      = strncmp (name, "skjamynd", base_len) == 0 && base_len == 8;
   if (!is_kavango && !is_skjamynd)
     return kb_error_set (error, KB_EINVAL, "unknown trace \"%s\"", name);
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_mt19937);
   gsl_rng_set (rng, seed);
-  double flip = strcmp (fault, "flip") == 0 ? 330 : 1e9;
+  double shuffle_s = strcmp (fault, "flip") == 0 ? 330 : 1e9;
   double burst = strcmp (fault, "burst") == 0 ? 10 : 1;
   if (is_kavango)
-    generate_kavango (out, rng, flip, burst);
+    generate_kavango (out, rng, shuffle_s, burst);
   else
-    generate_skjamynd (out, rng, flip, burst);
+    generate_skjamynd (out, rng, shuffle_s, burst);
   if (strcmp (fault, "domain") == 0)
     {
       trace_add_fault (out, 300, "domain_lost", 0, 0);
@@ -420,17 +421,17 @@
     return kb_error_set (error, KB_ENOTFOUND, "%s: cannot be read", path);
   char *line = NULL;
   size_t cap = 0;
-  uint32_t number = 0;
+  uint32_t line_number = 0;
   kb_status_t status = KB_OK;
   while (status == KB_OK && getline (&line, &cap, file) > 0)
     {
-      number++;
+      line_number++;
       struct json_object *doc;
       status = jsn_parse_text (path, kb_slice_str (line), &doc, error);
       if (status == KB_OK && read_line (doc, out) != KB_OK)
         status = kb_error_set (error, KB_EINVAL,
                                "%s:%u: not a request, a fault or a site", path,
-                               number);
+                               line_number);
       json_object_put (doc);
     }
   free (line);
