--- a/tools/bench.c
+++ b/tools/bench.c
@@ -1,6 +1,7 @@
 /// @file bench.c
-/// kbbench: bytes and nanoseconds for each adapter, target, connection,
-/// claim, message, decision and change, as JSON for tools/capacity.
+/// kbbench: microbenchmarks of memory and time per adapter, target,
+/// connection, claim, message, scheduling decision and configuration change.
+/// Writes JSON for tools/capacity.
 #include <argtable2.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -23,6 +24,7 @@
 static FILE *json;
 static bool has_row;
 
+/// Print a figure and append it to the JSON file.
 static void
 write_row (const char *name, double value, const char *unit)
 {
@@ -346,7 +348,8 @@
   write_row (name, (double)out.len_bytes, "B");
   snprintf (name, sizeof name, "config_text_bytes_%ua", adapters);
   write_row (name, (double)text.len_bytes, "B");
-  // One adapter changes: what a digest comparison by chunk has to move.
+  // Change one adapter, and count the bytes of the chunks whose digests
+  // differ.
   char *version = strstr (text.ptr, "ws://adapter-57/2");
   version[strlen ("ws://adapter-57/")] = '3';
   doc_folder_t next = { 0 };
@@ -382,6 +385,7 @@
 
 static const lnk_events_t bench_link_events = { on_message, NULL };
 
+/// Run the loop until `count` reaches the target or 20 s have passed.
 static void
 run_loop_until (uv_loop_t *loop, const uint64_t *count, uint64_t target_count)
 {
@@ -393,9 +397,9 @@
     }
 }
 
-/// Memory of one ROUTER with many CURVE connections, as an entry holds them.
-/// Each accepting end runs in this process too, so both sides are measured by
-/// opening them apart.
+/// Measure the memory of a ROUTER socket with many CURVE connections, as in an
+/// entry. The accepting ends run in this process too, so they are bound first
+/// and measured apart from the connections.
 static void
 bench_connections (uint32_t count)
 {
@@ -454,7 +458,8 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_file *out = arg_file0 (NULL, "json", "FILE", "write figures");
+  struct arg_file *out
+      = arg_file0 (NULL, "json", "FILE", "write the figures to a JSON file");
   struct arg_end *end = arg_end (4);
   void *table[] = { out, end };
   if (arg_parse (argc, argv, table) > 0)
--- a/tools/demo.cc
+++ b/tools/demo.cc
@@ -1,6 +1,7 @@
 /// @file demo.cc
-/// kbdemo: a small site of real processes under mixed load. Every answer is
-/// checked for adapter, version, wholeness and single run.
+/// kbdemo: a small deployment of real processes under mixed load. Each answer
+/// is checked for its adapter and version and for being complete, and a sample
+/// of the requests for having run exactly once.
 #include <signal.h>
 #include <unistd.h>
 
@@ -21,7 +22,7 @@
 constexpr int kRequests = 1200;
 constexpr int kWorkers = 24;
 
-/// Figures of one kind of request.
+/// Results of one kind of request.
 struct KindStats
 {
   int sent = 0;
@@ -31,6 +32,7 @@
   std::vector<double> seconds;
 };
 
+/// A request of the load.
 struct Job
 {
   std::string kind;
@@ -49,7 +51,7 @@
   static const char *const workspaces[] = { "kavango", "skjamynd", "officer" };
   Job job;
   job.workspace = workspaces[rng () % 3];
-  // A few adapters are popular, most are rare.
+  // Three of four requests use one of five popular adapters.
   int adapter = rng () % 4 != 0 ? (int)(rng () % 5) : (int)(rng () % 40);
   job.model = "a" + std::to_string (adapter) + "@"
               + std::to_string (1 + (int)(rng () % 2));
@@ -72,7 +74,9 @@
   return answer.headers["x-knapweedbay-outcome"] == "not_run";
 }
 
-/// @return  0 done, 1 refused, 2 a difference.
+/// Send a request and check the answer. A keyed request is sent again to the
+/// other entry, which must return the same answer.
+/// @return  0 done, 1 refused, 2 wrong answer.
 int
 run_job (kb::Cluster &c, const Job &job, int entry)
 {
@@ -110,6 +114,9 @@
   return is_right ? 0 : 2;
 }
 
+/// Run the load and print the results.
+/// @return  The number of wrong answers, of sampled requests that completed
+/// but did not run exactly once, and of adapters evicted in use.
 int
 run_load (kb::Cluster &c)
 {
@@ -171,6 +178,7 @@
   return differences + (int)evicted;
 }
 
+/// Print example commands and keep the deployment until a signal arrives.
 void
 serve_until_signal (kb::Cluster &c)
 {
@@ -180,7 +188,7 @@
           "Bearer kavango-key' -d '{\"model\":\"a1\",\"prompt\":\"hello\","
           "\"max_tokens\":4}'\n\n"
           "build/bin/knapweedbay status --daemon 127.0.0.1:%d --key "
-          "operator-key\n\nCtrl-C ends it.\n",
+          "operator-key\n\nPress Ctrl-C to stop.\n",
           c.entries[0].process.http_port, c.entries[0].process.http_port);
   fflush (stdout);
   sigset_t set;
--- a/tools/fleet.cc
+++ b/tools/fleet.cc
@@ -1,7 +1,7 @@
 /// @file fleet.cc
-/// kbfleet: slopes that need real processes: memory, control bytes, processor
-/// time and key-value calls by fleet size, and the latency the via_gateway
-/// adds.
+/// kbfleet: measurements that need real processes: memory, control traffic,
+/// processor time and key-value calls by fleet size, and the latency that the
+/// gateway and the sidecar add.
 #include <unistd.h>
 
 #include <algorithm>
@@ -32,6 +32,7 @@
   has_row = true;
 }
 
+/// @return  User and system time of a process.
 double
 cpu_seconds (const kb::Process &p)
 {
@@ -54,6 +55,7 @@
   return (double)c.metric (p, "knapweedbay_resident_bytes") / (1 << 20);
 }
 
+/// @return  Bytes of the inner protocol, in both directions.
 double
 inner_bytes (kb::Cluster &c, const kb::Process &p)
 {
@@ -80,6 +82,7 @@
       std::chrono::milliseconds ((int)(seconds * 1000)));
 }
 
+/// @param share  From 0 to 1.
 double
 percentile (std::vector<double> values, double share)
 {
@@ -87,7 +90,7 @@
   return values[(size_t)(share * (double)(values.size () - 1))];
 }
 
-/// Idle cost of a fleet.
+/// Measure the cost of an idle fleet.
 void
 measure_idle (int entries, int engines, int adapters)
 {
@@ -99,7 +102,7 @@
   kb::Cluster c (o);
   c.start ();
   sleep_s (2);
-  constexpr double kSeconds = 16; // One idle ping period and a little more.
+  constexpr double kSeconds = 16; // A little more than one idle ping period.
   const kb::Process &e = c.entries[0].process;
   const kb::Process &a = c.targets[0].agent;
   double e_bytes = inner_bytes (c, e);
@@ -129,8 +132,8 @@
   write_row ("idle_kv_watches" + name_suffix, kv_counter (c, "open_watches"));
 }
 
-/// Latency added by the via_gateway to a plain service, side by side in one
-/// run.
+/// Measure the latency to a plain service, directly and through the gateway.
+/// Calls alternate within one run.
 void
 measure_latency (kb::Cluster &c)
 {
@@ -154,7 +157,7 @@
   write_row ("latency_path_p99_ms", percentile (via_gateway, 0.99) * 1000);
 }
 
-/// Processor time of entry and agent for each request name_suffix full speed.
+/// Measure throughput, and processor time of entry and agent per request.
 void
 measure_throughput (kb::Cluster &c)
 {
@@ -184,7 +187,7 @@
                  * 1e6);
 }
 
-/// Processor time for each streamed token.
+/// Measure processor time per streamed token.
 void
 measure_stream (kb::Cluster &c)
 {
@@ -216,7 +219,8 @@
   write_row ("agent_cpu_us_per_token", a_cpu / tokens * 1e6);
 }
 
-/// Resident growth of an entry and its engines' agents over many requests.
+/// Measure the growth of resident memory of an entry and an agent over many
+/// requests.
 void
 measure_soak (kb::Cluster &c)
 {
@@ -239,7 +243,7 @@
              rss_mb (c, c.targets.back ().agent) - a_before);
 }
 
-/// One change of one adapter, spread over many entries.
+/// Measure how a change of one adapter propagates to many entries.
 void
 measure_propagation (int entries)
 {
--- a/tools/replay/main.c
+++ b/tools/replay/main.c
@@ -1,6 +1,7 @@
 /// @file main.c
-/// kbreplay: runs traces under our policy, the naive one and the bound,
-/// prints the figures side by side and checks the stated outcomes.
+/// kbreplay: replays traces under the coordinated policy, the naive policy and
+/// the bound, prints the figures side by side and checks the expected outcomes
+/// of the coordinated policy.
 #include <argtable2.h>
 #include <stdlib.h>
 #include <string.h>
@@ -39,7 +40,7 @@
   printf ("\n");
 }
 
-/// @return  How many stated outcomes do not hold.
+/// @return  The number of expected outcomes that do not hold.
 static int
 check_outcomes (const rpl_trace_t *trace, const rpl_result_t *r)
 {
@@ -67,7 +68,7 @@
       double share = (double)r->late_class[c] / r->count_class[c];
       if (share <= trace->site.late_share[c])
         continue;
-      printf ("FAILED: %s: class %d: %.4f late, stated %.4f\n",
+      printf ("FAILED: %s: class %d: %.4f late, allowed %.4f\n",
               trace->site.name, c, share, trace->site.late_share[c]);
       failures++;
     }
@@ -94,7 +95,7 @@
   return failures;
 }
 
-/// The trade-off of the two weights, for the plot.
+/// Print the trade-off of stall weight and efficiency weight, for tools/plots.
 static void
 print_curve (const char *name)
 {
@@ -155,24 +156,32 @@
 int
 main (int argc, char **argv)
 {
-  struct arg_str *generate
-      = arg_str0 (NULL, "generate", "NAME", "write a generated trace");
-  struct arg_str *curve
-      = arg_str0 (NULL, "curve", "NAME", "print the trade-off of the weights");
-  struct arg_file *json = arg_file0 (NULL, "json", "FILE", "write figures");
-  struct arg_lit *no_gate = arg_lit0 (NULL, "no-gate", "experiment");
-  struct arg_lit *fixed = arg_lit0 (NULL, "fixed-width", "experiment");
-  struct arg_lit *lru = arg_lit0 (NULL, "lru", "experiment");
-  struct arg_lit *spread = arg_lit0 (NULL, "spread", "experiment");
-  struct arg_dbl *margin = arg_dbl0 (NULL, "load-margin", "X", "experiment");
-  struct arg_int *grow = arg_int0 (NULL, "grow", "PERMILLE", "experiment");
+  struct arg_str *generate = arg_str0 (
+      NULL, "generate", "NAME", "write a generated trace to standard output");
+  struct arg_str *curve = arg_str0 (NULL, "curve", "NAME",
+                                    "print the trade-off of the two weights");
+  struct arg_file *json
+      = arg_file0 (NULL, "json", "FILE", "write the figures to a JSON file");
+  struct arg_lit *no_gate
+      = arg_lit0 (NULL, "no-gate", "load without grants of the gate");
+  struct arg_lit *fixed
+      = arg_lit0 (NULL, "fixed-width", "never change the width of an adapter");
+  struct arg_lit *lru
+      = arg_lit0 (NULL, "lru", "evict the least recently used adapter");
+  struct arg_lit *spread
+      = arg_lit0 (NULL, "spread", "ignore the rendezvous ranks");
+  struct arg_dbl *margin = arg_dbl0 (NULL, "load-margin", "X",
+                                     "factor on the load time in routing");
+  struct arg_int *grow
+      = arg_int0 (NULL, "grow", "PERMILLE", "threshold to widen an adapter");
   struct arg_int *seeded
-      = arg_int0 (NULL, "seed", "N", "another seed for generated traces");
-  struct arg_dbl *stall = arg_dbl0 (NULL, "stall-weight", "X", "experiment");
-  struct arg_dbl *efficiency
-      = arg_dbl0 (NULL, "efficiency-weight", "X", "experiment");
-  struct arg_str *traces
-      = arg_strn (NULL, NULL, "TRACE", 0, 16, "generated name or file");
+      = arg_int0 (NULL, "seed", "N", "seed of generated traces");
+  struct arg_dbl *stall = arg_dbl0 (NULL, "stall-weight", "X",
+                                    "override the weight of the site");
+  struct arg_dbl *efficiency = arg_dbl0 (NULL, "efficiency-weight", "X",
+                                         "override the weight of the site");
+  struct arg_str *traces = arg_strn (NULL, NULL, "TRACE", 0, 16,
+                                     "name of a generated trace, or file");
   struct arg_end *end = arg_end (8);
   void *table[]
       = { generate, curve, json,       no_gate, fixed,  lru,    spread,
@@ -231,7 +240,7 @@
       fprintf (out, "\n]\n");
       fclose (out);
     }
-  printf ("%d stated outcomes failed\n", failures);
+  printf ("%d expected outcomes failed\n", failures);
   arg_freetable (table, sizeof table / sizeof table[0]);
   return failures == 0 ? 0 : 1;
 }
--- a/tools/replay/sim.c
+++ b/tools/replay/sim.c
@@ -1,6 +1,7 @@
 /// @file sim.c
-/// Runs a trace through the decision modules. The engine model: slots, a step
-/// time that grows with the batch, loads that share the weight store.
+/// Discrete-event simulation of a trace with the decision modules of the
+/// daemon. An engine is modelled by its adapter slots, a step time that grows
+/// with the batch, and loads that share the weight store.
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -14,7 +15,7 @@
 
 enum
 {
-  HOP_US = 1000,
+  HOP_US = 1000, ///< Network latency between entry and agent.
   MAX_TRIES = 6,
   QUEUE_LIMIT = 2000,
 };
@@ -23,10 +24,10 @@
 {
   EV_ARRIVE,   ///< A request reaches its entry.
   EV_ENQUEUE,  ///< A request reaches its agent.
-  EV_STEP,     ///< An engine's step outcome_count.
-  EV_STORE,    ///< The weight store's next completion may be due.
-  EV_SCHEDULE, ///< An agent looks retried.
-  EV_FAULT,
+  EV_STEP,     ///< A batch step of an engine ends.
+  EV_STORE,    ///< A load may complete or start at the weight store.
+  EV_SCHEDULE, ///< An agent schedules its waiting requests.
+  EV_FAULT,    ///< A fault of the trace takes effect.
 } event_kind_t;
 
 typedef struct
@@ -38,24 +39,25 @@
   uint32_t extra;
 } event_t;
 
-/// A request in the run.
+/// Simulation state of a request.
 typedef struct
 {
-  sch_item_t item; ///< First.
+  sch_item_t item; ///< Must be first: cast from sch_item_t.
   const rpl_request_t *request;
   uint32_t engine;
   uint32_t entry;
-  uint32_t tokens_left; ///< Tokens.
-  uint32_t tries;
-  uint16_t excluded[MAX_TRIES];
-  uint64_t stall_since_us;
+  uint32_t tokens_left;
+  uint32_t tries;               ///< Length of `excluded`.
+  uint16_t excluded[MAX_TRIES]; ///< Targets tried before.
+  uint64_t stall_since_us;      ///< Start of the wait for a load; 0: none.
   uint64_t stall_us;
   uint64_t started_us;
-  uint32_t outcome_count; ///< Outcomes it got; must become one.
+  uint32_t outcome_count; ///< Must be one at the end.
   bool is_done;
-  uint32_t epoch; ///< Of the engine's incarnation.
+  uint32_t epoch; ///< Of the engine when it was queued.
 } job_t;
 
+/// State of an engine and its agent.
 typedef struct
 {
   slt_table_t slots;
@@ -64,17 +66,17 @@
   uint32_t running_count;
   bool is_stepping;
   bool is_up;
-  uint32_t epoch;
+  uint32_t epoch; ///< Incremented when the engine loses its work.
   bool is_loading;
-  bool has_grant;
+  bool has_grant; ///< The gate permits a load.
   bool has_gate_request;
   uint64_t loading_key;
-  double load_left_ms; ///< At full speed.
-  bool is_store_queued;
+  double load_left_ms;  ///< Remaining load time at full speed.
+  bool is_store_queued; ///< The load waits for a token of the store.
   uint64_t gate_request_us;
   uint64_t schedule_at_us;
   uint32_t domain;
-  double service_ms;
+  double service_ms; ///< Moving average of the run time of a request.
 } engine_t;
 
 typedef struct
@@ -93,24 +95,24 @@
   engine_t *engines;
   uint32_t engine_count;
   uint32_t batch;
-  rt_table_t *routes; ///< One for each entry.
+  rt_table_t *routes; ///< One table per entry.
   gat_gate_t *gate;
-  // The weight store.
+  // The weight store: a token bucket limits the starts of loads.
   double store_rate;
   double store_tokens;
   uint64_t store_filled_us;
-  uint32_t *store_queue; ///< Engines whose load waits for a token.
+  uint32_t *store_queue; ///< Engines whose load waits for a token, in order.
   uint32_t store_queue_len;
-  uint32_t store_active;
+  uint32_t store_active; ///< Loads in progress.
   uint64_t store_updated_us;
-  uint64_t store_event_us; ///< When the store is looked at next; 0: not.
-  // Figures.
+  uint64_t store_event_us; ///< Time of the pending EV_STORE; 0: none.
+  // Measurements; stalls and waits are in ms, by request.
   double *stalls;
   double *waits;
-  double step_capacity;
-  double step_used;
+  double step_capacity; ///< Batch slots of all steps.
+  double step_used;     ///< Occupied batch slots of all steps.
   uint64_t random_state;
-  uint32_t arrived; ///< Requests of the trace that have arrived.
+  uint32_t arrived; ///< Number of requests that have arrived.
 } sim_t;
 
 static void
@@ -166,7 +168,7 @@
   return top;
 }
 
-/// Look at the store at a time, unless it is looked at event_precedes.
+/// Schedule an EV_STORE, unless an earlier one is pending.
 static void
 schedule_store_event (sim_t *s, uint64_t at_us)
 {
@@ -176,6 +178,7 @@
   push_event (s, at_us, EV_STORE, 0, 0);
 }
 
+/// SplitMix64 generator.
 static uint64_t
 next_random (sim_t *s)
 {
@@ -194,6 +197,8 @@
 
 static void engine_schedule (sim_t *s, uint32_t e);
 
+/// Record the outcome of a request.
+/// @param is_done  False when it was refused or expired.
 static void
 job_end (sim_t *s, job_t *job, bool is_done)
 {
@@ -241,7 +246,7 @@
                          s->now_us / 1000);
 }
 
-/// Place a request at a target, or end it when none can take it.
+/// Send a request to a target, or refuse it when none is left.
 static void
 job_dispatch (sim_t *s, job_t *job)
 {
@@ -268,6 +273,7 @@
   return slot != NULL && slot->state == SLT_RESIDENT;
 }
 
+/// Queue a request at its agent, or try another target when the agent refuses.
 static void
 job_enqueue (sim_t *s, job_t *job)
 {
@@ -311,8 +317,8 @@
   push_event (s, s->now_us + (uint64_t)(ms * 1000), EV_STEP, e, engine->epoch);
 }
 
-/// Stated outcome: a request never starts while one of a better class that
-/// could start now waits in the same queue.
+/// Check that no request starts while a request of a better class that could
+/// start now waits in the same queue.
 static void
 check_class_order (sim_t *s, engine_t *engine, const sch_item_t *chosen)
 {
@@ -350,8 +356,8 @@
   engine->running[engine->running_count++] = job;
 }
 
-/// A load became resident: its waiting requests stall no longer, even if
-/// they still queue for a place in the batch.
+/// End the stall of the requests that wait for a loaded adapter. Waiting for a
+/// slot of the batch does not count as stall.
 static void
 group_stop_stall (sim_t *s, engine_t *engine, uint64_t key)
 {
@@ -381,8 +387,8 @@
   s->store_filled_us = s->now_us;
 }
 
-/// Progress of all loads since the last look. Above the full-speed
-/// concurrency they share the speed.
+/// Advance all loads to the current time. Above the full-speed concurrency
+/// they share the bandwidth of the store.
 static void
 store_advance (sim_t *s)
 {
@@ -396,6 +402,7 @@
       s->engines[e].load_left_ms -= ms * speed;
 }
 
+/// Schedule an event for the next completion or start of a load.
 static void
 store_schedule (sim_t *s)
 {
@@ -478,8 +485,8 @@
   sch_begin_load (&engine->queue, key, s->now_us);
   engine->is_loading = true;
   engine->loading_key = key;
-  // The bound's one engine stands for all: its loads run one after another at
-  // the speed that the store's full concurrency has together.
+  // The bound has a single engine, which loads one adapter at a time, so each
+  // load runs at the total speed of the store's concurrent loads.
   engine->load_left_ms
       = s->site->load_ms
         / (s->policy == RPL_BOUND ? s->site->load_concurrency : 1);
@@ -505,7 +512,8 @@
     schedule_store_event (s, s->now_us + wait);
 }
 
-/// Keep the engine's granted at the gate in step, as the agent does.
+/// Request, keep or withdraw the load permission of the gate, as the agent
+/// does.
 static void
 gate_update (sim_t *s, uint32_t e)
 {
@@ -529,7 +537,8 @@
   gate_grant_loads (s);
 }
 
-/// Bound only: sequence evictions by the next use, which it knows.
+/// For the bound only: evict the adapter whose next use is farthest in the
+/// future (Belady's algorithm).
 static void
 bound_set_keep_scores (sim_t *s, engine_t *engine)
 {
@@ -546,6 +555,7 @@
     }
 }
 
+/// End the waiting requests whose deadline has passed.
 static void
 engine_expire (sim_t *s, engine_t *engine)
 {
@@ -562,6 +572,7 @@
     }
 }
 
+/// Start requests, loads and evictions as the scheduler decides.
 static void
 engine_schedule (sim_t *s, uint32_t e)
 {
@@ -594,7 +605,8 @@
   if (has_gate)
     gate_update (s, e);
   step_begin (s, e);
-  // A drain, a backoff or a deadline may be due without any other event.
+  // A drain, a backoff or a deadline can become due without another event, so
+  // schedule again in 100 ms.
   if (engine->queue.waiting > 0 && engine->schedule_at_us <= s->now_us)
     {
       engine->schedule_at_us = s->now_us + 100000;
@@ -631,8 +643,8 @@
   engine_schedule (s, e);
 }
 
-/// Everything at an engine is gone; its requests are tried elsewhere. Only
-/// work that may be repeated is in these traces.
+/// Drop all requests and adapters of an engine and send the requests to other
+/// engines. Traces contain only requests that may be repeated.
 static void
 engine_drop_work (sim_t *s, uint32_t e)
 {
@@ -859,7 +871,7 @@
       break;
     case EV_STORE:
       if (s->store_event_us != e->at_us)
-        break; // Superseded by an earlier look.
+        break; // Superseded by an earlier event.
       s->store_event_us = 0;
       store_tick (s);
       break;
--- a/tools/replay/trace.c
+++ b/tools/replay/trace.c
@@ -1,5 +1,5 @@
 /// @file trace.c
-/// Traces: the JSON-lines form and the seeded generator.
+/// Traces: the JSON Lines format and the seeded generator.
 #include <gsl/gsl_randist.h>
 #include <gsl/gsl_rng.h>
 #include <inttypes.h>
@@ -64,8 +64,8 @@
     trace->requests[i].id = i + 1;
 }
 
-/// Popularity: a Zipf distribution over a shuffled order, so that a shift is
-/// another shuffle.
+/// Popularity of adapters: a Zipf distribution over a shuffled order.
+/// Shuffling again shifts the popularity.
 typedef struct
 {
   gsl_rng *rng;
@@ -117,7 +117,7 @@
   return drawn < 4 ? 4 : drawn > 2000 ? 2000 : (uint32_t)drawn;
 }
 
-/// A steady stream of single requests.
+/// A Poisson stream of single requests.
 typedef struct
 {
   double from_s;
@@ -176,8 +176,8 @@
     }
 }
 
-/// Overnight uploads of crews in batches, planners and officers in the
-/// morning, a reseller's lookups throughout.
+/// Overnight uploads of crews in batches, planners in the morning, officers
+/// and a reseller's lookups throughout.
 static void
 generate_kavango (rpl_trace_t *trace, gsl_rng *rng, double shuffle_at_s,
                   double burst)
@@ -220,8 +220,8 @@
   popularity_finish (&popular);
 }
 
-/// Release eve: developers call in short bursts that touch many rarely used
-/// adapters; schools work steadily; a few adapters are very popular.
+/// The evening before a release: developers call in short bursts that use many
+/// rare adapters, schools at a steady rate. A few adapters are very popular.
 static void
 generate_skjamynd (rpl_trace_t *trace, gsl_rng *rng, double shuffle_at_s,
                    double burst)
@@ -251,8 +251,8 @@
   stream_t captions = { 0, 600, 0, WORKSPACE_STUDIO, 4, 2, 50, 60 };
   for (double t = 60; t < 600; t += 90)
     {
-      // One burst: about 60 developers, each with a few calls of one rare
-      // adapter, all within 15 seconds.
+      // A burst of about 60 developers within 15 s, each with a few calls of
+      // one rare adapter.
       uint32_t developers = (uint32_t)(60 * (t > 290 && t < 340 ? burst : 1));
       for (uint32_t i = 0; i < developers; i++)
         add_batch (trace, rng, 1 + (uint32_t)gsl_rng_uniform_int (rng, 3000),
@@ -418,7 +418,7 @@
   *out = (rpl_trace_t){ 0 };
   FILE *file = fopen (path, "r");
   if (file == NULL)
-    return kb_error_set (error, KB_ENOTFOUND, "%s: cannot be read", path);
+    return kb_error_set (error, KB_ENOTFOUND, "%s: cannot read trace", path);
   char *line = NULL;
   size_t cap = 0;
   uint32_t line_number = 0;
@@ -430,14 +430,14 @@
       status = jsn_parse_text (path, kb_slice_str (line), &doc, error);
       if (status == KB_OK && read_line (doc, out) != KB_OK)
         status = kb_error_set (error, KB_EINVAL,
-                               "%s:%u: not a request, a fault or a site", path,
-                               line_number);
+                               "%s:%u: expected a site, a request or a fault",
+                               path, line_number);
       json_object_put (doc);
     }
   free (line);
   fclose (file);
   if (status == KB_OK && out->site.engines == 0)
-    status = kb_error_set (error, KB_EINVAL, "%s: no site line", path);
+    status = kb_error_set (error, KB_EINVAL, "%s: missing site line", path);
   trace_sort (out);
   return status;
 }
