--- a/tools/replay/main.c
+++ b/tools/replay/main.c
@@ -162,24 +162,17 @@
                                     "print the trade-off of the two weights");
   struct arg_file *json
       = arg_file0 (NULL, "json", "FILE", "write the figures to a JSON file");
-  struct arg_lit *no_gate
-      = arg_lit0 (NULL, "no-gate", "load without grants of the gate");
-  struct arg_lit *fixed
-      = arg_lit0 (NULL, "fixed-width", "never change the width of an adapter");
-  struct arg_lit *lru
-      = arg_lit0 (NULL, "lru", "evict the least recently used adapter");
-  struct arg_lit *spread
-      = arg_lit0 (NULL, "spread", "ignore the rendezvous ranks");
-  struct arg_dbl *margin = arg_dbl0 (NULL, "load-margin", "X",
-                                     "factor on the load time in routing");
-  struct arg_int *grow
-      = arg_int0 (NULL, "grow", "PERMILLE", "threshold to widen an adapter");
+  struct arg_lit *no_gate = arg_lit0 (NULL, "no-gate", "experiment");
+  struct arg_lit *fixed = arg_lit0 (NULL, "fixed-width", "experiment");
+  struct arg_lit *lru = arg_lit0 (NULL, "lru", "experiment");
+  struct arg_lit *spread = arg_lit0 (NULL, "spread", "experiment");
+  struct arg_dbl *margin = arg_dbl0 (NULL, "load-margin", "X", "experiment");
+  struct arg_int *grow = arg_int0 (NULL, "grow", "PERMILLE", "experiment");
   struct arg_int *seeded
       = arg_int0 (NULL, "seed", "N", "seed of generated traces");
-  struct arg_dbl *stall = arg_dbl0 (NULL, "stall-weight", "X",
-                                    "override the weight of the site");
-  struct arg_dbl *efficiency = arg_dbl0 (NULL, "efficiency-weight", "X",
-                                         "override the weight of the site");
+  struct arg_dbl *stall = arg_dbl0 (NULL, "stall-weight", "X", "experiment");
+  struct arg_dbl *efficiency
+      = arg_dbl0 (NULL, "efficiency-weight", "X", "experiment");
   struct arg_str *traces = arg_strn (NULL, NULL, "TRACE", 0, 16,
                                      "name of a generated trace, or file");
   struct arg_end *end = arg_end (8);
