--- a/test/fakes/fake_engine.c
+++ b/test/fakes/fake_engine.c
@@ -1,6 +1,6 @@
 /// @file fake_engine.c
-/// Stand-in engine: OpenAI-style completions, LoRA load and unload, one timer
-/// a sequence. Records every run by its prompt, so that a test can count.
+/// Fake engine: OpenAI-style completions, LoRA load and unload, one timer per
+/// sequence. Counts runs by prompt for the tests.
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -18,7 +18,7 @@
   uint32_t in_use;
 } adapter_t;
 
-/// One request that generates.
+/// One running completion.
 typedef struct run
 {
   hts_request_t *http;
@@ -37,14 +37,15 @@
   int64_t load_ms;
   int64_t step_ms;
   int64_t slots;
-  int64_t fail_loads;  ///< This many of the next loads fail.
-  int64_t lose_loads;  ///< Answers of the next loads are lost.
+  int64_t fail_loads;  ///< Number of next loads that fail.
+  int64_t lose_loads;  ///< Number of next loads whose answers are lost.
   int64_t cut_after;   ///< Streams are cut after this many tokens; 0: never.
-  bool is_hung;        ///< Accept and never answer a run.
-  bool is_wrong_model; ///< Answer for another model.
-  bool checks_fence;
-  char end_on[64]; ///< A prompt with this text ends the engine; empty: none.
-} faults = { .load_ms = 30, .step_ms = 2, .slots = 8, .checks_fence = true };
+  bool is_hung;        ///< Accepts completions and never answers them.
+  bool is_wrong_model; ///< Answers name another model.
+  bool is_fence_checked;
+  char end_on[64]; ///< Prompts with this text crash the engine; empty: none.
+} faults
+    = { .load_ms = 30, .step_ms = 2, .slots = 8, .is_fence_checked = true };
 
 static adapter_t adapters[ENGINE_MAX_ADAPTERS];
 static run_t *runs;
@@ -55,14 +56,14 @@
 static uint64_t evicted_in_use;
 static uint64_t stale_orders;
 static uint64_t over_slots;
-static uint64_t ends; ///< Times that a prompt ended it.
+static uint64_t ends; ///< Crashes caused by a prompt.
 
 enum
 {
-  END_AFTER_MS = 20,
+  CRASH_DELAY_MS = 20,
 };
 
-static void run_end_engine (void *arg);
+static void run_crash_engine (void *arg);
 
 static adapter_t *
 adapter_find (const char *name)
@@ -186,7 +187,7 @@
 static void
 on_completion (hts_request_t *http)
 {
-  if (fk_turn_away (http))
+  if (fk_reject_if_paused (http))
     return;
   struct json_object *doc = fk_body (http);
   const char *model = jsn_str (doc, "model", "");
@@ -215,8 +216,8 @@
     return;
   if (faults.end_on[0] != '\0' && strstr (run->prompt, faults.end_on) != NULL)
     {
-      tmr_start_once (&fk_timers, &run->timer, END_AFTER_MS, run_end_engine,
-                      run);
+      tmr_start_once (&fk_timers, &run->timer, CRASH_DELAY_MS,
+                      run_crash_engine, run);
       return;
     }
   if (run->is_stream)
@@ -226,9 +227,9 @@
   tmr_start_once (&fk_timers, &run->timer, delay, run_step, run);
 }
 
-/// @return  False when the order carries an old number; it was answered.
+/// @return  False if the order was refused with 412 for a stale number.
 static bool
-order_is_fresh (hts_request_t *http)
+is_order_fresh (hts_request_t *http)
 {
   char text[32];
   kb_slice_copy (hts_request_header (http, "x-fencing-number"), text,
@@ -240,13 +241,13 @@
       return true;
     }
   stale_orders++;
-  if (!faults.checks_fence)
+  if (!faults.is_fence_checked)
     return true;
   fk_reply_text (http, 412, "{\"error\":{\"message\":\"old number\"}}");
   return false;
 }
 
-/// A load that takes its time.
+/// A load in progress.
 typedef struct
 {
   hts_request_t *http;
@@ -283,7 +284,7 @@
   loads++;
   faults.lose_loads -= is_lost;
   if (http != NULL && is_lost)
-    fk_cut (http);
+    fk_reply_truncated (http);
   else if (http != NULL)
     fk_reply_text (http, 200, "{}");
   free (load);
@@ -292,7 +293,7 @@
 static void
 on_load (hts_request_t *http)
 {
-  if (!order_is_fresh (http))
+  if (!is_order_fresh (http))
     return;
   struct json_object *doc = fk_body (http);
   load_t *load = kb_alloc (sizeof *load);
@@ -307,7 +308,7 @@
 static void
 on_unload (hts_request_t *http)
 {
-  if (!order_is_fresh (http))
+  if (!is_order_fresh (http))
     return;
   struct json_object *doc = fk_body (http);
   adapter_t *adapter = adapter_find (jsn_str (doc, "lora_name", ""));
@@ -351,7 +352,7 @@
                  ",\"ends\":%" PRIu64 ",\"turned_away\":%" PRIu64
                  ",\"running\":%u,\"runs\":%s}",
                  loads, evicted_in_use, stale_orders, over_slots, ends,
-                 fk_turned_away, running,
+                 fk_rejected_count, running,
                  run_counts == NULL ? "{}"
                                     : json_object_to_json_string (run_counts));
   fk_reply (http, 200, &body);
@@ -388,7 +389,7 @@
   run_free (run);
 }
 
-/// Cold restart: everything loaded is gone and running work is cut.
+/// Cold restart: adapters are lost and running requests are cut.
 static void
 engine_restart (void)
 {
@@ -402,15 +403,15 @@
       if (is_streaming)
         hts_stream_end (http, false);
       else
-        fk_cut (http);
+        fk_reply_truncated (http);
     }
   memset (adapters, 0, sizeof adapters);
   incarnation = tmr_now_us ();
 }
 
-/// The process ends as soon as it has begun this run, and begins again.
+/// Simulates a process that crashes when it begins this run, and restarts.
 static void
-run_end_engine (void *arg)
+run_crash_engine (void *arg)
 {
   ends++;
   engine_restart ();
@@ -427,7 +428,8 @@
   faults.cut_after = jsn_int (f, "cut_after", faults.cut_after);
   faults.is_hung = jsn_bool (f, "hung", faults.is_hung);
   faults.is_wrong_model = jsn_bool (f, "wrong_model", faults.is_wrong_model);
-  faults.checks_fence = jsn_bool (f, "checks_fence", faults.checks_fence);
+  faults.is_fence_checked
+      = jsn_bool (f, "checks_fence", faults.is_fence_checked);
   snprintf (faults.end_on, sizeof faults.end_on, "%s",
             jsn_str (f, "end_on", faults.end_on));
   if (jsn_bool (f, "restart", false))
--- a/test/relay/proxy.h
+++ b/test/relay/proxy.h
@@ -1,5 +1,5 @@
 /// @file proxy.h
-/// A loopback proxy that delays, silences, cuts one way or resets the
+/// A loopback proxy that delays, silences, cuts in one direction or resets the
 /// connections through it.
 #ifndef KB_TEST_RELAY_PROXY_H
 #define KB_TEST_RELAY_PROXY_H
@@ -16,8 +16,8 @@
 enum class Path
 {
   OPEN,
-  SILENT,  ///< Takes bytes and passes none on, either way.
-  ONE_WAY, ///< Answers do not come back.
+  SILENT,  ///< Accepts bytes and forwards none in either direction.
+  ONE_WAY, ///< Drops bytes from the upstream to the client.
 };
 
 class Proxy
@@ -31,7 +31,7 @@
   {
     path_ = path;
   }
-  /// Each piece is held this long.
+  /// Delay the forwarding of each read by this time.
   void
   set_delay_ms (int delay_ms)
   {
@@ -39,8 +39,8 @@
   }
   /// Reset every connection now.
   void reset_all ();
-  /// Present connections carry nothing any more; new ones work.
-  void silence_present ();
+  /// Existing connections stay open and forward nothing more; new ones work.
+  void silence_existing ();
   int
   port () const
   {
@@ -50,14 +50,14 @@
 private:
   struct Pair
   {
-    int near_fd;
-    int far_fd;
+    int client_fd;
+    int upstream_fd;
     bool is_silent;
   };
   void loop ();
   void accept_one ();
   bool pump (Pair *pair, bool is_forward);
-  void end (Pair *pair, bool is_reset);
+  void close_pair (Pair *pair, bool is_reset);
   std::string target_ip_;
   int target_port_;
   int port_ = 0;
@@ -65,8 +65,8 @@
   std::atomic<Path> path_{ Path::OPEN };
   std::atomic<int> delay_ms_{ 0 };
   std::atomic<bool> is_stopping_{ false };
-  std::atomic<bool> wants_reset_{ false };
-  std::atomic<bool> wants_silence_{ false };
+  std::atomic<bool> is_reset_requested_{ false };
+  std::atomic<bool> is_silence_requested_{ false };
   std::list<Pair> pairs_;
   std::thread thread_;
 };
--- a/test/relay/relay_test.cc
+++ b/test/relay/relay_test.cc
@@ -28,10 +28,10 @@
                      stream_call (std::string ("s") + adapter, adapter));
       EXPECT_EQ (m.status, 200) << adapter;
       EXPECT_TRUE (m.is_complete);
-      EXPECT_EQ (event_ids (m.body), up_to (10));
+      EXPECT_EQ (event_ids (m.body), ids_up_to (10));
     }
   for (auto &e : site.engines)
-    EXPECT_LE (e.target->most_held (), 4u);
+    EXPECT_LE (e.target->max_adapters_held (), 4u);
 }
 
 TEST (Relay, ChunkedBodiesAndPersistentConnections)
@@ -159,7 +159,7 @@
                              stream_call (id, "a" + std::to_string (i)));
       EXPECT_EQ (m.status, 200);
       EXPECT_TRUE (m.is_complete);
-      EXPECT_EQ (event_ids (m.body), up_to (10));
+      EXPECT_EQ (event_ids (m.body), ids_up_to (10));
       EXPECT_NE (m.body.find ("data: e10\n\n"), std::string::npos);
       resumed += site.runs_of (id) == 2;
     }
@@ -186,7 +186,7 @@
   restarter.join ();
   EXPECT_EQ (m.status, 200);
   EXPECT_TRUE (m.is_complete);
-  EXPECT_EQ (event_ids (m.body), up_to (10));
+  EXPECT_EQ (event_ids (m.body), ids_up_to (10));
   EXPECT_EQ (site.runs_of ("w1"), 2);
 }
 
@@ -208,7 +208,7 @@
   Message m = send_call (site.gateways[0], stream_call ("p1", "a1"));
   EXPECT_EQ (m.status, 200);
   EXPECT_TRUE (m.is_complete);
-  EXPECT_EQ (event_ids (m.body), up_to (2));
+  EXPECT_EQ (event_ids (m.body), ids_up_to (2));
   EXPECT_EQ (site.runs_of ("p1"), 1);
 }
 
@@ -227,7 +227,7 @@
       Message m = send_call (site.gateways[0],
                              stream_call (id, "a" + std::to_string (i)));
       EXPECT_EQ (m.status, 200) << id;
-      EXPECT_EQ (event_ids (m.body), up_to (10)) << id;
+      EXPECT_EQ (event_ids (m.body), ids_up_to (10)) << id;
       failed += site.engines[0].target->runs_of (id);
     }
   EXPECT_GT (failed, 0);
@@ -267,7 +267,7 @@
   EXPECT_NE (connection->read_some (5000), "");
   connection->close ();
   EXPECT_TRUE (Site::wait_for (
-      [&] { return site.engines[0].target->abandoned == 1; }, 2000));
+      [&] { return site.engines[0].target->abandoned_streams == 1; }, 2000));
   // The same before the first event.
   site.engines[0].target->event_ms = 400;
   connection = dial (site.gateways[0].address);
@@ -275,7 +275,7 @@
   EXPECT_TRUE (Site::wait_for ([&] { return site.runs_of ("l2") == 1; }));
   connection->close ();
   EXPECT_TRUE (Site::wait_for (
-      [&] { return site.engines[0].target->abandoned == 2; }, 2000));
+      [&] { return site.engines[0].target->abandoned_streams == 2; }, 2000));
 }
 
 /// Make the only engine refuse requests and wait until the gateway knows.
@@ -306,7 +306,7 @@
   Message m = send_call (site.gateways[0], stream_call ("w1", "a1"));
   engine.join ();
   EXPECT_EQ (m.status, 200);
-  EXPECT_EQ (event_ids (m.body), up_to (10));
+  EXPECT_EQ (event_ids (m.body), ids_up_to (10));
 }
 
 // The wait for an engine is bounded, so that callers can turn to something
@@ -394,7 +394,7 @@
   restart_without_store (site);
   std::thread store ([&] {
     std::this_thread::sleep_for (std::chrono::milliseconds (200));
-    site.store.set_mode (Store::WELL);
+    site.store.set_mode (Store::HEALTHY);
   });
   Message served = send_call (site.gateways[0], plain_call ("w3"));
   store.join ();
@@ -423,7 +423,7 @@
           + plain_call ("u" + number, "/unsafe/x").text ());
     }
   std::this_thread::sleep_for (std::chrono::milliseconds (150));
-  site.store.set_mode (Store::WELL);
+  site.store.set_mode (Store::HEALTHY);
   for (int i = 0; i < kConnections; i++)
     {
       EXPECT_EQ (connections[(size_t)i]->read_response ().status, 404) << i;
@@ -442,7 +442,7 @@
   restart_without_store (site);
   std::thread store ([&] {
     std::this_thread::sleep_for (std::chrono::milliseconds (200));
-    site.store.set_mode (Store::WELL);
+    site.store.set_mode (Store::HEALTHY);
   });
   site.plain[0]->fail_next ({ Fault::HANG });
   Call call = plain_call ("w6", "/unsafe/x");
--- a/test/relay/workspace_test.cc
+++ b/test/relay/workspace_test.cc
@@ -1,4 +1,5 @@
-// Who is asking: keys and workspaces at the relay roles before stand-ins.
+// Authentication by API keys and assignment to workspaces, with the relay
+// roles in front of stand-ins.
 #include <gtest/gtest.h>
 
 #include <signal.h>
@@ -16,17 +17,17 @@
       "\"Priority\":2,\"Service\":\"maps\",\"MaxAttempts\":2,"
       "\"Public\":true}";
 
-/// A site whose configuration has workspaces, and one plain target.
+/// A site with workspaces in its configuration and one plain target.
 class Workspaces : public ::testing::Test
 {
 protected:
   void
-  begin (const std::vector<std::string> &workspaces)
+  start_with_workspaces (const std::vector<std::string> &workspaces)
   {
     put (workspaces);
     ASSERT_TRUE (site_.wait_ready ());
   }
-  /// In force once this returns.
+  /// Write a configuration and wait until it is in force.
   void
   put (const std::vector<std::string> &workspaces)
   {
@@ -53,13 +54,13 @@
   {
     std::string id = "w" + std::to_string (++sent_);
     int status = send (id, headers, path).status;
-    // What is refused has not run.
+    // A refused request must not have run.
     EXPECT_EQ (site_.runs_of (id), status == 200 ? 1 : 0) << headers;
     return status;
   }
-  /// A header of the request that ran last.
+  /// A header of the request that the target received last.
   std::string
-  at_target (const std::string &name)
+  last_target_header (const std::string &name)
   {
     return site_.plain[0]->requests ().back ().header (name);
   }
@@ -71,10 +72,11 @@
 const char kTenant[] = "x-knapweedbay-tenant";
 const char kKey[] = "x-knapweedbay-key";
 
-// A request without a good key runs for nobody.
-TEST_F (Workspaces, OnlyAKnownKeyIsLetIn)
+// A request without a valid key must not run.
+TEST_F (Workspaces, OnlyAKnownKeyIsAccepted)
 {
-  begin ({ workspace ("red", { "k-red" }), workspace ("none", {}) });
+  start_with_workspaces (
+      { workspace ("red", { "k-red" }), workspace ("none", {}) });
   EXPECT_EQ (status_of (""), 401);
   EXPECT_EQ (status_of (key_line ("k-blue")), 401);
   EXPECT_EQ (status_of (key_line ("K-RED")), 401);
@@ -88,10 +90,11 @@
   EXPECT_EQ (status_of (key_line ("k-red")), 200);
 }
 
-// A target learns the workspace from the system alone, and never the key.
+// The target gets the workspace name from the gateway only, whatever the
+// caller sends, and never gets the key.
 TEST_F (Workspaces, ATargetGetsTheWorkspaceAndNotTheKey)
 {
-  begin ({ workspace ("red", { "k-red" }) });
+  start_with_workspaces ({ workspace ("red", { "k-red" }) });
   for (const std::string &headers : std::vector<std::string>{
            key_line ("k-red"), "x-knapweedbay-KEY:k-red\r\n",
            "X-Knapweedbay-Key:  \t k-red \t \r\n",
@@ -100,39 +103,41 @@
                + key_line ("k-red") })
     {
       EXPECT_EQ (status_of (headers), 200) << headers;
-      EXPECT_EQ (at_target (kTenant), "red") << headers;
-      EXPECT_EQ (at_target (kKey), "") << headers;
+      EXPECT_EQ (last_target_header (kTenant), "red") << headers;
+      EXPECT_EQ (last_target_header (kKey), "") << headers;
     }
 }
 
-// A public route asks for no key; one that is shown still names a workspace.
+// A public route requires no key; a valid one still assigns a workspace.
 TEST_F (Workspaces, APublicRouteNeedsNoKey)
 {
-  begin ({ workspace ("red", { "k-red" }) });
+  start_with_workspaces ({ workspace ("red", { "k-red" }) });
   EXPECT_EQ (status_of ("X-Knapweedbay-Tenant: red\r\n", "/open/x"), 200);
-  EXPECT_EQ (at_target (kTenant), "");
+  EXPECT_EQ (last_target_header (kTenant), "");
   EXPECT_EQ (status_of (key_line ("k-blue"), "/open/x"), 200);
-  EXPECT_EQ (at_target (kTenant), "");
-  EXPECT_EQ (at_target (kKey), "");
+  EXPECT_EQ (last_target_header (kTenant), "");
+  EXPECT_EQ (last_target_header (kKey), "");
   EXPECT_EQ (status_of (key_line ("k-red"), "/open/x"), 200);
-  EXPECT_EQ (at_target (kTenant), "red");
-  EXPECT_EQ (at_target (kKey), "");
+  EXPECT_EQ (last_target_header (kTenant), "red");
+  EXPECT_EQ (last_target_header (kKey), "");
 }
 
-// Without workspaces there are no keys, and no caller can name a workspace.
-TEST_F (Workspaces, AConfigurationWithoutWorkspacesAsksForNoKey)
+// Without workspaces no key is required, and no caller can assign a workspace.
+TEST_F (Workspaces, AConfigurationWithoutWorkspacesRequiresNoKey)
 {
   ASSERT_TRUE (site_.wait_ready ());
   EXPECT_EQ (status_of ("X-Knapweedbay-Tenant: red\r\n" + key_line ("k")),
              200);
-  EXPECT_EQ (at_target (kTenant), "");
-  EXPECT_EQ (at_target (kKey), "");
+  EXPECT_EQ (last_target_header (kTenant), "");
+  EXPECT_EQ (last_target_header (kKey), "");
 }
 
-// Keys that a new configuration adds, moves and takes away.
-TEST_F (Workspaces, AChangeOfKeysHolds)
+// A new configuration adds keys, moves them to another workspace and removes
+// them.
+TEST_F (Workspaces, KeyChangesTakeEffect)
 {
-  begin ({ workspace ("red", { "k1", "k2" }), workspace ("blue", { "k3" }) });
+  start_with_workspaces (
+      { workspace ("red", { "k1", "k2" }), workspace ("blue", { "k3" }) });
   EXPECT_EQ (status_of (key_line ("k4")), 401);
   put ({ workspace ("red", {}), workspace ("blue", { "k2", "k4" }) });
   EXPECT_EQ (status_of (key_line ("k1")), 401);
@@ -140,27 +145,28 @@
   for (const char *text : { "k2", "k4" })
     {
       EXPECT_EQ (status_of (key_line (text)), 200);
-      EXPECT_EQ (at_target (kTenant), "blue");
+      EXPECT_EQ (last_target_header (kTenant), "blue");
     }
   put ({});
   EXPECT_EQ (status_of (key_line ("k2")), 401);
 }
 
-// A key that two workspaces name belongs to the first of them.
-TEST_F (Workspaces, AKeyNamedTwiceBelongsToTheFirst)
+// A key that is listed in two workspaces belongs to the first of them.
+TEST_F (Workspaces, AKeyListedTwiceBelongsToTheFirstWorkspace)
 {
-  begin ({ workspace ("red", { "k1" }), workspace ("blue", { "k1", "k2" }) });
+  start_with_workspaces (
+      { workspace ("red", { "k1" }), workspace ("blue", { "k1", "k2" }) });
   EXPECT_EQ (status_of (key_line ("k1")), 200);
-  EXPECT_EQ (at_target (kTenant), "red");
+  EXPECT_EQ (last_target_header (kTenant), "red");
   put ({ workspace ("blue", { "k1" }), workspace ("red", { "k1" }) });
   EXPECT_EQ (status_of (key_line ("k1")), 200);
-  EXPECT_EQ (at_target (kTenant), "blue");
+  EXPECT_EQ (last_target_header (kTenant), "blue");
 }
 
-// Keys stand in no log line, whatever becomes of the request.
+// Keys appear in no log line, whatever the outcome of the request.
 TEST_F (Workspaces, KeysAreNotLogged)
 {
-  begin ({ workspace ("red", { "k-secret-1" }) });
+  start_with_workspaces ({ workspace ("red", { "k-secret-1" }) });
   EXPECT_EQ (status_of (key_line ("k-secret-1")), 200);
   EXPECT_EQ (status_of (key_line ("k-secret-2")), 401);
   EXPECT_EQ (status_of (key_line ("k-secret-1") + key_line ("k-secret-1")),
@@ -177,8 +183,9 @@
   EXPECT_TRUE (Site::log_lines (daemon, { "k-secret" }).empty ());
 }
 
-// A request that came before the first configuration is judged by it.
-TEST (WorkspacesAtStart, ARequestThatWaitsForTheConfigurationIsJudged)
+// A request that arrives before the first configuration is held and then
+// authenticated with it.
+TEST (WorkspacesAtStart, ARequestHeldForTheConfigurationIsAuthenticated)
 {
   Site site (0, 1);
   set_workspaces (&site, { workspace ("red", { "k-red" }) });
@@ -196,13 +203,14 @@
       Call call = plain_call (std::string ("early-") + text);
       call.headers = key_line (text);
       ASSERT_TRUE (connection->write (call.text ()));
-      site.store.set_mode (Store::WELL);
+      site.store.set_mode (Store::HEALTHY);
       EXPECT_EQ (connection->read_response ().status,
                  std::string (text) == "k-red" ? 200 : 401);
     }
 }
 
-/// Two gateways, each with a store of its own that show the same.
+/// Two gateways, each reading a store of its own; the stores have the same
+/// content.
 class TakenAway : public ::testing::Test
 {
 protected:
@@ -219,9 +227,10 @@
     call.headers = key_line (text);
     return send_call (site_.gateways[gateway], call).status;
   }
-  /// @return  The moment of the acknowledgement.
+  /// Remove the key k1 from its workspace.
+  /// @return  When the stores acknowledged the removal.
   std::chrono::steady_clock::time_point
-  take_k1_away ()
+  revoke_k1 ()
   {
     set_workspaces (&site_, { workspace ("red", { "k2" }) });
     site_.write_config (3, kPublicRoute);
@@ -231,39 +240,39 @@
   int sent_ = 0;
 };
 
-// A gateway that the store does not answer any more goes on with a key that
-// was taken away.
-TEST_F (TakenAway, AGatewayWithoutTheStoreStopsInTime)
+// A gateway that gets no answer from the store must not go on accepting a key
+// that may have been removed.
+TEST_F (TakenAway, AGatewayWithoutTheStoreRefusesInTime)
 {
   ASSERT_TRUE (site_.wait_ready ());
   ASSERT_EQ (status_of (1, "k1"), 200);
   for (Store::Mode mode : { Store::SILENT, Store::BUSY, Store::RESET })
     {
-      site_.far_store.set_mode (mode);
-      auto acknowledged = take_k1_away ();
+      site_.mirror_store.set_mode (mode);
+      auto acknowledged = revoke_k1 ();
       std::this_thread::sleep_until (
           acknowledged + std::chrono::milliseconds (kRevokeBoundMs + 20));
       EXPECT_EQ (status_of (1, "k1"), 503) << mode;
-      // Nor can it tell whether the other key is still good.
+      // It cannot know whether the other key is still valid either.
       EXPECT_EQ (status_of (1, "k2"), 503) << mode;
       EXPECT_EQ (status_of (1, "k1", "/open/x"), 200) << mode;
       EXPECT_EQ (status_of (0, "k1"), 401) << mode;
       EXPECT_EQ (status_of (0, "k2"), 200) << mode;
-      site_.far_store.set_mode (Store::WELL);
+      site_.mirror_store.set_mode (Store::HEALTHY);
       EXPECT_TRUE (Site::wait_for ([&] { return status_of (1, "k2") == 200; }))
           << mode;
       EXPECT_EQ (status_of (1, "k1"), 401) << mode;
     }
 }
 
-// A gateway that was stopped wakes with a key that was taken away meanwhile,
-// and finds requests that wait for it.
-TEST_F (TakenAway, AGatewayThatWakesDoesNotTrustWhatItKnew)
+// A gateway is suspended while a key is removed. When it resumes, it still has
+// the old key and finds requests waiting that use it.
+TEST_F (TakenAway, AResumedGatewayDoesNotTrustOldKeys)
 {
   ASSERT_TRUE (site_.wait_ready ());
   ASSERT_EQ (status_of (0, "k1"), 200);
   kill (site_.gateways[0].daemon.pid, SIGSTOP);
-  auto acknowledged = take_k1_away ();
+  auto acknowledged = revoke_k1 ();
   std::this_thread::sleep_until (
       acknowledged + std::chrono::milliseconds (kRevokeBoundMs + 20));
   std::vector<std::unique_ptr<Connection>> connections;
@@ -283,18 +292,19 @@
   EXPECT_TRUE (Site::wait_for ([&] { return status_of (0, "k2") == 200; }));
 }
 
-// A key that stays is refused because its gateway was deaf for a moment.
-TEST_F (TakenAway, AKeyThatStaysOutlivesAShortSilenceOfTheStore)
+// A valid key must not be refused because the store did not answer its gateway
+// for a short time.
+TEST_F (TakenAway, AValidKeyIsAcceptedDuringAShortStoreStall)
 {
   ASSERT_TRUE (site_.wait_ready ());
-  site_.far_store.set_mode (Store::SILENT);
+  site_.mirror_store.set_mode (Store::SILENT);
   auto end = std::chrono::steady_clock::now () + std::chrono::seconds (2);
   while (std::chrono::steady_clock::now () < end)
     ASSERT_EQ (status_of (1, "k2"), 200);
 }
 
-// What a workspace's priority is goes to the engine in place of the route's.
-TEST (WorkspacePriority, GoesBeforeTheRoutes)
+// The engine gets the workspace's priority in place of the route's.
+TEST (WorkspacePriority, OverridesTheRoutes)
 {
   Site site (1, 0);
   set_workspaces (&site, { workspace ("red", { "k1" }, ",\"Priority\":7"),
--- a/test/relay/workspaces.cc
+++ b/test/relay/workspaces.cc
@@ -5,8 +5,8 @@
 namespace relay
 {
 
-/// Of a request that does not state its tokens, as workspaces are written
-/// here.
+/// Tokens that a request counts as when it states none, in the workspaces that
+/// workspace () writes.
 static constexpr int kPlainTokens = 30;
 
 std::string
@@ -51,13 +51,13 @@
 {
   std::vector<std::pair<std::chrono::steady_clock::time_point, int>> found;
   auto add = [&] (Target &target) {
-    // What was turned away with a pause has not run.
-    std::set<std::chrono::steady_clock::time_point> turned_away;
-    for (const Message &request : target.turned_away ())
-      turned_away.insert (request.received_at);
+    // Requests that were refused with a pause have not run.
+    std::set<std::chrono::steady_clock::time_point> refused_with_pause;
+    for (const Message &request : target.refused_with_pause ())
+      refused_with_pause.insert (request.received_at);
     for (const Message &request : target.requests ())
       if (request.header ("x-knapweedbay-tenant") == workspace
-          && turned_away.count (request.received_at) == 0)
+          && refused_with_pause.count (request.received_at) == 0)
         found.emplace_back (request.received_at, tokens_in (request));
   };
   for (Engine &engine : site.engines)
@@ -69,7 +69,7 @@
 }
 
 int
-most_in_window (
+max_tokens_in_window (
     const std::vector<std::pair<std::chrono::steady_clock::time_point, int>>
         &tokens,
     int window_s)
