--- a/src/coordination/admit.c
+++ b/src/coordination/admit.c
@@ -33,7 +33,7 @@
   *table
       = (adm_table_t){ .options = *options, .mean_hold_ms = DEFAULT_HOLD_MS };
   ftl_limit_init (&table->fetch_limit, options->max_cold_loads);
-  pfl_prefill_init (&table->reading);
+  pfl_prefill_init (&table->prefill);
 }
 
 void
@@ -258,13 +258,13 @@
 }
 
 adm_request_t *
-adm_request_add (adm_table_t *table, const adm_request_t *given)
+adm_request_add (adm_table_t *table, const adm_request_t *original)
 {
-  uint64_t key = owned_request_key (given->owner, given->id);
+  uint64_t key = owned_request_key (original->owner, original->id);
   if (kb_map_get (&table->requests, key) != NULL)
     return NULL;
   adm_request_t *request = kb_alloc (sizeof *request);
-  *request = *given;
+  *request = *original;
   kb_map_put (&table->requests, key, request);
   waiting_append (table, request);
   return request;
@@ -278,7 +278,7 @@
     return;
   request->is_first_event_pending = false;
   aln_first_byte (&table->alone, &request->alone, now_ms);
-  pfl_record_first_event (&table->reading, request->ahead_tokens,
+  pfl_record_first_event (&table->prefill, request->ahead_tokens,
                           (double)(now_ms - request->granted_ms));
 }
 
@@ -286,8 +286,8 @@
 adm_backlog_us (const adm_table_t *table, uint64_t now_ms)
 {
   double cost
-      = pfl_outstanding_tokens (&table->reading, now_ms) + table->waiting_cost;
-  return (uint64_t)(cost * 1000 / table->reading.tokens_per_ms);
+      = pfl_outstanding_tokens (&table->prefill, now_ms) + table->waiting_cost;
+  return (uint64_t)(cost * 1000 / table->prefill.tokens_per_ms);
 }
 
 void
@@ -305,7 +305,7 @@
 {
   aln_ended (&table->alone, &request->alone);
   if (request->is_first_event_pending)
-    pfl_cancel (&table->reading, pfl_cost_tokens (request->prompt_tokens));
+    pfl_cancel (&table->prefill, pfl_cost_tokens (request->prompt_tokens));
   kb_map_remove (&table->requests,
                  owned_request_key (request->owner, request->id));
   if (request->granted_ms == 0)
--- a/src/coordination/admit.h
+++ b/src/coordination/admit.h
@@ -73,7 +73,7 @@
   uint64_t reconcile_generation; ///< Last reconciliation that kept it.
   bool is_first_event_pending;   ///< Granted, no first event yet.
   aln_request_t alone;           ///< Whether it has to begin alone.
-  /// Prompt tokens to read until its first event, its own included, at the
+  /// Prompt tokens to process until its first event, its own included, at the
   /// time of the grant.
   double ahead_tokens;
   struct adm_request *next;
@@ -106,7 +106,7 @@
   uint32_t waiting;
   uint32_t granted;
   uint64_t granted_kv_tokens;
-  pfl_prefill_t reading; ///< Reading of granted prompts.
+  pfl_prefill_t prefill; ///< Prefill of granted prompts.
   double waiting_cost;   ///< Sum of pfl_cost_tokens over the waiting requests.
   uint32_t adapters_held;
   uint32_t adapters_loading;
@@ -118,7 +118,7 @@
   /// Prompt cost granted to urgent requests while timely requests of less
   /// urgent classes waited, less the share that these received.
   double urgent_lead_cost;
-  adm_saturation_t grant_saturation; ///< Of slots, memory and prompt reading.
+  adm_saturation_t grant_saturation; ///< Of slots, memory and prefill.
   adm_saturation_t load_saturation;  ///< Of adapter loads.
   aln_gate_t alone;
   bkp_meter_t meter;   ///< Rate limit stated by the engine.
@@ -155,7 +155,7 @@
 /// Add a copy of a request to the waiting ones.
 /// @return  The copy; NULL when the gateway repeats an id.
 adm_request_t *adm_request_add (adm_table_t *table,
-                                const adm_request_t *request);
+                                const adm_request_t *original);
 /// @return  NULL when no request of this owner has the id.
 adm_request_t *adm_request_find (adm_table_t *table, uint64_t owner,
                                  uint64_t id);
@@ -201,8 +201,7 @@
 /// Record the first event of a granted request; later ones are ignored.
 void adm_request_record_first_event (adm_table_t *table,
                                      adm_request_t *request, uint64_t now_ms);
-/// @return  Microseconds to read the prompts of all granted and waiting
-///          requests.
+/// @return  Prefill time of all granted and waiting requests, microseconds.
 uint64_t adm_backlog_us (const adm_table_t *table, uint64_t now_ms);
 /// Begin a reconciliation with the list of requests that a gateway has open:
 /// begin, keep each listed request, end.
--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -54,9 +54,9 @@
 adm_is_timely (const adm_table_t *table, const adm_request_t *request,
                uint64_t now_ms)
 {
-  double reading_ms = pfl_cost_tokens (request->prompt_tokens)
-                      / table->reading.tokens_per_ms;
-  return now_ms + (uint64_t)reading_ms + FIRST_EVENT_DELAY_MS
+  double prefill_ms = pfl_cost_tokens (request->prompt_tokens)
+                      / table->prefill.tokens_per_ms;
+  return now_ms + (uint64_t)prefill_ms + FIRST_EVENT_DELAY_MS
          <= request->objective_ms;
 }
 
@@ -82,7 +82,7 @@
 cost_ahead (const adm_table_t *table, const adm_request_t *request,
             uint64_t now_ms)
 {
-  double own = pfl_outstanding_tokens (&table->reading, now_ms);
+  double own = pfl_outstanding_tokens (&table->prefill, now_ms);
   double urgent = 0;
   for (const adm_request_t *other = table->first; other != NULL;
        other = other->next)
@@ -156,8 +156,8 @@
   adm_forecast_t forecast = { 0 };
   if (request->adapter != NULL)
     forecast.load_ms = adm_load_wait_ms (table, request->adapter, now_ms);
-  double rate = table->reading.tokens_per_ms;
-  double pace = rate * pce_fraction (&table->reading.pace);
+  double rate = table->prefill.tokens_per_ms;
+  double pace = rate * pce_fraction (&table->prefill.pace);
   double wait_ms = cost_ahead (table, request, now_ms) / pace;
   double place_ms = place_wait_ms (table, request, now_ms);
   forecast.place_ms = (uint64_t)place_ms;
--- a/src/coordination/admit_next.c
+++ b/src/coordination/admit_next.c
@@ -24,7 +24,7 @@
       = table->options.kv_tokens == 0 || table->granted == 0
         || table->granted_kv_tokens + request->kv_tokens_needed <= limit;
   return has_memory
-         && pfl_can_dispatch (&table->reading,
+         && pfl_can_dispatch (&table->prefill,
                               pfl_cost_tokens (request->prompt_tokens),
                               now_ms);
 }
@@ -303,7 +303,7 @@
       request->is_first_event_pending = true;
       aln_started (&table->alone, &request->alone, now_ms);
       request->ahead_tokens = pfl_dispatch (
-          &table->reading, pfl_cost_tokens (request->prompt_tokens), now_ms);
+          &table->prefill, pfl_cost_tokens (request->prompt_tokens), now_ms);
       if (request->adapter != NULL)
         request->adapter->pins++;
       return (adm_action_t){ .kind = ADM_ACTION_GRANT, .request = request };
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -10,10 +10,11 @@
 enum
 {
   HOME_RANKS = 2,
-  /// Reading a prompt for MIN_PAUSING_READ_MS pauses no stream noticeably;
-  /// with FULL_PAUSE_READ_MS, an event follows 300 ms after the previous one.
-  MIN_PAUSING_READ_MS = 90,
-  FULL_PAUSE_READ_MS = 220,
+  /// Reading a prompt for MIN_PAUSING_PREFILL_MS pauses no stream noticeably;
+  /// with FULL_PAUSE_PREFILL_MS, an event follows 300 ms after the previous
+  /// one.
+  MIN_PAUSING_PREFILL_MS = 90,
+  FULL_PAUSE_PREFILL_MS = 220,
   MS_PER_S = 1000,
 };
 
@@ -129,10 +130,10 @@
 {
   if (candidate->tokens_per_ms <= 0)
     return 0;
-  double reading_ms
+  double prefill_ms
       = pfl_cost_tokens (prompt_tokens) / candidate->tokens_per_ms;
-  double part = (reading_ms - MIN_PAUSING_READ_MS)
-                / (FULL_PAUSE_READ_MS - MIN_PAUSING_READ_MS);
+  double part = (prefill_ms - MIN_PAUSING_PREFILL_MS)
+                / (FULL_PAUSE_PREFILL_MS - MIN_PAUSING_PREFILL_MS);
   if (part <= 0)
     return 0;
   return costs->paused_stream_ms * candidate->busy_slots
--- a/src/coordination/quota_gateways.c
+++ b/src/coordination/quota_gateways.c
@@ -128,21 +128,21 @@
 }
 
 uint32_t
-qgw_record_contact (qgw_table_t *table, uint64_t id, uint64_t now_ms)
+qgw_record_contact (qgw_table_t *table, uint64_t gateway_id, uint64_t now_ms)
 {
-  uint32_t slot = slot_of (table, id, now_ms);
+  uint32_t slot = slot_of (table, gateway_id, now_ms);
   if (slot == QGW_MAX_GATEWAYS)
     return slot;
   if (slot == table->gateway_count)
     {
       table->gateways = kb_realloc (
           table->gateways, ++table->gateway_count * sizeof *table->gateways);
-      table->gateways[slot] = (qgw_gateway_t){ .id = id };
+      table->gateways[slot] = (qgw_gateway_t){ .id = gateway_id };
     }
   qgw_gateway_t *gateway = &table->gateways[slot];
-  if (gateway->id != id)
+  if (gateway->id != gateway_id)
     {
-      gateway->id = id;
+      gateway->id = gateway_id;
       gateway->workspace_count = 0;
     }
   else if (gateway->last_contact_ms > 0 && !is_reachable (gateway, now_ms))
@@ -152,13 +152,13 @@
 }
 
 bool
-qgw_record_served_elsewhere (qgw_table_t *table, uint64_t id,
+qgw_record_served_elsewhere (qgw_table_t *table, uint64_t gateway_id,
                              kb_slice_t packed, uint64_t now_ms)
 {
   uint32_t count = packed.len_bytes / (uint32_t)sizeof (uint64_t);
   if (packed.len_bytes % sizeof (uint64_t) != 0 || count > QGW_MAX_WORKSPACES)
     return false;
-  uint32_t slot = qgw_record_contact (table, id, now_ms);
+  uint32_t slot = qgw_record_contact (table, gateway_id, now_ms);
   if (slot == QGW_MAX_GATEWAYS)
     return true;
   qgw_gateway_t *gateway = &table->gateways[slot];
--- a/src/coordination/quota_gateways.h
+++ b/src/coordination/quota_gateways.h
@@ -89,13 +89,13 @@
 void qgw_finish (qgw_table_t *table);
 /// Records that a message of a gateway arrived.
 /// @return  The gateway's number, or QGW_MAX_GATEWAYS when the table is full.
-uint32_t qgw_record_contact (qgw_table_t *table, uint64_t gateway,
+uint32_t qgw_record_contact (qgw_table_t *table, uint64_t gateway_id,
                              uint64_t now_ms);
 /// Records a gateway's report of the workspaces for which another lender
 /// serves it.
 /// @param packed  Hashes of the workspaces' names, 64 bits each.
 /// @return        False when `packed` is malformed; nothing is changed then.
-bool qgw_record_served_elsewhere (qgw_table_t *table, uint64_t gateway,
+bool qgw_record_served_elsewhere (qgw_table_t *table, uint64_t gateway_id,
                                   kb_slice_t packed, uint64_t now_ms);
 /// @param requester  Id of the gateway that requests credit.
 qgw_share_t qgw_share (qgw_table_t *table, uint64_t workspace,
--- a/src/daemon/agent_admit.c
+++ b/src/daemon/agent_admit.c
@@ -33,42 +33,45 @@
 }
 
 static agt_request_t *
-request_new (agt_agent_t *agent, agt_peer_t *peer, const msg_dispatch_t *d)
+request_new (agt_agent_t *agent, agt_peer_t *peer,
+             const msg_dispatch_t *dispatch)
 {
   agt_request_t *r = kb_alloc (sizeof *r);
   uint64_t now_us = tmr_now_us ();
   r->agent = agent;
-  r->attempt = d->attempt;
-  r->claim_key = d->claim_key;
-  r->flags = d->flags;
+  r->attempt = dispatch->attempt;
+  r->claim_key = dispatch->claim_key;
+  r->flags = dispatch->flags;
   r->peer = peer->id;
   snprintf (r->peer_name, sizeof r->peer_name, "%s", peer->name);
-  r->version = d->version;
-  r->fingerprint = d->fingerprint;
-  r->alone.is_alone = (d->flags & MSG_FLAG_ALONE) != 0;
-  if ((d->flags & MSG_FLAG_PLAIN) == 0)
+  r->version = dispatch->version;
+  r->fingerprint = dispatch->fingerprint;
+  r->alone.is_alone = (dispatch->flags & MSG_FLAG_ALONE) != 0;
+  if ((dispatch->flags & MSG_FLAG_PLAIN) == 0)
     snprintf (r->model, sizeof r->model, "%.*s@%" PRIu64,
-              (int)d->adapter.len_bytes, d->adapter.ptr, d->version);
-  r->source = kb_slice_dup (d->source);
-  r->method = kb_slice_dup (d->method);
-  r->path = kb_slice_dup (d->path);
-  kb_buf_append (&r->body, d->body.ptr, d->body.len_bytes);
+              (int)dispatch->adapter.len_bytes, dispatch->adapter.ptr,
+              dispatch->version);
+  r->source = kb_slice_dup (dispatch->source);
+  r->method = kb_slice_dup (dispatch->method);
+  r->path = kb_slice_dup (dispatch->path);
+  kb_buf_append (&r->body, dispatch->body.ptr, dispatch->body.len_bytes);
   uint64_t random[2] = { dmn_random (), dmn_random () };
-  r->trace = trc_begin (d->traceparent, random);
+  r->trace = trc_begin (dispatch->traceparent, random);
   trc_format_traceparent (&r->trace, r->traceparent);
   r->arrived_us = now_us;
   r->arrived_wall_us = tmr_wall_ms () * 1000;
   r->item = (sch_item_t){
     .adapter
     = r->model[0] == '\0' ? 0 : kb_hash (r->model, strlen (r->model), 0) | 1,
-    .workspace = kb_hash (d->workspace.ptr, d->workspace.len_bytes, 0),
-    .priority_class
-    = (uint8_t)(d->priority_class < SCH_CLASSES ? d->priority_class
-                                                : SCH_CLASSES - 1),
-    .weight = (uint32_t)d->weight,
-    .cost = (uint32_t)d->max_tokens,
+    .workspace
+    = kb_hash (dispatch->workspace.ptr, dispatch->workspace.len_bytes, 0),
+    .priority_class = (uint8_t)(dispatch->priority_class < SCH_CLASSES
+                                    ? dispatch->priority_class
+                                    : SCH_CLASSES - 1),
+    .weight = (uint32_t)dispatch->weight,
+    .cost = (uint32_t)dispatch->max_tokens,
     .enqueued_us = now_us,
-    .deadline_us = now_us + d->deadline_ms * 1000
+    .deadline_us = now_us + dispatch->deadline_ms * 1000
   };
   peer->inflight++;
   kb_map_put (&agent->requests, r->attempt, r);
@@ -78,28 +81,28 @@
 /// Send the stored answer of a claim key that ran here.
 static void
 send_stored_answer (agt_agent_t *agent, kb_slice_t peer,
-                    const msg_dispatch_t *d)
+                    const msg_dispatch_t *dispatch)
 {
-  clm_run_t *run = clm_runner_find_key (&agent->claims, d->claim_key);
+  clm_run_t *run = clm_runner_find_key (&agent->claims, dispatch->claim_key);
   if (run == NULL || run->state != CLM_RUN_DONE || run->answer == NULL)
     {
-      refuse_dispatch (agent, peer, d, "the answer is no longer kept", 0,
-                       MSG_OUTCOME_RAN_FAILED);
+      refuse_dispatch (agent, peer, dispatch, "the answer is no longer kept",
+                       0, MSG_OUTCOME_RAN_FAILED);
       return;
     }
   msg_t msg = { .type = MSG_PART };
-  msg.part = (msg_part_t){ .attempt = d->attempt,
+  msg.part = (msg_part_t){ .attempt = dispatch->attempt,
                            .http_status = 200,
                            .content_type = kb_slice_str (run->content_type),
                            .data = { run->answer, run->answer_bytes } };
   lnk_link_send (&agent->daemon->link, peer, &msg);
   msg = (msg_t){ .type = MSG_END };
-  msg.end = (msg_end_t){ .attempt = d->attempt,
+  msg.end = (msg_end_t){ .attempt = dispatch->attempt,
                          .seq = 1,
                          .outcome = MSG_OUTCOME_DONE,
                          .http_status = 200,
-                         .version = d->version,
-                         .adapter = d->adapter,
+                         .version = dispatch->version,
+                         .adapter = dispatch->adapter,
                          .reason = kb_slice_str ("kept answer") };
   agt_end_fill_load (agent, 0, &msg.end);
   lnk_link_send (&agent->daemon->link, peer, &msg);
@@ -124,7 +127,7 @@
 /// @param retry_after_ms  Receives the wait to report with a refusal.
 /// @return                Why the attempt is refused, or NULL.
 static const char *
-admission_refusal (agt_agent_t *agent, const msg_dispatch_t *d,
+admission_refusal (agt_agent_t *agent, const msg_dispatch_t *dispatch,
                    uint64_t *retry_after_ms)
 {
   *retry_after_ms = REFUSAL_RETRY_MS;
@@ -140,16 +143,17 @@
     return "the target does not answer";
   // A partitioned entry keeps dispatching by an old configuration. It is
   // accepted for the time that a change may take to reach all entries.
-  if (d->revision < agent->revision
+  if (dispatch->revision < agent->revision
       && tmr_now_ms () - agent->revision_since_ms > STALE_REVISION_GRACE_MS)
     return "the entry's configuration is stale";
   if (agent->queue.waiting >= (uint32_t)agent->daemon->settings.queue_limit)
     {
-      agt_request_t *displaced = find_lower_class (agent, d->priority_class);
+      agt_request_t *displaced
+          = find_lower_class (agent, dispatch->priority_class);
       if (displaced == NULL)
         {
-          *retry_after_ms
-              = agt_expected_wait_ms (agent, (uint8_t)d->priority_class);
+          *retry_after_ms = agt_expected_wait_ms (
+              agent, (uint8_t)dispatch->priority_class);
           return "the queue is full";
         }
       agt_run_refuse (displaced, "the queue is full of better classes",
@@ -176,64 +180,65 @@
 
 void
 agt_run_accept (agt_agent_t *agent, kb_slice_t peer_name,
-                const msg_dispatch_t *d)
+                const msg_dispatch_t *dispatch)
 {
   agt_peer_t *peer = agt_peer_find (agent, peer_name);
-  if (peer == NULL || d->attempt == 0)
+  if (peer == NULL || dispatch->attempt == 0)
     {
-      refuse_dispatch (agent, peer_name, d, "say hello first",
+      refuse_dispatch (agent, peer_name, dispatch, "say hello first",
                        REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
       return;
     }
-  agt_record_revision (agent, d->revision);
-  if (d->flags & MSG_FLAG_FETCH)
+  agt_record_revision (agent, dispatch->revision);
+  if (dispatch->flags & MSG_FLAG_FETCH)
     {
-      send_stored_answer (agent, peer_name, d);
+      send_stored_answer (agent, peer_name, dispatch);
       return;
     }
   uint64_t retry_after_ms;
-  const char *refusal = admission_refusal (agent, d, &retry_after_ms);
+  const char *refusal = admission_refusal (agent, dispatch, &retry_after_ms);
   if (refusal != NULL)
     {
-      refuse_dispatch (agent, peer_name, d, refusal, retry_after_ms,
+      refuse_dispatch (agent, peer_name, dispatch, refusal, retry_after_ms,
                        MSG_OUTCOME_NOT_RUN);
       return;
     }
   // A delayed grant may be dispatched after this target restarted. Its attempt
   // may have been voided at the former incarnation, or its key may have run
   // there; this incarnation has no record of either.
-  if (d->incarnation != agent->daemon->incarnation)
+  if (dispatch->incarnation != agent->daemon->incarnation)
     {
-      refuse_dispatch (agent, peer_name, d, "the target was restarted", 0,
-                       MSG_OUTCOME_NOT_RUN);
+      refuse_dispatch (agent, peer_name, dispatch, "the target was restarted",
+                       0, MSG_OUTCOME_NOT_RUN);
       return;
     }
-  if (d->claim_key != 0 && !agent->is_registered)
+  if (dispatch->claim_key != 0 && !agent->is_registered)
     {
       // A new owner rebuilds its claims from the agents on the roster. Keyed
       // requests must not run at an agent that is not listed there, as its
       // claim records would be missing.
-      refuse_dispatch (agent, peer_name, d, "the agent is not registered yet",
-                       REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
+      refuse_dispatch (agent, peer_name, dispatch,
+                       "the agent is not registered yet", REFUSAL_RETRY_MS,
+                       MSG_OUTCOME_NOT_RUN);
       return;
     }
-  clm_admit_t admit
-      = clm_runner_admit (&agent->claims, d->attempt, d->claim_key,
-                          d->claim_digest, d->claim_epoch, tmr_now_ms ());
+  clm_admit_t admit = clm_runner_admit (
+      &agent->claims, dispatch->attempt, dispatch->claim_key,
+      dispatch->claim_digest, dispatch->claim_epoch, tmr_now_ms ());
   if (admit == CLM_ADMIT_ALREADY)
     {
       MET_INC ("knapweedbay_duplicates_stopped_total", "");
-      refuse_dispatch (agent, peer_name, d, "this key or attempt ran here", 0,
-                       MSG_OUTCOME_UNKNOWN);
+      refuse_dispatch (agent, peer_name, dispatch,
+                       "this key or attempt ran here", 0, MSG_OUTCOME_UNKNOWN);
       return;
     }
   if (admit != CLM_ADMIT_OK)
     {
-      refuse_dispatch (agent, peer_name, d, claim_refusal (admit),
+      refuse_dispatch (agent, peer_name, dispatch, claim_refusal (admit),
                        REFUSAL_RETRY_MS, MSG_OUTCOME_NOT_RUN);
       return;
     }
-  agt_request_t *r = request_new (agent, peer, d);
+  agt_request_t *r = request_new (agent, peer, dispatch);
   if (r->item.adapter != 0)
     agt_model_register (agent, r->model);
   slt_slot_t *slot = r->item.adapter == 0
@@ -246,7 +251,7 @@
   // Refuse now: at the deadline the caller would have no time left to try
   // another target.
   uint64_t wait_ms = agt_expected_wait_ms (agent, r->item.priority_class);
-  if (wait_ms > d->deadline_ms)
+  if (wait_ms > dispatch->deadline_ms)
     {
       agt_run_refuse (r, "the deadline cannot be met", wait_ms);
       return;
--- a/src/daemon/agent_defs.h
+++ b/src/daemon/agent_defs.h
@@ -172,7 +172,7 @@
 
 // agent_admit.c
 /// Queue a dispatched attempt or refuse it.
-void agt_run_accept (agt_agent_t *agent, kb_slice_t peer,
+void agt_run_accept (agt_agent_t *agent, kb_slice_t peer_name,
                      const msg_dispatch_t *dispatch);
 
 // agent_run.c
@@ -180,9 +180,9 @@
 void agt_end_fill_load (const agt_agent_t *agent, uint64_t adapter,
                         msg_end_t *end);
 void agt_count_outcome (msg_outcome_t outcome);
-void agt_run_start (agt_agent_t *agent, agt_request_t *request);
+void agt_run_start (agt_agent_t *agent, agt_request_t *r);
 /// End a queued attempt with the outcome "not_run".
-void agt_run_refuse (agt_request_t *request, const char *reason,
+void agt_run_refuse (agt_request_t *r, const char *reason,
                      uint64_t retry_after_ms);
 void agt_run_cancel (agt_agent_t *agent, uint64_t attempt);
 void agt_run_revoke (agt_agent_t *agent, kb_slice_t peer,
--- a/src/daemon/entry.c
+++ b/src/daemon/entry.c
@@ -126,7 +126,7 @@
       ent_claims_on_reply (entry, &msg->claim_reply);
       break;
     case MSG_CLAIM_OUTCOME:
-      ent_claims_on_note (entry, &msg->claim_outcome);
+      ent_claims_on_outcome (entry, &msg->claim_outcome);
       break;
     case MSG_RECORDS:
       ent_claims_on_records (entry, from, &msg->records);
--- a/src/daemon/entry_claims.c
+++ b/src/daemon/entry_claims.c
@@ -72,14 +72,15 @@
 }
 
 void
-ent_claims_on_claim (ent_entry_t *entry, kb_slice_t from, const msg_claim_t *m)
+ent_claims_on_claim (ent_entry_t *entry, kb_slice_t from,
+                     const msg_claim_t *claim_msg)
 {
-  clm_claim_t claim = { .key = m->claim_key,
-                        .digest = m->digest,
-                        .attempt = m->attempt,
-                        .voided_attempt = m->voided_attempt,
-                        .incarnation = m->incarnation,
-                        .runner = m->runner };
+  clm_claim_t claim = { .key = claim_msg->claim_key,
+                        .digest = claim_msg->digest,
+                        .attempt = claim_msg->attempt,
+                        .voided_attempt = claim_msg->voided_attempt,
+                        .incarnation = claim_msg->incarnation,
+                        .runner = claim_msg->runner };
   if (claim.key == 0)
     return;
   clm_answer_t answer
@@ -87,7 +88,7 @@
   const clm_record_t *record = answer.record;
   msg_t msg = { .type = MSG_CLAIM_REPLY };
   msg.claim_reply
-      = (msg_claim_reply_t){ .id = m->id,
+      = (msg_claim_reply_t){ .id = claim_msg->id,
                              .verdict = answer.verdict,
                              .epoch = answer.epoch,
                              .attempt = record ? record->attempt : 0,
@@ -111,11 +112,12 @@
 }
 
 void
-ent_claims_on_note (ent_entry_t *entry, const msg_claim_outcome_t *note)
+ent_claims_on_outcome (ent_entry_t *entry,
+                       const msg_claim_outcome_t *outcome_msg)
 {
   clm_owner_record_outcome (
-      &entry->claim_owner, note->claim_key, note->attempt,
-      claim_state_from_outcome (note->outcome), tmr_now_ms ());
+      &entry->claim_owner, outcome_msg->claim_key, outcome_msg->attempt,
+      claim_state_from_outcome (outcome_msg->outcome), tmr_now_ms ());
 }
 
 void
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -327,9 +327,10 @@
 /// Report the state of the request's claim to the owner of its key.
 void ent_claim_report_outcome (ent_request_t *r, clm_state_t state);
 void ent_claims_on_claim (ent_entry_t *entry, kb_slice_t from,
-                          const msg_claim_t *claim);
+                          const msg_claim_t *claim_msg);
 void ent_claims_on_reply (ent_entry_t *entry, const msg_claim_reply_t *reply);
-void ent_claims_on_note (ent_entry_t *entry, const msg_claim_outcome_t *note);
+void ent_claims_on_outcome (ent_entry_t *entry,
+                            const msg_claim_outcome_t *outcome_msg);
 void ent_claims_on_recover (ent_entry_t *entry, kb_slice_t from,
                             const msg_recover_t *recover);
 
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -152,7 +152,7 @@
                       ? target->granted + target->requests_since_report
                       : target->active,
     .waiting = r->is_engine ? target->waiting : 0,
-    .mean_hold_ms = r->is_engine ? target->held_for_ms : 0,
+    .mean_hold_ms = r->is_engine ? target->mean_hold_ms : 0,
     .start_wait_ms = start_wait_at (gateway, r, target),
     .tokens_per_ms = r->is_engine ? target->tokens_per_ms : 0,
     .load_wait_ms = target->load_wait_ms,
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -96,7 +96,7 @@
   double tokens_since_report;     ///< Prompt tokens of those requests.
   double backlog_ms;     ///< Time to process the prompts queued there.
   double load_wait_ms;   ///< Time until an adapter not held would be loaded.
-  double held_for_ms;    ///< Mean time that a place is held.
+  double mean_hold_ms;   ///< Mean time that a place is held.
   double start_wait_ms;  ///< Until its rate limit allows one more start.
   double start_every_ms; ///< Interval of starts at its rate limit; zero: none.
   double tokens_per_ms;  ///< Prompt tokens that it processes.
@@ -546,11 +546,11 @@
 // gateway_incarnations.c
 /// Replace a target by another incarnation with its id. State of the previous
 /// one is dropped, and attempts under way there are aborted.
-/// @param told  List entry of the new incarnation.
-/// @return      The target of the new incarnation.
+/// @param listing  List entry of the new incarnation.
+/// @return         The target of the new incarnation.
 gtw_target_t *gtw_target_replace_incarnation (gtw_gateway_t *gateway,
                                               gtw_target_t *target,
-                                              const src_target_t *told);
+                                              const src_target_t *listing);
 /// Count and log a report about an earlier incarnation, which is ignored.
 /// @param from  Its source: "list", "sidecar" or "grant".
 void gtw_target_report_stale (const gtw_target_t *target, uint64_t born_ms,
@@ -558,12 +558,12 @@
 
 // gateway_targets.c
 gtw_target_t *gtw_target_add (gtw_gateway_t *gateway,
-                              const src_target_t *told);
+                              const src_target_t *listing);
 /// Open the link to the sidecar of an engine.
 void gtw_target_open_link (gtw_gateway_t *gateway, gtw_target_t *target);
 void gtw_target_log_event (const gtw_target_t *target, const char *event);
 void gtw_target_apply_listing (gtw_gateway_t *gateway,
-                               const src_target_t *told);
+                               const src_target_t *listing);
 void gtw_target_remove_listing (gtw_gateway_t *gateway, kb_slice_t id);
 /// @return  Whether a recent report of an engine's sidecar says that the
 ///          engine is ready.
@@ -593,7 +593,7 @@
 /// Record that a target answered a request completely.
 void gtw_quarantine_record_served (gtw_request_t *r);
 /// Merge quarantine entries received from a sidecar.
-void gtw_quarantine_merge_records (gtw_gateway_t *gateway, kb_slice_t words);
+void gtw_quarantine_merge_records (gtw_gateway_t *gateway, kb_slice_t records);
 /// Send a sidecar the quarantine entries that it lacks.
 void gtw_quarantine_sync_sidecar (gtw_gateway_t *gateway,
                                   const gtw_target_t *target);
@@ -604,7 +604,7 @@
 /// platform's store.
 void gtw_records_enqueue (gtw_gateway_t *gateway, uint64_t fingerprint);
 /// Apply a record that was read from the platform's store.
-void gtw_records_receive (gtw_gateway_t *gateway, const src_record_t *record);
+void gtw_records_receive (gtw_gateway_t *gateway, const src_record_t *stored);
 
 // gateway_probe.c
 /// Open a test connection to a target, to find out whether its process has
@@ -616,7 +616,7 @@
 /// Pass a sidecar's reply with store changes on to the source.
 void gtw_peers_receive_changes (gtw_gateway_t *gateway,
                                 const gtw_target_t *from,
-                                const msg_changes_t *told);
+                                const msg_changes_t *answer);
 
 // gateway_choose.c
 /// @return  The best target for a request, or NULL.
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -344,7 +344,7 @@
   target->tokens_since_report = 0;
   target->backlog_ms = (double)state->backlog_us / 1000;
   target->load_wait_ms = (double)state->load_wait_ms;
-  target->held_for_ms = (double)state->held_for_ms;
+  target->mean_hold_ms = (double)state->mean_hold_ms;
   target->start_wait_ms = (double)state->start_wait_ms;
   target->start_every_ms = (double)state->start_every_ms;
   target->tokens_per_ms = (double)state->tokens_per_s / 1000;
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -51,7 +51,7 @@
   target->slots = from->slots;
   target->granted = from->granted;
   target->waiting = from->waiting;
-  target->held_for_ms = from->held_for_ms;
+  target->mean_hold_ms = from->mean_hold_ms;
   target->start_wait_ms = from->start_wait_ms;
   target->start_every_ms = from->start_every_ms;
   target->tokens_per_ms = from->tokens_per_ms;
--- a/src/protocol/msg.c
+++ b/src/protocol/msg.c
@@ -143,7 +143,7 @@
                            UINT (engine_state, backlog_us),
                            UINT (engine_state, tokens_per_s),
                            UINT (engine_state, load_wait_ms),
-                           UINT (engine_state, held_for_ms),
+                           UINT (engine_state, mean_hold_ms),
                            BYTES (engine_state, instance),
                            UINT (engine_state, born_ms),
                            UINT (engine_state, list_stamp),
--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -355,7 +355,7 @@
   uint64_t backlog_us;     ///< Time to read the accepted prompts.
   uint64_t tokens_per_s;   ///< Prompt tokens that the engine reads.
   uint64_t load_wait_ms;   ///< Expected wait until a new adapter is loaded.
-  uint64_t held_for_ms;    ///< Mean time from a grant to its release.
+  uint64_t mean_hold_ms;   ///< Mean time from a grant to its release.
   uint64_t start_wait_ms;  ///< Wait for one more start under its limit.
   uint64_t start_every_ms; ///< Start interval under its limit; zero: none.
   kb_slice_t instance;     ///< Instance id of the engine, or empty.
--- a/src/sidecar/sidecar.c
+++ b/src/sidecar/sidecar.c
@@ -93,7 +93,7 @@
            s->table.adapters_loading);
   met_set (met_counter ("knapweedbay_engine_condition", ""), s->condition);
   met_set (met_counter ("knapweedbay_pace_percent", ""),
-           (int64_t)(PERCENT * pce_fraction (&s->table.reading.pace)));
+           (int64_t)(PERCENT * pce_fraction (&s->table.prefill.pace)));
   met_set (met_counter ("knapweedbay_engine_pressed", ""),
            adm_is_saturated (&s->table, scr_now_ms (s)));
   met_set (met_counter ("knapweedbay_gateways", ""), s->gateway_count);
@@ -151,7 +151,7 @@
 }
 
 int
-scr_sidecar_run (scr_sidecar_t *s)
+scr_sidecar_run (scr_sidecar_t *sidecar)
 {
-  return hst_host_run (&s->host);
+  return hst_host_run (&sidecar->host);
 }
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -132,7 +132,7 @@
                               const msg_gateway_state_t *state);
 /// Handle a request for credit.
 void scr_quota_handle_request (scr_sidecar_t *s, kb_slice_t peer,
-                               const msg_quota_request_t *msg);
+                               const msg_quota_request_t *request);
 
 // sidecar_engine.c
 /// Grant and decline places and order the engine, as far as possible now.
--- a/src/sidecar/sidecar_links.c
+++ b/src/sidecar/sidecar_links.c
@@ -37,7 +37,7 @@
   // An engine that is ordered to hold more than fits its slots or its memory
   // crashes, and all its runs fail.
   s->table.options.adapter_slots = svc_service_max_adapters (service);
-  pce_set_max_gap (&s->table.reading.pace,
+  pce_set_max_gap (&s->table.prefill.pace,
                    svc_service_gap_target_ms (s->config, service->name));
 }
 
@@ -338,7 +338,7 @@
       = adm_request_find (&s->table, scr_name_id (peer), msg->id);
   if (request == NULL)
     return;
-  pce_record_stream (&s->table.reading.pace, (uint32_t)msg->gaps, msg->gaps_ms,
+  pce_record_stream (&s->table.prefill.pace, (uint32_t)msg->gaps, msg->gaps_ms,
                      scr_now_ms (s));
   adm_request_record_hold_time (&s->table, request, scr_now_ms (s));
   adm_request_remove (&s->table, request);
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -70,7 +70,8 @@
 {
   qgw_peak_merge (&s->lender_role.peak, (uint32_t)request->gateway_peak,
                   request->gateway_peak_age_ms, now_ms);
-  uint32_t asker = qgw_record_contact (&s->lender_role, gateway, now_ms);
+  uint32_t gateway_number
+      = qgw_record_contact (&s->lender_role, gateway, now_ms);
   return (qln_request_t){
     .workspace = request->subject,
     .revision = revision_of (request, now_ms),
@@ -86,7 +87,7 @@
     .ledger_age_ms = request->ledger_age_ms,
     .uptime_ms = request->uptime_ms,
     .reach = (double)request->reachable_milli / MILLI,
-    .gateway_number = asker,
+    .gateway_number = gateway_number,
     .share = qgw_share (&s->lender_role, request->subject, gateway, now_ms),
   };
 }
--- a/src/sidecar/sidecar_state.c
+++ b/src/sidecar/sidecar_state.c
@@ -96,10 +96,10 @@
         .waiting = s->table.waiting,
         .gateway_count = s->gateway_count,
         .backlog_us = adm_backlog_us (&s->table, scr_now_ms (s)),
-        .tokens_per_s = (uint64_t)(s->table.reading.tokens_per_ms * MS_PER_S),
+        .tokens_per_s = (uint64_t)(s->table.prefill.tokens_per_ms * MS_PER_S),
         .load_wait_ms
         = adm_new_adapter_load_wait_ms (&s->table, scr_now_ms (s)),
-        .held_for_ms = (uint64_t)s->table.mean_hold_ms,
+        .mean_hold_ms = (uint64_t)s->table.mean_hold_ms,
         .start_wait_ms = bkp_meter_wait_ms (&s->table.meter, s->table.waiting,
                                             scr_now_ms (s)),
         .start_every_ms = start_interval_ms (s),
--- a/test/unit/admit_test.cc
+++ b/test/unit/admit_test.cc
@@ -357,7 +357,7 @@
   adm_owner_remove (&table, 7);
   EXPECT_EQ (table.granted, 0u);
   EXPECT_EQ (table.waiting, 0u);
-  EXPECT_EQ (table.reading.dispatched_tokens, 0);
+  EXPECT_EQ (table.prefill.dispatched_tokens, 0);
   EXPECT_EQ (table.waiting_cost, 0);
 }
 
--- a/tools/lab/model.cc
+++ b/tools/lab/model.cc
@@ -108,7 +108,7 @@
     for (auto &e : engines_)
       {
         adm_table_init (&e.table, &options);
-        pce_set_max_gap (&e.table.reading.pace, d.max_event_gap_ms);
+        pce_set_max_gap (&e.table.prefill.pace, d.max_event_gap_ms);
         e.table.is_engine_ready = true;
       }
   }
@@ -490,7 +490,7 @@
     e.reported.slots = e.table.options.slots;
     e.reported.busy_slots = e.table.granted;
     e.reported.waiting = e.table.waiting;
-    e.reported.tokens_per_ms = e.table.reading.tokens_per_ms;
+    e.reported.tokens_per_ms = e.table.prefill.tokens_per_ms;
     e.reported.backlog_ms = (double)adm_backlog_us (&e.table, now_) / 1000;
     e.reported.load_wait_ms
         = (double)adm_new_adapter_load_wait_ms (&e.table, now_);
@@ -751,7 +751,7 @@
     if (r.admission != nullptr)
       {
         uint32_t gaps = (uint32_t)((r.output - 1) / d_.tokens_per_event);
-        pce_record_stream (&e.table.reading.pace, gaps,
+        pce_record_stream (&e.table.prefill.pace, gaps,
                            r.event_ms - r.first_ms, now_);
         adm_request_record_hold_time (&e.table, r.admission, now_);
       }
