--- a/src/coordination/admit.c
+++ b/src/coordination/admit.c
@@ -18,9 +18,8 @@
 /// Value of a recent request relative to a waiting one when loads are ordered.
 static const double RECENT_REQUEST_VALUE = 0.5;
 /// Value of a late waiting request relative to a timely one. A load that is
-/// too late for its own requests also delays the next one, so at a busy weight
-/// store all were late. Over five heavy days the mean weighted goodput was
-/// 0.599 and 0.739, against 0.593 and 0.736 when the longest wait came first.
+/// too late for its own requests also delays the next one: at a busy weight
+/// store, loading for the longest wait first makes all loads late.
 static const double LATE_REQUEST_VALUE = 0.3;
 /// Weight of the newest sample in the mean hold time, and the mean before the
 /// first sample.
--- a/src/coordination/admit.h
+++ b/src/coordination/admit.h
@@ -72,7 +72,7 @@
   uint64_t forecast_ms;          ///< Forecast time of the first event.
   uint64_t reconcile_generation; ///< Last reconciliation that kept it.
   bool is_first_event_pending;   ///< Granted, no first event yet.
-  aln_request_t alone;           ///< Whether it has to begin alone.
+  aln_request_t alone;           ///< Whether it has to start alone.
   /// Prompt tokens to process until its first event, its own included, at the
   /// time of the grant.
   double ahead_tokens;
--- a/src/coordination/admit_defs.h
+++ b/src/coordination/admit_defs.h
@@ -35,12 +35,12 @@
                                   uint64_t now_ms);
 /// When two priority classes both exceed the capacity, ratio of prompt cost
 /// granted to the more urgent class to that of the less urgent one. Strict
-/// priority starves the less urgent class: at three times the capacity, 25 of
-/// its 2,657 requests were in time.
+/// priority starves the less urgent class: at three times the capacity, almost
+/// none of its requests are in time.
 #define ADM_URGENT_SHARE_RATIO 4.0
 /// Fraction of the engine's KV memory that is granted. Estimates of output
 /// length are off by half and more; a run that outgrows the remainder preempts
-/// another one, whose prompt then has to be read again.
+/// another one, whose prompt then has to be processed again.
 #define ADM_MAX_KV_FRACTION 0.9
 /// Unlink a request from the waiting ones.
 void adm_waiting_remove (adm_table_t *table, adm_request_t *request);
--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  /// From the end of reading the prompt to the first event at the caller.
+  /// From the end of the prefill to the first event at the caller.
   FIRST_EVENT_DELAY_MS = 60,
   /// Saturation for longer than this leaves no capacity for late requests.
   /// Half of the shortest objective in use.
@@ -61,10 +61,7 @@
 }
 
 // Late requests get only the capacity that timely ones leave. Served oldest
-// first, a backlog makes all later requests late as well: on six random
-// deployments above capacity 18 and 26 % of the answers were late, against 10
-// and 18 % with timely requests first, and mean weighted goodput was lower by
-// 0.039 and 0.063.
+// first, a backlog above capacity makes all later requests late as well.
 bool
 adm_is_before (const adm_table_t *table, const adm_request_t *a,
                const adm_request_t *b, uint64_t now_ms)
--- a/src/coordination/alone.h
+++ b/src/coordination/alone.h
@@ -1,11 +1,11 @@
 /// @file alone.h
 /// Starts suspect requests at a target while no other request starts there.
-/// Some requests make a target terminate when they start, and the open
-/// requests of others fail with it; if a target terminates while a request
-/// starts alone, that request is the cause. No I/O; time is an argument.
+/// Some requests make a target's process end when they start, and the open
+/// requests of others fail with it; if a target ends while a request starts
+/// alone, that request is the cause. No I/O; time is an argument.
 ///
 /// A request counts as starting until a short time after the first byte of its
-/// answer, because a target can terminate just after it. A start alone is
+/// answer, because a target can end just after it. A start alone is
 /// followed by a cooldown of a multiple of its duration, so that a caller who
 /// keeps sending such requests blocks others for a small part of the time.
 #ifndef KB_COORDINATION_ALONE_H
--- a/src/coordination/follow.c
+++ b/src/coordination/follow.c
@@ -53,7 +53,7 @@
   RECOVERY_PAUSE_MS = 150,
   RECOVERY_IDLE_BATCHES = 3,
   /// A peer reads the store when the local state is one pause old. Its answer
-  /// takes about 10 ms, more on a VM that has just started, and is awaited for
+  /// takes about 10 ms, more on a VM that has just started, and is waited for
   /// another 1 / SHARED_SLACK_DIVISOR of a pause. That adds 175 ms to the age
   /// of the state at a bound of 2 s.
   SHARED_SLACK_DIVISOR = 4,
--- a/src/coordination/gate.h
+++ b/src/coordination/gate.h
@@ -57,9 +57,8 @@
 /// rate and the concurrency allow it.
 /// @return  The granted request, or NULL.
 const gat_request_t *gat_grant_next (gat_gate_t *gate, uint64_t now_us);
-/// @return  Microseconds until gat_grant_next may grant again; zero: not
-/// before
-///          the next gat_request_load or gat_end_load, or at once.
+/// @return  Microseconds until gat_grant_next may grant again; zero: at once,
+///          or not before the next gat_request_load or gat_end_load.
 uint64_t gat_wait_us (gat_gate_t *gate, uint64_t now_us);
 
 #endif
--- a/src/coordination/pace.c
+++ b/src/coordination/pace.c
@@ -17,19 +17,15 @@
 /// Before enough gaps were measured.
 static const double DEFAULT_FRACTION = 0.65;
 /// Below the minimum the prefill of a slow engine does not keep up with
-/// demand, and queueing costs more than long gaps: the mean worth of six
-/// simulated sites with slow engines (9 days each) was 0.374 and 0.407 with a
-/// minimum of 0.4, 0.404 and 0.446 with 0.6. Above the maximum one long prompt
-/// stalls every stream.
+/// demand, and queueing costs more than long gaps. Above the maximum one long
+/// prompt stalls every stream.
 static const double MIN_FRACTION = 0.6;
 static const double MAX_FRACTION = 0.9;
 /// Target for the mean gap while prompts are dispatched at the full pace, as a
 /// fraction of the maximum accepted gap, since gaps vary widely. A third gives
-/// the best fixed fractions of the rate on three sites: 0.79, 0.74 and 0.67,
-/// with engines that emit an event every 28, 26 and 35 ms and callers that
-/// accept 400, 300 and 300 ms. Beyond saturation slightly more is better: the
-/// mean worth at high load was 0.669, 0.616 and 0.764 with a fixed fraction of
-/// 0.65, 0.694, 0.615 and 0.764 with 1/3, 0.694, 0.617 and 0.762 with 3/8.
+/// the best fixed fractions of the rate, 0.67 to 0.79, with engines that emit
+/// an event every 26 to 35 ms and callers that accept 300 to 400 ms. Beyond
+/// saturation slightly more is better.
 static const double MEAN_GAP_FRACTION = 0.375;
 /// Bound of the measured prefill share: streams progress even if the estimate
 /// exceeds it.
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -10,19 +10,17 @@
 enum
 {
   HOME_RANKS = 2,
-  /// Reading a prompt for MIN_PAUSING_PREFILL_MS pauses no stream noticeably;
-  /// with FULL_PAUSE_PREFILL_MS, an event follows 300 ms after the previous
-  /// one.
+  /// A prefill of MIN_PAUSING_PREFILL_MS pauses no stream noticeably; with
+  /// FULL_PAUSE_PREFILL_MS, an event follows 300 ms after the previous one.
   MIN_PAUSING_PREFILL_MS = 90,
   FULL_PAUSE_PREFILL_MS = 220,
   MS_PER_S = 1000,
 };
 
 /// Load of the targets that hold an adapter in demand, relative to the mean.
-/// With 68 gateways and 120 engines of 12 slots, the weighted share of
-/// requests in time was 0.885 at a spread of 300 ms (1.5 times the mean),
-/// 0.910 at 800 ms and 0.919 at 1,600 ms, which had 7 % more fetches and worse
-/// peak seconds.
+/// With 68 gateways and 120 engines of 12 slots, this gives a spread
+/// of 800 ms. With 300 ms (1.5 times the mean) fewer requests are in time.
+/// 1,600 ms causes more fetches and worse peak seconds.
 static const double IN_DEMAND_FACTOR = 4;
 
 void
@@ -38,9 +36,9 @@
     .first_rank_ms = 0,
     .second_rank_ms = 300,
     .other_rank_ms = 600,
-    // Without this cost, one of four fetches under heavy load brought an
-    // adapter that another engine held or waited for. About the time of one
-    // fetch prevents that.
+    // Without this cost, many fetches under heavy load are of an adapter that
+    // another engine holds or waits for. About the time of one fetch prevents
+    // that.
     .duplicate_ms = 300,
     // A tenth of a fetch, the order and the report.
     .warm_load_ms = 60,
@@ -159,7 +157,7 @@
 /// depends on the adapter alone, so that all gateways agree and one load
 /// serves all requests. There at least half of the spread is added: the lowest
 /// of a hundred draws is close to zero and would make a load look too cheap.
-/// This saves 4 % of the fetches and raises the share in time.
+/// This saves fetches, and more requests are in time.
 static double
 spread_cost (const plc_costs_t *costs, const plc_candidate_t *candidate,
              const plc_request_t *request)
@@ -193,7 +191,7 @@
   int32_t best = PLC_NONE;
   double best_cost = 0;
   // Computed once for all candidates: a choice among 600 targets takes 0.07
-  // ms, against 0.34 ms when computed for each (mean of 2,000 choices).
+  // ms, against 0.34 ms when computed for each.
   bool is_duplicate = is_held_or_expected (candidates, count);
   for (uint32_t i = 0; i < count; i++)
     {
--- a/src/coordination/place.h
+++ b/src/coordination/place.h
@@ -32,8 +32,8 @@
   uint32_t waiting;     ///< Requests that wait for a place there.
   double mean_hold_ms;  ///< Mean time that a place is in use; zero: unknown.
   double start_wait_ms; ///< Until its rate limit allows one more request.
-  double tokens_per_ms; ///< Rate of reading prompts; zero: unknown.
-  double backlog_ms;    ///< Time to read the prompts that are queued there.
+  double tokens_per_ms; ///< Prefill rate; zero: unknown.
+  double backlog_ms;    ///< Prefill time of the prompts queued there.
   double load_wait_ms;  ///< Until an adapter that is new there would be held.
   double failure_rate;  ///< Recent share of failed requests, 0 to 1.
 } plc_candidate_t;
--- a/src/coordination/prefill.c
+++ b/src/coordination/prefill.c
@@ -7,12 +7,10 @@
   QUADRATIC_TOKENS = 22000,
   /// Prefill delays every running stream: an event waits for several steps,
   /// each with a chunk of a prompt. At most this much prefill is outstanding,
-  /// and it is refilled as the engine processes it; without a limit 5 % of the
-  /// streams at low load paused for over 300 ms. Dispatched tokens count as
+  /// and it is refilled as the engine processes it; without a limit streams
+  /// pause for over 300 ms even at low load. Dispatched tokens count as
   /// processed with time rather than at the first event: that would leave the
-  /// engine idle for the fixed 40 ms of each first event, and lowered the mean
-  /// worth at high load from 0.593 to 0.560 and from 0.736 to 0.726 on two
-  /// small sites.
+  /// engine idle for the fixed 40 ms of each first event, a loss at high load.
   MAX_OUTSTANDING_MS = 45,
 };
 
--- a/src/coordination/quarantine.c
+++ b/src/coordination/quarantine.c
@@ -74,7 +74,7 @@
   return (uint64_t)QRT_HOLD_MS << extra;
 }
 
-/// After a hold the request begins alone for the same time again, before it is
+/// After a hold the request starts alone for the same time again, before it is
 /// treated like any other.
 static uint64_t
 expiry_ms_of (const qrt_record_t *record)
@@ -133,7 +133,7 @@
 }
 
 /// @return  Whether the record is shared with all daemons. When targets end
-///          together, many requests are beginning there, most of which have
+///          together, many requests are starting there, most of which have
 ///          one end and never another; sharing their records would fill the
 ///          links of a large fleet.
 static bool
--- a/src/coordination/quarantine.h
+++ b/src/coordination/quarantine.h
@@ -1,22 +1,22 @@
 /// @file quarantine.h
-/// Quarantine of requests under which targets end. No I/O; time is an
+/// Quarantine of requests during which targets end. No I/O; time is an
 /// argument.
 ///
-/// A request that ends every target that begins to run it is sent again by its
+/// A request that ends every target that starts to run it is sent again by its
 /// caller, through any gateway, and each time the target's other requests fail
-/// with it. A gateway sees only which requests were beginning at a target when
+/// with it. A gateway sees only which requests were starting at a target when
 /// it ended, and most of those merely shared it. Three steps distinguish
 /// them:
 ///
 /// - one end proves nothing and has no effect;
-/// - after two ends, a request begins alone: while it begins, no other request
-///   begins at that target. A request that merely shared targets is served
+/// - after two ends, a request starts alone: while it starts, no other request
+///   starts at that target. A request that merely shared targets is served
 ///   this way, and its record is cleared;
 /// - after three ends, in at least one of which it was alone, the request is
 ///   held: refused for a time that doubles with each further end.
 ///
-/// Ends under requests of one caller hold the request for that caller only. It
-/// is held for all callers when each of two callers was alone at an end, so
+/// Ends during requests of one caller hold the request for that caller only.
+/// It is held for all callers when each of two callers was alone at an end, so
 /// that no caller can block a request of another one.
 ///
 /// Gateways and sidecars exchange records. A record is a set of ends and a
@@ -34,13 +34,13 @@
 
 enum
 {
-  /// Ends from which on a request begins alone, and from which on it is held.
+  /// Ends from which on a request starts alone, and from which on it is held.
   QRT_ENDS_ALONE = 2,
   QRT_ENDS_HELD = 3,
   /// Ends kept for one request. Those beyond QRT_ENDS_HELD prolong the hold.
   QRT_MAX_ENDS = 6,
   QRT_MAX_ENTRIES = 256,
-  /// Entries whose first end was under a request of the same caller.
+  /// Entries whose first end was during a request of the same caller.
   QRT_MAX_ENTRIES_PER_CALLER = 32,
   /// Hold time after QRT_ENDS_HELD ends; doubles with each further end.
   /// Records of requests that are not held expire after this time without
@@ -48,12 +48,12 @@
   QRT_HOLD_MS = 600000,
 };
 
-/// A target ended while the request was beginning there.
+/// A target ended while the request was starting there.
 typedef struct
 {
   uint64_t target;   ///< Hash of its incarnation; not zero.
   uint64_t caller;   ///< Hash of the sender.
-  uint64_t is_alone; ///< No other request was beginning there.
+  uint64_t is_alone; ///< No other request was starting there.
 } qrt_end_t;
 
 /// Record of one request, as kept and as sent in messages.
@@ -81,7 +81,7 @@
 typedef enum
 {
   QRT_FREE,
-  QRT_ALONE, ///< It may run at a target where no other request begins.
+  QRT_ALONE, ///< It may run at a target where no other request starts.
   QRT_HELD,
 } qrt_verdict_t;
 
@@ -101,7 +101,7 @@
                   uint64_t now_ms);
 /// Clears the record of a request that was answered completely: it did not
 /// cause the earlier ends, or no longer causes any. A request that is sent all
-/// the time is beginning at most targets that end, but is served in between.
+/// the time is starting at most targets that end, but is served in between.
 /// @return  Whether other daemons need to learn of it.
 bool qrt_mark_served (qrt_table_t *table, uint64_t request, uint64_t now_ms);
 /// Merges records from another daemon.
--- a/src/coordination/sched.c
+++ b/src/coordination/sched.c
@@ -376,11 +376,11 @@
          && now_us - slot->state_us >= queue->options.drain_after_us;
 }
 
-/// Drain one resident adapter: it takes no new work, and its slot becomes free
-/// when its running requests end. Without this, popular adapters that always
-/// have work would keep all slots pinned, and the requests of a rare adapter
-/// would wait forever. The adapter with work of the worst class is chosen,
-/// then the one that has held its slot longest.
+/// Drain one resident adapter: it accepts no new work, and its slot becomes
+/// free when its running requests end. Without this, popular adapters that
+/// always have work would keep all slots pinned, and the requests of a rare
+/// adapter would wait forever. The adapter with work of the worst class is
+/// chosen, then the one that has held its slot longest.
 static void
 start_drain (sch_queue_t *queue, const sch_action_t *load, uint64_t now_us)
 {
@@ -411,7 +411,7 @@
 }
 
 /// Cancel all drains when no load needs a slot. Otherwise the requests of a
-/// drained adapter would wait forever: they cannot run, because it takes no
+/// drained adapter would wait forever: they cannot run, because it accepts no
 /// work, and it cannot be loaded, because it is resident.
 static void
 cancel_drains (sch_queue_t *queue)
--- a/src/coordination/slots.h
+++ b/src/coordination/slots.h
@@ -23,7 +23,7 @@
   uint64_t key;
   slt_state_t state;
   uint32_t pins;     ///< Running requests; a pinned slot is not evicted.
-  bool is_draining;  ///< Takes no new work, so that the slot becomes free.
+  bool is_draining;  ///< Accepts no new work, so that the slot becomes free.
   double keep_score; ///< The lowest is evicted first.
   uint64_t used_us;
   uint64_t state_us; ///< Last change of `state`.
--- a/src/daemon/agent_backpressure.c
+++ b/src/daemon/agent_backpressure.c
@@ -8,8 +8,8 @@
 enum
 {
   US_PER_MS = 1000,
-  /// A plain target that has restarted cannot be told from one that is still
-  /// leaving, so a request is sent after this time to find out.
+  /// A plain target that has restarted cannot be distinguished from one that
+  /// is still leaving, so a request is sent after this time to find out.
   LEAVING_EXPIRY_MS = 60000,
 };
 
--- a/src/daemon/agent_defs.h
+++ b/src/daemon/agent_defs.h
@@ -120,7 +120,7 @@
   bkp_meter_t meter;        ///< Enforces the target's stated request rate.
   uint64_t paused_until_ms; ///< End of the pause the target requested.
   tmr_timer_t meter_timer;
-  qrt_table_t quarantine; ///< Requests under which this target ended.
+  qrt_table_t quarantine; ///< Requests during which this target ended.
   agt_broken_run_t
       broken_runs[AGT_MAX_BROKEN_RUNS]; ///< The newest, in a ring.
   uint32_t broken_run_count;
--- a/src/daemon/agent_quarantine.c
+++ b/src/daemon/agent_quarantine.c
@@ -1,6 +1,7 @@
 /// @file agent_quarantine.c
-/// Requests under which this agent's target ended (coordination/quarantine.h):
-/// recorded when the runs break, and reported to entries.
+/// Requests during which this agent's target ended
+/// (coordination/quarantine.h): recorded when the runs break, and reported to
+/// entries.
 #include "daemon/agent_defs.h"
 #include "transport/log.h"
 #include "transport/metrics.h"
--- a/src/daemon/entry_defs.h
+++ b/src/daemon/entry_defs.h
@@ -84,7 +84,7 @@
   char *path;
   kb_buf_t body;
   uint64_t fingerprint; ///< Zero: not computed yet.
-  /// Targets ended during it, so no other request may begin at the same time.
+  /// Targets ended during it, so no other request may start at the same time.
   bool is_alone_attempt;
   uint64_t flags;
   uint64_t priority_class;
@@ -244,7 +244,7 @@
 /// Merge an agent's report of requests during which its target ended.
 void ent_quarantine_merge (ent_entry_t *entry, kb_slice_t records);
 /// Decide whether the request may run freely, only while no other request
-/// begins, or not at all for a time (held).
+/// starts, or not at all for a time (held).
 /// @param[out] hold_ms  Remaining time for which it is held.
 qrt_verdict_t ent_quarantine_judge (ent_request_t *r, uint64_t *hold_ms);
 /// Record that the request was answered completely.
--- a/src/daemon/entry_quarantine.c
+++ b/src/daemon/entry_quarantine.c
@@ -34,7 +34,7 @@
   if (qrt_merge (&entry->quarantine, records, tmr_now_ms (), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
-  log_write (LOG_WARN, "entry", "Ignored a malformed quarantine report.");
+  log_write (LOG_WARN, "entry", "Ignored malformed quarantine records.");
 }
 
 void
--- a/src/daemon/entry_shards.c
+++ b/src/daemon/entry_shards.c
@@ -190,9 +190,9 @@
 }
 
 /// Whether this entry assigns the vacant shards. One entry assigns all of them
-/// in one compare-and-swap. If each entry took its own shards, N entries would
-/// contend for one value, which took 50 entries more than 20 s. The others
-/// take over if the assigner doesn't act.
+/// in one compare-and-swap. If each entry claimed its own shards, N entries
+/// would contend for one value, which took 50 entries more than 20 s. The
+/// others take over if the assigner doesn't act.
 static bool
 is_assigner (ent_entry_t *entry, uint64_t now)
 {
--- a/src/gateway/gateway_alone.c
+++ b/src/gateway/gateway_alone.c
@@ -1,11 +1,11 @@
 /// @file gateway_alone.c
-/// Requests that have to begin alone at a plain target, among the requests of
+/// Requests that have to start alone at a plain target, among the requests of
 /// this gateway (coordination/alone.h). At engines the sidecar enforces this.
 #include "gateway/gateway_defs.h"
 
 enum
 {
-  /// How long a target is reserved for a request that waits to begin alone.
+  /// How long a target is reserved for a request that waits to start alone.
   RESERVATION_MS = 500,
 };
 
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -35,8 +35,8 @@
   MAX_STREAM_SILENCE_MS = 1200,
   /// Time reserved for a place at another engine and the first event from
   /// there; until then the gateway waits for the stream of a live engine.
-  /// Engines past saturation pause streams for seconds, and a stream that was
-  /// cut for that found the next engine equally loaded and was lost.
+  /// Engines past saturation pause streams for seconds; a stream that is cut
+  /// for that finds the next engine equally loaded and is lost.
   RESUME_RESERVE_MS = 500,
   /// Maximum silence before the first event of a resumable stream.
   FIRST_EVENT_SILENCE_MS = 2000,
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -94,12 +94,12 @@
   uint32_t waiting;
   uint32_t requests_since_report; ///< Places requested since the last report.
   double tokens_since_report;     ///< Prompt tokens of those requests.
-  double backlog_ms;     ///< Time to process the prompts queued there.
+  double backlog_ms;     ///< Prefill time of the prompts queued there.
   double load_wait_ms;   ///< Time until an adapter not held would be loaded.
   double mean_hold_ms;   ///< Mean time that a place is held.
   double start_wait_ms;  ///< Until its rate limit allows one more start.
   double start_every_ms; ///< Interval of starts at its rate limit; zero: none.
-  double tokens_per_ms;  ///< Prompt tokens that it processes.
+  double tokens_per_ms;  ///< Prefill rate.
   uint64_t list_stamp;   ///< Hash of `adapters`, as the sidecar states it.
   msg_engine_adapter_t *adapters;
   uint32_t adapter_count;
@@ -109,7 +109,7 @@
 
   gtw_advertised_t advertised;
   aln_gate_t alone;     ///< Of a plain target, for this gateway's requests.
-  uint64_t reserved_by; ///< Number of the request that waits to begin alone.
+  uint64_t reserved_by; ///< Number of the request that waits to start alone.
   uint64_t reserved_until_ms;
 
   uint64_t ended_ms; ///< When its process was found ended; zero: not ended.
@@ -125,7 +125,7 @@
   GTW_STAGE_WAITING_FOR_CREDIT,  ///< For credit of a quota.
   GTW_STAGE_WAITING_FOR_PLACE,   ///< For a place at an engine.
   GTW_STAGE_WAITING_TO_BE_ALONE, ///< For its plain target to become idle, to
-                                 ///< begin alone.
+                                 ///< start alone.
   GTW_STAGE_SENT,                ///< At a target, nothing relayed yet.
   GTW_STAGE_RELAYING,            ///< The answer is being relayed.
 } gtw_stage_t;
@@ -180,7 +180,7 @@
   bool has_place;
   uint64_t place_requested_ms;
   uint64_t load_us; ///< Time waited for adapters to load.
-  /// At an engine: targets ended under it, so it has to begin alone, and the
+  /// At an engine: targets ended during it, so it has to start alone, and the
   /// place was granted so. At a plain target: an earlier attempt broke off.
   bool is_alone_attempt;
   aln_request_t alone;   ///< At a plain target.
@@ -248,7 +248,7 @@
   bud_budget_t budget;
 } gtw_budget_t;
 
-/// An attempt that broke off while the request was beginning at a target. If
+/// An attempt that broke off while the request was starting at a target. If
 /// the target has ended, the request may be the cause.
 typedef struct
 {
@@ -261,7 +261,7 @@
   bool is_alone;    ///< gtw_request_t.is_alone_attempt, or isolated.
 } gtw_broken_attempt_t;
 
-/// Writes records of requests under which targets ended to the platform's
+/// Writes records of requests during which targets ended to the platform's
 /// store, where they survive a power loss of all daemons.
 typedef struct
 {
@@ -451,13 +451,13 @@
                                         uint64_t from_ms);
 
 // gateway_alone.c
-/// @return  Whether a request may use a target now: no other request begins
+/// @return  Whether a request may use a target now: no other request starts
 ///          alone there or has reserved it.
 bool gtw_alone_can_use (const gtw_request_t *r, const gtw_target_t *target);
 /// @return  Whether that excludes it from some target of its service.
 bool gtw_alone_is_blocking_any (const gtw_request_t *r);
-/// Begin at the current target, which is plain.
-/// @return  False: it has to begin alone and must wait; the target is reserved
+/// Start at the current target, which is plain.
+/// @return  False: it has to start alone and must wait; the target is reserved
 ///          for it.
 bool gtw_alone_start (gtw_request_t *r);
 /// @return  Whether it has waited too long and has to use another target.
@@ -577,7 +577,7 @@
 // gateway_quarantine.c
 /// @param hold_ms  Receives the remaining time for which it is held.
 qrt_verdict_t gtw_quarantine_check (gtw_request_t *r, uint64_t *hold_ms);
-/// @return  Whether an earlier attempt broke off while it was beginning at a
+/// @return  Whether an earlier attempt broke off while it was starting at a
 ///          target, as far as this gateway knows.
 bool gtw_quarantine_has_earlier_break (gtw_request_t *r);
 /// Refuse a request that is held in quarantine.
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -371,8 +371,7 @@
       = gateway->deployment->decode_config (document_msg->data, &error);
   if (config == NULL)
     {
-      log_write (LOG_ERROR, "config",
-                 "Forwarded configuration document ignored: %s.",
+      log_write (LOG_ERROR, "config", "Ignored a forwarded configuration: %s.",
                  error.message);
       return;
     }
--- a/src/gateway/gateway_quarantine.c
+++ b/src/gateway/gateway_quarantine.c
@@ -1,5 +1,5 @@
 /// @file gateway_quarantine.c
-/// Requests under which targets ended (coordination/quarantine.h): which were
+/// Requests during which targets ended (coordination/quarantine.h): which were
 /// starting at a target when it ended, and the records that are shared with
 /// other daemons.
 #include "coordination/alone.h"
@@ -156,7 +156,7 @@
   if (qrt_merge (&gateway->quarantine, records, gtw_now_ms (gateway), NULL))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
-  log_write (LOG_WARN, "gateway", "Malformed quarantine records are ignored.");
+  log_write (LOG_WARN, "gateway", "Ignored malformed quarantine records.");
 }
 
 /// @return  Equal at all gateways.
--- a/src/gateway/gateway_records.c
+++ b/src/gateway/gateway_records.c
@@ -1,5 +1,5 @@
 /// @file gateway_records.c
-/// Records, in the platform's store, of requests under which targets ended.
+/// Records, in the platform's store, of requests during which targets ended.
 /// Daemons exchange this state with each other (gateway_quarantine.c); the
 /// records cover the loss of all daemons at once, and gateways that share no
 /// sidecar.
--- a/src/gateway/gateway_request.c
+++ b/src/gateway/gateway_request.c
@@ -35,9 +35,8 @@
   /// Limit before the first configuration is known.
   DEFAULT_MAX_BODY_BYTES = 4 << 20,
   /// Longest wait for an engine: after a power loss the first engine is up
-  /// within it. The wait raised the score of the worst second on days with a
-  /// power loss from 0.30 to 0.32 on one site and from 0.43 to 0.45 on the
-  /// other.
+  /// within it. In the worst second after the loss, waiting is better than
+  /// refusing.
   DOWN_WAIT_MS = 1200,
   /// Callers abandon a stream without a first event after this many objectives
   /// or the minimum time, whichever is longer.
@@ -454,7 +453,7 @@
     }
 }
 
-/// Send to a plain target; a request that has to begin alone waits until the
+/// Send to a plain target; a request that has to start alone waits until the
 /// target is idle.
 static void
 request_start_plain (gtw_request_t *r)
--- a/src/gateway/recent.h
+++ b/src/gateway/recent.h
@@ -1,8 +1,8 @@
 /// @file recent.h
 /// Adapters that an engine held recently. Engines keep copies of them and load
 /// them again in a tenth of the time, without the weight store. Without this,
-/// 104 of 957 fetches under heavy load brought to one engine an adapter of
-/// which another engine had a copy.
+/// many fetches under heavy load bring an engine an adapter of which another
+/// engine has a copy.
 #ifndef KB_GATEWAY_RECENT_H
 #define KB_GATEWAY_RECENT_H
 
--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -179,7 +179,7 @@
   uint64_t attempt;
 } msg_cancel_t;
 
-/// Asks an agent to void an attempt that has not run.
+/// Requests that an agent void an attempt that has not run.
 typedef struct
 {
   uint64_t attempt;
@@ -205,7 +205,7 @@
   uint64_t state; ///< msg_revoked_state_t
 } msg_revoked_t;
 
-/// Asks the owner of a shard for the claim of an idempotency key.
+/// Requests the claim of an idempotency key from the owner of its shard.
 typedef struct
 {
   uint64_t id;
@@ -236,7 +236,7 @@
   uint64_t outcome;
 } msg_claim_outcome_t;
 
-/// A new owner asks for the claims of the shards that it rebuilds.
+/// A new owner requests the claims of the shards that it rebuilds.
 typedef struct
 {
   uint64_t id;       ///< Id of the rebuild, repeated in msg_records_t.
@@ -260,7 +260,7 @@
   MSG_RECORDS_INHERIT,     ///< From a stopping agent to an entry.
 } msg_records_purpose_t;
 
-/// An agent asks the load gate for permission to load an adapter.
+/// An agent requests permission to load an adapter from the load gate.
 typedef struct
 {
   uint64_t id;
@@ -352,8 +352,8 @@
   uint64_t granted; ///< Places granted or held by running requests.
   uint64_t waiting; ///< Requests waiting for a place or an adapter load.
   uint64_t gateway_count;
-  uint64_t backlog_us;     ///< Time to read the accepted prompts.
-  uint64_t tokens_per_s;   ///< Prompt tokens that the engine reads.
+  uint64_t backlog_us;     ///< Prefill time of the accepted prompts.
+  uint64_t tokens_per_s;   ///< Prefill rate of the engine.
   uint64_t load_wait_ms;   ///< Expected wait until a new adapter is loaded.
   uint64_t mean_hold_ms;   ///< Mean time from a grant to its release.
   uint64_t start_wait_ms;  ///< Wait for one more start under its limit.
@@ -425,7 +425,7 @@
   uint64_t gaps_ms; ///< Time from the first event to the last.
 } msg_place_release_t;
 
-/// The first event has arrived, so the prompt has been read.
+/// The first event has arrived, so the prefill has ended.
 typedef struct
 {
   uint64_t id;
--- a/src/sidecar/sidecar_defs.h
+++ b/src/sidecar/sidecar_defs.h
@@ -117,7 +117,7 @@
                                const msg_changes_request_t *msg);
 
 // sidecar_quarantine.c
-/// Receive records of requests during which targets terminated.
+/// Receive records of requests during which targets ended.
 void scr_quarantine_receive (scr_sidecar_t *s, kb_slice_t records);
 /// Send a gateway the records that it lacks.
 /// @param stamp  Of the records that it knows.
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -329,7 +329,7 @@
   s->is_engine_busy = report->is_busy;
   s->is_model_held = report->model_count > 0;
   uint32_t held = s->table.adapters_held;
-  uint32_t coming = s->table.adapters_loading;
+  uint32_t loading = s->table.adapters_loading;
   adm_report_begin (&s->table);
   for (uint32_t i = 0; i < report->adapter_count; i++)
     {
@@ -340,7 +340,7 @@
       adm_adapter_require_version (adapter, ver_newest (&s->versions, a->key));
     }
   adm_report_end (&s->table);
-  if (held != s->table.adapters_held || coming != s->table.adapters_loading)
+  if (held != s->table.adapters_held || loading != s->table.adapters_loading)
     scr_state_changed (s);
   if (s->is_model_held)
     identify_engine (s);
--- a/src/sidecar/sidecar_quarantine.c
+++ b/src/sidecar/sidecar_quarantine.c
@@ -1,6 +1,6 @@
 /// @file sidecar_quarantine.c
 /// Keeps and forwards the gateways' records of requests during which targets
-/// terminated. Gateways are not connected to each other and lose their records
+/// ended. Gateways are not connected to each other and lose their records
 /// when they restart.
 #include "relay/forward.h"
 #include "relay/turn.h"
@@ -32,8 +32,7 @@
   if (!qrt_merge (&s->quarantine, records, scr_now_ms (s), &new_records))
     {
       MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
-      log_write (LOG_WARN, "sidecar",
-                 "Ignored a malformed message with quarantine records.");
+      log_write (LOG_WARN, "sidecar", "Ignored malformed quarantine records.");
     }
   send_to_gateways (s, &new_records);
   kb_buf_finish (&new_records);
