--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -73,7 +73,7 @@
   return a->priority <= b->priority;
 }
 
-/// Prompt cost that is read before that of a request: requests of its own
+/// Prompt cost that is processed before that of a request: requests of its own
 /// class, and more urgent ones up to their share.
 static double
 cost_ahead (const adm_table_t *table, const adm_request_t *request,
--- a/src/coordination/claim_runner.h
+++ b/src/coordination/claim_runner.h
@@ -66,7 +66,7 @@
 /// finished one as voided, and it would run again elsewhere.
 void clm_runner_set_state (clm_runner_t *runner, uint64_t attempt,
                            clm_run_state_t state, uint64_t now_ms);
-/// Revokes an attempt. An unknown attempt is voided: it can not start, even
+/// Revokes an attempt. An unknown attempt is voided: it cannot start, even
 /// when its message arrives later. A waiting one keeps waiting; otherwise two
 /// senders of one key could void each other's attempts in turn.
 /// @return  The state after the revocation.
--- a/src/coordination/follow.c
+++ b/src/coordination/follow.c
@@ -8,8 +8,9 @@
   BATCH_WAIT_MS = 300,
   /// The batch reader bounds how late a change is applied after an outage: a
   /// read sent just before the store recovers, its timeout, the pause and the
-  /// answer of the next read, 300 + 600 + 100 ms and an answer. A timeout of
-  /// 6.5 s allowed 6.7 s, and confirmed routes were refused for 3 s.
+  /// answer of the next read, 300 + 600 + 100 ms and an answer. With a timeout
+  /// of 6.5 s the delay would reach 6.7 s, and gateways would refuse requests
+  /// for confirmed routes for 3 s.
   BATCH_SLACK_MS = 600,
   /// A slow store must be followed too: after a timeout, and while answers are
   /// late, reads may take longer. Such a read delays a change by at most
--- a/src/coordination/place.c
+++ b/src/coordination/place.c
@@ -120,7 +120,7 @@
 }
 
 /// Cost of the streams that a long prompt pauses beyond what their callers
-/// accept. It favours engines with few streams, even if they have to load the
+/// accept. It favors engines with few streams, even if they have to load the
 /// adapter.
 static double
 pause_cost (const plc_costs_t *costs, const plc_candidate_t *candidate,
@@ -141,8 +141,8 @@
 /// Milliseconds until a place is free for one more request, if places are
 /// released at the present rate, and the target's rate limit allows it. With
 /// 12 slots, twelve requests ahead cost a whole run. Without this cost,
-/// requests queued at the engines that held an adapter in demand until they
-/// were late, while half of the others were nearly empty.
+/// requests queue at the engines that hold an adapter in demand until they
+/// are late, while half of the others are nearly empty.
 static double
 place_wait_ms (const plc_candidate_t *candidate, double slots)
 {
--- a/src/coordination/slots.c
+++ b/src/coordination/slots.c
@@ -153,7 +153,7 @@
     {
       slt_slot_t *slot = &table->slots[i];
       // Evicting a pinned adapter would break or corrupt the request that runs
-      // with it. The pin is set before the engine is asked to run the request.
+      // with it. The pin is set before the request is sent to the engine.
       if (slot->key == 0 || slot->state != SLT_RESIDENT || slot->pins > 0)
         continue;
       if (is_wanted != NULL && !slot->is_draining
--- a/src/daemon/agent_fence.c
+++ b/src/daemon/agent_fence.c
@@ -78,7 +78,7 @@
   if (status != KB_OK)
     {
       // A conflict may come from this process's own write whose answer was
-      // lost; the next read recognises it by the incarnation.
+      // lost; the next read recognizes it by the incarnation.
       retry_read_fence (agent);
       return;
     }
--- a/src/daemon/entry_shards.c
+++ b/src/daemon/entry_shards.c
@@ -108,7 +108,7 @@
                "%u shards were taken over by other entries.", lost_count);
 }
 
-/// Whether the owner of a shard can never reply again. A time-out alone
+/// Whether the owner of a shard can never reply again. A timeout alone
 /// doesn't show this. The epoch fences the owner's grants, and a live owner
 /// keeps its shards.
 static bool
@@ -191,7 +191,7 @@
 
 /// Whether this entry assigns the vacant shards. One entry assigns all of them
 /// in one compare-and-swap. If each entry claimed its own shards, N entries
-/// would contend for one value, which took 50 entries more than 20 s. The
+/// would contend for one value, which takes 50 entries more than 20 s. The
 /// others take over if the assigner doesn't act.
 static bool
 is_assigner (ent_entry_t *entry, uint64_t now)
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -467,7 +467,7 @@
 gtw_attempt_send (gtw_request_t *r)
 {
   gtw_gateway_t *gateway = r->gateway;
-  // Targets may have ended under another attempt while it waited for a place.
+  // Targets may have ended during another attempt while it waited for a place.
   uint64_t hold_ms = 0;
   if (gtw_quarantine_check (r, &hold_ms) == QRT_HELD)
     {
--- a/src/gateway/gateway_backpressure.c
+++ b/src/gateway/gateway_backpressure.c
@@ -108,7 +108,7 @@
   log_end (&line);
 }
 
-/// The target refused a request and wants none for a while. Pauses overlap: a
+/// The target refused a request and requested a pause. Pauses overlap: a
 /// shorter one does not end a longer one.
 static void
 apply_pause (const gtw_request_t *r, gtw_advertised_t *stated,
--- a/src/gateway/gateway_incarnations.c
+++ b/src/gateway/gateway_incarnations.c
@@ -38,7 +38,7 @@
 
 /// Requests that were sent to an incarnation before it ended will not be
 /// answered; behind a network partition their connections stay open, and
-/// callers would wait for their time-out. Requests that were sent after the
+/// callers would wait for their timeout. Requests that were sent after the
 /// birth of the next incarnation run there, since both have the same id, and
 /// go on.
 static void
--- a/src/gateway/gateway_links.c
+++ b/src/gateway/gateway_links.c
@@ -1,6 +1,6 @@
 /// @file gateway_links.c
 /// Messages between gateways and sidecars, including the configuration and
-/// adapter versions that sidecars forward to gateways which can not reach the
+/// adapter versions that sidecars forward to gateways which cannot reach the
 /// store.
 #include <stdlib.h>
 
@@ -52,10 +52,10 @@
 gtw_send_gateway_state (gtw_gateway_t *gateway, gtw_target_t *target)
 {
   kb_buf_t places = { 0 };
-  kb_buf_t lent_subjects = { 0 };
+  kb_buf_t served_elsewhere = { 0 };
   pack_places (gateway, target, &places);
-  gtw_quotas_pack_lent_elsewhere (
-      gateway, gtw_link_key (kb_slice_str (target->link)), &lent_subjects);
+  gtw_quotas_pack_served_elsewhere (
+      gateway, gtw_link_key (kb_slice_str (target->link)), &served_elsewhere);
   target->state_sent_ms = gtw_now_ms (gateway);
   const bkp_limit_t *limit = &target->advertised.limit;
   msg_t msg = { .type = MSG_GATEWAY_STATE,
@@ -72,12 +72,12 @@
                     = tmr_boottime_ms () - gateway->gateway_peak.seen_ms,
                     .limit_milli = limit_milli (limit),
                     .limit_age_ms = tmr_boottime_ms () - limit->at_ms,
-                    .lent_elsewhere = kb_buf_slice (&lent_subjects),
+                    .served_elsewhere = kb_buf_slice (&served_elsewhere),
                     .places = kb_buf_slice (&places) } };
   if (hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
   kb_buf_finish (&places);
-  kb_buf_finish (&lent_subjects);
+  kb_buf_finish (&served_elsewhere);
 }
 
 static void
@@ -104,8 +104,8 @@
 /// A sidecar gets a configuration from gateways of its own failure domain, and
 /// from others if it still lacks it after REMOTE_DOMAIN_DELAY_MS, because its
 /// domain may have no gateway that could send it. A document of 0.3 MB for
-/// each of 120 sidecars, five of six in other domains, was most of the traffic
-/// between domains when the configuration changed often.
+/// each of 120 sidecars, five of six in other domains, would be most of the
+/// traffic between domains when the configuration changes often.
 static bool
 may_send_config (gtw_gateway_t *gateway, gtw_target_t *target)
 {
--- a/src/gateway/gateway_quota.c
+++ b/src/gateway/gateway_quota.c
@@ -68,7 +68,7 @@
         = tmr_boottime_ms () - gateway->gateway_peak.seen_ms }
   };
   MET_INC ("knapweedbay_quota_asks_total", "");
-  // A request that can not be sent is sent again by the next tick.
+  // A request that cannot be sent is sent again by the next tick.
   if (target == NULL || hst_send (&gateway->host, target->link, &msg) != KB_OK)
     MET_INC ("knapweedbay_sidecar_unreached_total", "");
 }
@@ -409,8 +409,8 @@
 }
 
 void
-gtw_quotas_pack_lent_elsewhere (const gtw_gateway_t *gateway, uint64_t link,
-                                kb_buf_t *out)
+gtw_quotas_pack_served_elsewhere (const gtw_gateway_t *gateway, uint64_t link,
+                                  kb_buf_t *out)
 {
   uint64_t now_ms = tmr_boottime_ms ();
   const gtw_target_t *target = kb_map_get (&gateway->links, link);
--- a/src/gateway/gateway_quota.h
+++ b/src/gateway/gateway_quota.h
@@ -85,7 +85,7 @@
 /// far as a sidecar needs them: those for which it is the standby, and all if
 /// it is not in contact with this gateway.
 /// @param link  Key of the link to that sidecar.
-void gtw_quotas_pack_lent_elsewhere (const gtw_gateway_t *gateway,
-                                     uint64_t link, kb_buf_t *out);
+void gtw_quotas_pack_served_elsewhere (const gtw_gateway_t *gateway,
+                                       uint64_t link, kb_buf_t *out);
 
 #endif
--- a/src/gateway/gateway_targets.c
+++ b/src/gateway/gateway_targets.c
@@ -13,7 +13,7 @@
   MAX_IDLE_CONNECTIONS = 24,
   /// A sidecar sends a report at least every 400 ms.
   SIDECAR_TIMEOUT_MS = 1300,
-  /// Time-out of the first report on a new link.
+  /// Timeout of the first report on a new link.
   FIRST_REPORT_TIMEOUT_MS = 1500,
   STATE_INTERVAL_MS = 1000,
   /// While a request waits for a place, its sidecar is sent the open places
@@ -287,7 +287,7 @@
 
 /// Free all of them at once: after a loss of power the list drops hundreds,
 /// and the state reports to sidecars, which follow in the tick, must not wait.
-/// With one per tick, 120 of them kept every link silent for 12 s.
+/// With one per tick, 120 of them would keep every link silent for 12 s.
 static void
 free_unused (gtw_gateway_t *gateway)
 {
--- a/src/protocol/msg.c
+++ b/src/protocol/msg.c
@@ -127,7 +127,7 @@
         UINT (gateway_state, quarantine_stamp), BYTES (gateway_state, places),
         UINT (gateway_state, gateway_peak),
         UINT (gateway_state, gateway_peak_age_ms),
-        BYTES (gateway_state, lent_elsewhere),
+        BYTES (gateway_state, served_elsewhere),
         UINT (gateway_state, limit_milli),
         UINT (gateway_state, limit_age_ms) } },
   [MSG_ENGINE_STATE] = { "engine_state",
--- a/src/protocol/msg_defs.h
+++ b/src/protocol/msg_defs.h
@@ -319,7 +319,7 @@
   uint64_t limit_age_ms; ///< Age of `limit_milli`.
   /// 64-bit hashes of the workspaces whose credit the gateway borrows from
   /// another sidecar, although this one would be the lender without that one.
-  kb_slice_t lent_elsewhere;
+  kb_slice_t served_elsewhere;
   /// Packed msg_place_ref_t of all places that it has requested from this
   /// sidecar and not released.
   kb_slice_t places;
--- a/src/relay/secret.h
+++ b/src/relay/secret.h
@@ -13,7 +13,7 @@
 
 void sct_digest_key (kb_slice_t key, uint8_t out[WSP_DIGEST_BYTES]);
 /// Write the short form of a digest that identifies a key in log lines. The
-/// key can not be derived from it.
+/// key cannot be derived from it.
 void sct_format (const uint8_t digest[WSP_DIGEST_BYTES],
                  char out[SCT_TEXT_BYTES]);
 
--- a/src/relay/versions.h
+++ b/src/relay/versions.h
@@ -1,6 +1,6 @@
 /// @file versions.h
 /// The newest known version of each adapter. Versions only rise, so that a
-/// late or repeated message can not bring an older one back.
+/// late or repeated message cannot bring an older one back.
 #ifndef KB_RELAY_VERSIONS_H
 #define KB_RELAY_VERSIONS_H
 
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -61,7 +61,7 @@
 
 /// Update the order timeout. An order whose answer is lost blocks all later
 /// ones until its timeout: with a fixed 400 ms and a third of the answers
-/// lost, an engine loaded one adapter a second instead of three.
+/// lost, an engine loads one adapter a second instead of three.
 static void
 record_order_time (scr_sidecar_t *s, egn_order_outcome_t outcome)
 {
@@ -213,7 +213,7 @@
 /// configuration arrived, the only one whose weights the engine still has.
 /// After a power loss the configuration arrives last, after the store, the
 /// list of targets and a gateway are up: 2.0 s after the start when the store
-/// was down as well. Without this rule the engine idled during that time.
+/// was down as well. Without this rule the engine would idle during that time.
 /// @return  NULL if it is not known.
 static const char *
 wanted_model (const scr_sidecar_t *s, const egn_report_t *report)
--- a/src/sidecar/sidecar_quota.c
+++ b/src/sidecar/sidecar_quota.c
@@ -32,11 +32,11 @@
   qgw_peak_merge (&s->lender_role.peak, (uint32_t)state->gateway_peak,
                   state->gateway_peak_age_ms, now_ms);
   if (qgw_record_served_elsewhere (&s->lender_role, gateway,
-                                   state->lent_elsewhere, now_ms))
+                                   state->served_elsewhere, now_ms))
     return;
   MET_INC ("knapweedbay_inner_dropped_total", "reason=\"malformed\"");
   log_write (LOG_WARN, "sidecar",
-             "Ignored a malformed list of workspaces lent elsewhere.");
+             "Ignored a malformed list of workspaces served elsewhere.");
 }
 
 static void
--- a/src/transport/h1.c
+++ b/src/transport/h1.c
@@ -219,10 +219,11 @@
   *buf = uv_buf_init (read_buffer, sizeof read_buffer);
 }
 
-/// Tells a reset from an orderly close. When a hang-up is polled together with
-/// the last bytes, libuv reports EOF even if the hang-up was a reset. A
-/// close-delimited response whose sender crashed would then look complete. A
-/// read from the socket still returns the pending error instead of zero bytes.
+/// Distinguishes a reset from an orderly close. When a hang-up is polled
+/// together with the last bytes, libuv reports EOF even if the hang-up was a
+/// reset. A close-delimited response whose sender crashed would then look
+/// complete. A read from the socket still returns the pending error instead of
+/// zero bytes.
 static bool
 conn_has_pending_error (h1_conn_t *conn)
 {
