--- a/src/coordination/fetch_limit.c
+++ b/src/coordination/fetch_limit.c
@@ -23,13 +23,14 @@
 }
 
 void
-ftl_limit_record_fetch (ftl_limit_t *limit, double took_ms)
+ftl_limit_record_fetch (ftl_limit_t *limit, double duration_ms)
 {
-  limit->mean_fetch_ms += MEAN_FETCH_WEIGHT * (took_ms - limit->mean_fetch_ms);
+  limit->mean_fetch_ms
+      += MEAN_FETCH_WEIGHT * (duration_ms - limit->mean_fetch_ms);
   limit->min_fetch_ms *= MIN_FETCH_DRIFT;
-  if (limit->min_fetch_ms <= 0 || took_ms < limit->min_fetch_ms)
-    limit->min_fetch_ms = took_ms;
-  if (took_ms <= MAX_FULL_SPEED_RATIO * limit->min_fetch_ms)
+  if (limit->min_fetch_ms <= 0 || duration_ms < limit->min_fetch_ms)
+    limit->min_fetch_ms = duration_ms;
+  if (duration_ms <= MAX_FULL_SPEED_RATIO * limit->min_fetch_ms)
     limit->limit += INCREASE_STEP;
   else
     limit->limit *= DECREASE_FACTOR;
--- a/src/coordination/fetch_limit.h
+++ b/src/coordination/fetch_limit.h
@@ -20,7 +20,7 @@
 /// @param max_fetches  Upper bound of concurrent fetches; zero counts as one.
 void ftl_limit_init (ftl_limit_t *limit, uint32_t max_fetches);
 /// Adjust the limit to the duration of a fetch that has ended.
-void ftl_limit_record_fetch (ftl_limit_t *limit, double took_ms);
+void ftl_limit_record_fetch (ftl_limit_t *limit, double duration_ms);
 /// @return  Allowed number of concurrent fetches, one at least.
 uint32_t ftl_limit_count (const ftl_limit_t *limit);
 /// @param ahead  Fetches that start before.
--- a/src/coordination/follow.c
+++ b/src/coordination/follow.c
@@ -291,14 +291,14 @@
 
 /// @return  Pause after a failed read.
 static uint64_t
-failure_pause_ms (flw_reader_t *r, uint64_t took_ms, bool is_timeout,
+failure_pause_ms (flw_reader_t *r, uint64_t duration_ms, bool is_timeout,
                   uint32_t random)
 {
   // The timeout itself has already delayed the next read.
   if (is_timeout)
     return random % TIMEOUT_PAUSE_MS;
-  return took_ms >= INTERRUPTED_MS ? random % RETRY_FIRST_MS
-                                   : backoff_ms (r, random);
+  return duration_ms >= INTERRUPTED_MS ? random % RETRY_FIRST_MS
+                                       : backoff_ms (r, random);
 }
 
 /// While the store refuses, the direct reader stops until the batch reader is
@@ -336,11 +336,11 @@
           = which == FLW_BATCH || is_store_silent (f) ? now_ms : UINT64_MAX;
       return;
     }
-  uint64_t took_ms = now_ms - r->began_ms;
-  bool is_timeout = took_ms >= r->timeout_ms;
+  uint64_t duration_ms = now_ms - r->began_ms;
+  bool is_timeout = duration_ms >= r->timeout_ms;
   if (r->failed_since_ms == 0)
     r->failed_since_ms = is_timeout ? r->began_ms : now_ms;
-  r->due_ms = now_ms + failure_pause_ms (r, took_ms, is_timeout, random);
+  r->due_ms = now_ms + failure_pause_ms (r, duration_ms, is_timeout, random);
   r->consecutive_timeouts = is_timeout ? r->consecutive_timeouts + 1 : 0;
   if (which == FLW_DIRECT)
     {
--- a/src/coordination/pace.c
+++ b/src/coordination/pace.c
@@ -59,7 +59,7 @@
 }
 
 void
-pce_record_stream (pce_pace_t *pace, uint32_t gaps, uint64_t took_ms,
+pce_record_stream (pce_pace_t *pace, uint32_t gaps, uint64_t duration_ms,
                    uint64_t now_ms)
 {
   if (gaps == 0)
@@ -69,7 +69,7 @@
   double retained = pow (1 - GAP_WEIGHT, gaps);
   pace->gaps = pace->gaps * retained + gaps;
   pace->gaps_ms
-      = pace->gaps_ms * retained + (double)took_ms * (1 - prefill_share);
+      = pace->gaps_ms * retained + (double)duration_ms * (1 - prefill_share);
 }
 
 double
--- a/src/coordination/pace.h
+++ b/src/coordination/pace.h
@@ -24,9 +24,9 @@
 /// A prompt whose prefill takes `prefill_ms` was dispatched.
 void pce_record_prefill (pce_pace_t *pace, double prefill_ms, uint64_t now_ms);
 /// A stream ended.
-/// @param gaps     Number of gaps between its events.
-/// @param took_ms  Time from its first event to its last.
-void pce_record_stream (pce_pace_t *pace, uint32_t gaps, uint64_t took_ms,
+/// @param gaps         Number of gaps between its events.
+/// @param duration_ms  Time from its first event to its last.
+void pce_record_stream (pce_pace_t *pace, uint32_t gaps, uint64_t duration_ms,
                         uint64_t now_ms);
 /// @return  Fraction of the prefill rate at which to dispatch prompts, less
 ///          than one.
--- a/src/coordination/prefill.c
+++ b/src/coordination/prefill.c
@@ -80,11 +80,12 @@
 }
 
 void
-pfl_record_first_event (pfl_prefill_t *prefill, double tokens, double took_ms)
+pfl_record_first_event (pfl_prefill_t *prefill, double tokens,
+                        double duration_ms)
 {
   pfl_regression_t *regression = &prefill->regression;
   double tokens_deviation = tokens - regression->mean_tokens;
-  double ms_deviation = took_ms - regression->mean_ms;
+  double ms_deviation = duration_ms - regression->mean_ms;
   regression->mean_tokens += SAMPLE_WEIGHT * tokens_deviation;
   regression->mean_ms += SAMPLE_WEIGHT * ms_deviation;
   regression->variance
--- a/src/coordination/prefill.h
+++ b/src/coordination/prefill.h
@@ -44,9 +44,9 @@
 /// A run ended before its first event: its prompt is not processed further.
 void pfl_cancel (pfl_prefill_t *prefill, double cost);
 /// The first event of a run arrived.
-/// @param tokens   Returned by pfl_dispatch for its prompt.
-/// @param took_ms  Time since the dispatch.
+/// @param tokens       Returned by pfl_dispatch for its prompt.
+/// @param duration_ms  Time since the dispatch.
 void pfl_record_first_event (pfl_prefill_t *prefill, double tokens,
-                             double took_ms);
+                             double duration_ms);
 
 #endif
--- a/src/coordination/rto.c
+++ b/src/coordination/rto.c
@@ -22,20 +22,20 @@
 }
 
 void
-rto_answered (rto_timeout_t *timeout, uint64_t took_ms)
+rto_answered (rto_timeout_t *timeout, uint64_t duration_ms)
 {
-  double took = (double)took_ms;
+  double sample_ms = (double)duration_ms;
   timeout->unanswered = 0;
   if (timeout->mean_ms <= 0)
     {
-      timeout->mean_ms = took > 0 ? took : 1;
-      timeout->deviation_ms = took / 2;
+      timeout->mean_ms = sample_ms > 0 ? sample_ms : 1;
+      timeout->deviation_ms = sample_ms / 2;
       return;
     }
   timeout->deviation_ms
       += DEVIATION_WEIGHT
-         * (fabs (took - timeout->mean_ms) - timeout->deviation_ms);
-  timeout->mean_ms += MEAN_WEIGHT * (took - timeout->mean_ms);
+         * (fabs (sample_ms - timeout->mean_ms) - timeout->deviation_ms);
+  timeout->mean_ms += MEAN_WEIGHT * (sample_ms - timeout->mean_ms);
 }
 
 void
--- a/src/coordination/rto.h
+++ b/src/coordination/rto.h
@@ -18,7 +18,7 @@
 
 /// @param min_ms  Lower bound: the granularity of the caller's clock.
 void rto_init (rto_timeout_t *timeout, uint32_t min_ms, uint32_t max_ms);
-void rto_answered (rto_timeout_t *timeout, uint64_t took_ms);
+void rto_answered (rto_timeout_t *timeout, uint64_t duration_ms);
 void rto_unanswered (rto_timeout_t *timeout);
 /// @return  Timeout of the next call, milliseconds.
 uint32_t rto_ms (const rto_timeout_t *timeout);
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -111,7 +111,7 @@
              : PLC_ABSENT;
 }
 
-/// @return  Time, in milliseconds, to process the prompts queued at an engine,
+/// @return  Prefill time, in milliseconds, of the prompts queued at an engine,
 ///          including this gateway's requests since its last report.
 static double
 backlog_at (const gtw_target_t *target)
