--- a/src/coordination/admit_forecast.c
+++ b/src/coordination/admit_forecast.c
@@ -7,7 +7,7 @@
 
 enum
 {
-  /// From the end of reading the prompt to the first event at the caller.
+  /// From the end of the prefill to the first event at the caller.
   FIRST_EVENT_DELAY_MS = 60,
   /// Saturation for longer than this leaves no capacity for late requests.
   /// Half of the shortest objective in use.
@@ -54,17 +54,14 @@
 adm_is_timely (const adm_table_t *table, const adm_request_t *request,
                uint64_t now_ms)
 {
-  double reading_ms = pfl_cost_tokens (request->prompt_tokens)
-                      / table->reading.tokens_per_ms;
-  return now_ms + (uint64_t)reading_ms + FIRST_EVENT_DELAY_MS
+  double prefill_ms = pfl_cost_tokens (request->prompt_tokens)
+                      / table->prefill.tokens_per_ms;
+  return now_ms + (uint64_t)prefill_ms + FIRST_EVENT_DELAY_MS
          <= request->objective_ms;
 }
 
 // Late requests get only the capacity that timely ones leave. Served oldest
-// first, a backlog makes all later requests late as well: on six random
-// deployments above capacity 18 and 26 % of the answers were late, against 10
-// and 18 % with timely requests first, and mean weighted goodput was lower by
-// 0.039 and 0.063.
+// first, a backlog above capacity makes all later requests late as well.
 bool
 adm_is_before (const adm_table_t *table, const adm_request_t *a,
                const adm_request_t *b, uint64_t now_ms)
@@ -76,13 +73,13 @@
   return a->priority <= b->priority;
 }
 
-/// Prompt cost that is read before that of a request: requests of its own
+/// Prompt cost that is processed before that of a request: requests of its own
 /// class, and more urgent ones up to their share.
 static double
 cost_ahead (const adm_table_t *table, const adm_request_t *request,
             uint64_t now_ms)
 {
-  double own = pfl_outstanding_tokens (&table->reading, now_ms);
+  double own = pfl_outstanding_tokens (&table->prefill, now_ms);
   double urgent = 0;
   for (const adm_request_t *other = table->first; other != NULL;
        other = other->next)
@@ -156,8 +153,8 @@
   adm_forecast_t forecast = { 0 };
   if (request->adapter != NULL)
     forecast.load_ms = adm_load_wait_ms (table, request->adapter, now_ms);
-  double rate = table->reading.tokens_per_ms;
-  double pace = rate * pce_fraction (&table->reading.pace);
+  double rate = table->prefill.tokens_per_ms;
+  double pace = rate * pce_fraction (&table->prefill.pace);
   double wait_ms = cost_ahead (table, request, now_ms) / pace;
   double place_ms = place_wait_ms (table, request, now_ms);
   forecast.place_ms = (uint64_t)place_ms;
--- a/src/coordination/follow.c
+++ b/src/coordination/follow.c
@@ -8,8 +8,9 @@
   BATCH_WAIT_MS = 300,
   /// The batch reader bounds how late a change is applied after an outage: a
   /// read sent just before the store recovers, its timeout, the pause and the
-  /// answer of the next read, 300 + 600 + 100 ms and an answer. A timeout of
-  /// 6.5 s allowed 6.7 s, and confirmed routes were refused for 3 s.
+  /// answer of the next read, 300 + 600 + 100 ms and an answer. With a timeout
+  /// of 6.5 s the delay would reach 6.7 s, and gateways would refuse requests
+  /// for confirmed routes for 3 s.
   BATCH_SLACK_MS = 600,
   /// A slow store must be followed too: after a timeout, and while answers are
   /// late, reads may take longer. Such a read delays a change by at most
@@ -53,7 +54,7 @@
   RECOVERY_PAUSE_MS = 150,
   RECOVERY_IDLE_BATCHES = 3,
   /// A peer reads the store when the local state is one pause old. Its answer
-  /// takes about 10 ms, more on a VM that has just started, and is awaited for
+  /// takes about 10 ms, more on a VM that has just started, and is waited for
   /// another 1 / SHARED_SLACK_DIVISOR of a pause. That adds 175 ms to the age
   /// of the state at a bound of 2 s.
   SHARED_SLACK_DIVISOR = 4,
@@ -290,14 +291,14 @@
 
 /// @return  Pause after a failed read.
 static uint64_t
-failure_pause_ms (flw_reader_t *r, uint64_t took_ms, bool is_timeout,
+failure_pause_ms (flw_reader_t *r, uint64_t duration_ms, bool is_timeout,
                   uint32_t random)
 {
   // The timeout itself has already delayed the next read.
   if (is_timeout)
     return random % TIMEOUT_PAUSE_MS;
-  return took_ms >= INTERRUPTED_MS ? random % RETRY_FIRST_MS
-                                   : backoff_ms (r, random);
+  return duration_ms >= INTERRUPTED_MS ? random % RETRY_FIRST_MS
+                                       : backoff_ms (r, random);
 }
 
 /// While the store refuses, the direct reader stops until the batch reader is
@@ -335,11 +336,11 @@
           = which == FLW_BATCH || is_store_silent (f) ? now_ms : UINT64_MAX;
       return;
     }
-  uint64_t took_ms = now_ms - r->began_ms;
-  bool is_timeout = took_ms >= r->timeout_ms;
+  uint64_t duration_ms = now_ms - r->began_ms;
+  bool is_timeout = duration_ms >= r->timeout_ms;
   if (r->failed_since_ms == 0)
     r->failed_since_ms = is_timeout ? r->began_ms : now_ms;
-  r->due_ms = now_ms + failure_pause_ms (r, took_ms, is_timeout, random);
+  r->due_ms = now_ms + failure_pause_ms (r, duration_ms, is_timeout, random);
   r->consecutive_timeouts = is_timeout ? r->consecutive_timeouts + 1 : 0;
   if (which == FLW_DIRECT)
     {
--- a/src/gateway/gateway_answer.c
+++ b/src/gateway/gateway_answer.c
@@ -35,8 +35,8 @@
   MAX_STREAM_SILENCE_MS = 1200,
   /// Time reserved for a place at another engine and the first event from
   /// there; until then the gateway waits for the stream of a live engine.
-  /// Engines past saturation pause streams for seconds, and a stream that was
-  /// cut for that found the next engine equally loaded and was lost.
+  /// Engines past saturation pause streams for seconds; a stream that is cut
+  /// for that finds the next engine equally loaded and is lost.
   RESUME_RESERVE_MS = 500,
   /// Maximum silence before the first event of a resumable stream.
   FIRST_EVENT_SILENCE_MS = 2000,
@@ -467,7 +467,7 @@
 gtw_attempt_send (gtw_request_t *r)
 {
   gtw_gateway_t *gateway = r->gateway;
-  // Targets may have ended under another attempt while it waited for a place.
+  // Targets may have ended during another attempt while it waited for a place.
   uint64_t hold_ms = 0;
   if (gtw_quarantine_check (r, &hold_ms) == QRT_HELD)
     {
--- a/src/gateway/gateway_choose.c
+++ b/src/gateway/gateway_choose.c
@@ -111,7 +111,7 @@
              : PLC_ABSENT;
 }
 
-/// @return  Time, in milliseconds, to process the prompts queued at an engine,
+/// @return  Prefill time, in milliseconds, of the prompts queued at an engine,
 ///          including this gateway's requests since its last report.
 static double
 backlog_at (const gtw_target_t *target)
@@ -152,7 +152,7 @@
                       ? target->granted + target->requests_since_report
                       : target->active,
     .waiting = r->is_engine ? target->waiting : 0,
-    .mean_hold_ms = r->is_engine ? target->held_for_ms : 0,
+    .mean_hold_ms = r->is_engine ? target->mean_hold_ms : 0,
     .start_wait_ms = start_wait_at (gateway, r, target),
     .tokens_per_ms = r->is_engine ? target->tokens_per_ms : 0,
     .load_wait_ms = target->load_wait_ms,
--- a/src/gateway/gateway_defs.h
+++ b/src/gateway/gateway_defs.h
@@ -94,12 +94,12 @@
   uint32_t waiting;
   uint32_t requests_since_report; ///< Places requested since the last report.
   double tokens_since_report;     ///< Prompt tokens of those requests.
-  double backlog_ms;     ///< Time to process the prompts queued there.
+  double backlog_ms;     ///< Prefill time of the prompts queued there.
   double load_wait_ms;   ///< Time until an adapter not held would be loaded.
-  double held_for_ms;    ///< Mean time that a place is held.
+  double mean_hold_ms;   ///< Mean time that a place is held.
   double start_wait_ms;  ///< Until its rate limit allows one more start.
   double start_every_ms; ///< Interval of starts at its rate limit; zero: none.
-  double tokens_per_ms;  ///< Prompt tokens that it processes.
+  double tokens_per_ms;  ///< Prefill rate.
   uint64_t list_stamp;   ///< Hash of `adapters`, as the sidecar states it.
   msg_engine_adapter_t *adapters;
   uint32_t adapter_count;
@@ -109,7 +109,7 @@
 
   gtw_advertised_t advertised;
   aln_gate_t alone;     ///< Of a plain target, for this gateway's requests.
-  uint64_t reserved_by; ///< Number of the request that waits to begin alone.
+  uint64_t reserved_by; ///< Number of the request that waits to start alone.
   uint64_t reserved_until_ms;
 
   uint64_t ended_ms; ///< When its process was found ended; zero: not ended.
@@ -125,7 +125,7 @@
   GTW_STAGE_WAITING_FOR_CREDIT,  ///< For credit of a quota.
   GTW_STAGE_WAITING_FOR_PLACE,   ///< For a place at an engine.
   GTW_STAGE_WAITING_TO_BE_ALONE, ///< For its plain target to become idle, to
-                                 ///< begin alone.
+                                 ///< start alone.
   GTW_STAGE_SENT,                ///< At a target, nothing relayed yet.
   GTW_STAGE_RELAYING,            ///< The answer is being relayed.
 } gtw_stage_t;
@@ -180,7 +180,7 @@
   bool has_place;
   uint64_t place_requested_ms;
   uint64_t load_us; ///< Time waited for adapters to load.
-  /// At an engine: targets ended under it, so it has to begin alone, and the
+  /// At an engine: targets ended during it, so it has to start alone, and the
   /// place was granted so. At a plain target: an earlier attempt broke off.
   bool is_alone_attempt;
   aln_request_t alone;   ///< At a plain target.
@@ -248,7 +248,7 @@
   bud_budget_t budget;
 } gtw_budget_t;
 
-/// An attempt that broke off while the request was beginning at a target. If
+/// An attempt that broke off while the request was starting at a target. If
 /// the target has ended, the request may be the cause.
 typedef struct
 {
@@ -261,7 +261,7 @@
   bool is_alone;    ///< gtw_request_t.is_alone_attempt, or isolated.
 } gtw_broken_attempt_t;
 
-/// Writes records of requests under which targets ended to the platform's
+/// Writes records of requests during which targets ended to the platform's
 /// store, where they survive a power loss of all daemons.
 typedef struct
 {
@@ -451,13 +451,13 @@
                                         uint64_t from_ms);
 
 // gateway_alone.c
-/// @return  Whether a request may use a target now: no other request begins
+/// @return  Whether a request may use a target now: no other request starts
 ///          alone there or has reserved it.
 bool gtw_alone_can_use (const gtw_request_t *r, const gtw_target_t *target);
 /// @return  Whether that excludes it from some target of its service.
 bool gtw_alone_is_blocking_any (const gtw_request_t *r);
-/// Begin at the current target, which is plain.
-/// @return  False: it has to begin alone and must wait; the target is reserved
+/// Start at the current target, which is plain.
+/// @return  False: it has to start alone and must wait; the target is reserved
 ///          for it.
 bool gtw_alone_start (gtw_request_t *r);
 /// @return  Whether it has waited too long and has to use another target.
@@ -546,11 +546,11 @@
 // gateway_incarnations.c
 /// Replace a target by another incarnation with its id. State of the previous
 /// one is dropped, and attempts under way there are aborted.
-/// @param told  List entry of the new incarnation.
-/// @return      The target of the new incarnation.
+/// @param listing  List entry of the new incarnation.
+/// @return         The target of the new incarnation.
 gtw_target_t *gtw_target_replace_incarnation (gtw_gateway_t *gateway,
                                               gtw_target_t *target,
-                                              const src_target_t *told);
+                                              const src_target_t *listing);
 /// Count and log a report about an earlier incarnation, which is ignored.
 /// @param from  Its source: "list", "sidecar" or "grant".
 void gtw_target_report_stale (const gtw_target_t *target, uint64_t born_ms,
@@ -558,12 +558,12 @@
 
 // gateway_targets.c
 gtw_target_t *gtw_target_add (gtw_gateway_t *gateway,
-                              const src_target_t *told);
+                              const src_target_t *listing);
 /// Open the link to the sidecar of an engine.
 void gtw_target_open_link (gtw_gateway_t *gateway, gtw_target_t *target);
 void gtw_target_log_event (const gtw_target_t *target, const char *event);
 void gtw_target_apply_listing (gtw_gateway_t *gateway,
-                               const src_target_t *told);
+                               const src_target_t *listing);
 void gtw_target_remove_listing (gtw_gateway_t *gateway, kb_slice_t id);
 /// @return  Whether a recent report of an engine's sidecar says that the
 ///          engine is ready.
@@ -577,7 +577,7 @@
 // gateway_quarantine.c
 /// @param hold_ms  Receives the remaining time for which it is held.
 qrt_verdict_t gtw_quarantine_check (gtw_request_t *r, uint64_t *hold_ms);
-/// @return  Whether an earlier attempt broke off while it was beginning at a
+/// @return  Whether an earlier attempt broke off while it was starting at a
 ///          target, as far as this gateway knows.
 bool gtw_quarantine_has_earlier_break (gtw_request_t *r);
 /// Refuse a request that is held in quarantine.
@@ -593,7 +593,7 @@
 /// Record that a target answered a request completely.
 void gtw_quarantine_record_served (gtw_request_t *r);
 /// Merge quarantine entries received from a sidecar.
-void gtw_quarantine_merge_records (gtw_gateway_t *gateway, kb_slice_t words);
+void gtw_quarantine_merge_records (gtw_gateway_t *gateway, kb_slice_t records);
 /// Send a sidecar the quarantine entries that it lacks.
 void gtw_quarantine_sync_sidecar (gtw_gateway_t *gateway,
                                   const gtw_target_t *target);
@@ -604,7 +604,7 @@
 /// platform's store.
 void gtw_records_enqueue (gtw_gateway_t *gateway, uint64_t fingerprint);
 /// Apply a record that was read from the platform's store.
-void gtw_records_receive (gtw_gateway_t *gateway, const src_record_t *record);
+void gtw_records_receive (gtw_gateway_t *gateway, const src_record_t *stored);
 
 // gateway_probe.c
 /// Open a test connection to a target, to find out whether its process has
@@ -616,7 +616,7 @@
 /// Pass a sidecar's reply with store changes on to the source.
 void gtw_peers_receive_changes (gtw_gateway_t *gateway,
                                 const gtw_target_t *from,
-                                const msg_changes_t *told);
+                                const msg_changes_t *answer);
 
 // gateway_choose.c
 /// @return  The best target for a request, or NULL.
--- a/src/sidecar/sidecar_engine.c
+++ b/src/sidecar/sidecar_engine.c
@@ -61,7 +61,7 @@
 
 /// Update the order timeout. An order whose answer is lost blocks all later
 /// ones until its timeout: with a fixed 400 ms and a third of the answers
-/// lost, an engine loaded one adapter a second instead of three.
+/// lost, an engine loads one adapter a second instead of three.
 static void
 record_order_time (scr_sidecar_t *s, egn_order_outcome_t outcome)
 {
@@ -213,7 +213,7 @@
 /// configuration arrived, the only one whose weights the engine still has.
 /// After a power loss the configuration arrives last, after the store, the
 /// list of targets and a gateway are up: 2.0 s after the start when the store
-/// was down as well. Without this rule the engine idled during that time.
+/// was down as well. Without this rule the engine would idle during that time.
 /// @return  NULL if it is not known.
 static const char *
 wanted_model (const scr_sidecar_t *s, const egn_report_t *report)
@@ -329,7 +329,7 @@
   s->is_engine_busy = report->is_busy;
   s->is_model_held = report->model_count > 0;
   uint32_t held = s->table.adapters_held;
-  uint32_t coming = s->table.adapters_loading;
+  uint32_t loading = s->table.adapters_loading;
   adm_report_begin (&s->table);
   for (uint32_t i = 0; i < report->adapter_count; i++)
     {
@@ -340,7 +340,7 @@
       adm_adapter_require_version (adapter, ver_newest (&s->versions, a->key));
     }
   adm_report_end (&s->table);
-  if (held != s->table.adapters_held || coming != s->table.adapters_loading)
+  if (held != s->table.adapters_held || loading != s->table.adapters_loading)
     scr_state_changed (s);
   if (s->is_model_held)
     identify_engine (s);
